--- a/tests/suite/proxy/events.rs
+++ b/tests/suite/proxy/events.rs
@@ -1,7 +1,7 @@
 //! Cutting streams into whole events.
 
 use quickcheck::quickcheck;
-use radishstair_entry::gate::events::Cutter;
+use radishstair_entry::proxy::events::Cutter;
 
 fn cut(pieces: &[&[u8]]) -> (Vec<u8>, Vec<u64>, bool) {
     let mut cutter = Cutter::default();
