--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -1,7 +1,7 @@
 //! The opaque front: requests are passed on to runners byte by byte, as an
 //! operator's document says, in the words of whatever platform it runs on.
 //!
-//! What it needs of the platform's language stands in [`dialect`]; decisions
+//! What it needs of the platform's language stands in [`adapter`]; decisions
 //! are in the core crate. A control thread keeps the beliefs up to date and
 //! holds duties, traffic threads forward.
 
@@ -23,14 +23,14 @@
 use crate::clock::Clock;
 use crate::flight::{self, Flight};
 use crate::metrics::Metrics;
-use dialect::Dialect;
+use adapter::Dialect;
 
 pub mod accept;
+pub mod adapter;
 pub mod admin;
 pub mod beliefs;
 pub mod call;
 pub mod changes;
-pub mod dialect;
 pub mod document;
 pub mod duty;
 pub mod events;
--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -20,7 +20,7 @@
 use tokio::time::timeout;
 
 use super::Shared;
-use super::dialect::Head;
+use super::adapter::Head;
 use super::forward::Forwarder;
 use super::job::{Job, Tries, ask};
 use super::reply::{self, Body, come_back};
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -5,7 +5,7 @@
 use radishstair_core::store::{Answer, Call};
 
 use super::Shared;
-use super::dialect::Page;
+use super::adapter::Page;
 use super::store::{Asked, Asker, Timeouts};
 
 /// Keys of a page that are asked for.
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -22,7 +22,7 @@
 use tokio::time::timeout;
 
 use super::Shared;
-use super::dialect::{Mark, Pass};
+use super::adapter::{Mark, Pass};
 use super::job::{Job, Tries};
 use super::reply::come_back;
 use super::slot::Slot;
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -12,7 +12,7 @@
 use radishstair_core::repeat::{self, Rule};
 use radishstair_core::time::Moment;
 
-use super::dialect::Head;
+use super::adapter::Head;
 
 /// Runners tried without reaching one, before the caller is told so.
 const UNREACHABLE: u32 = 4;
--- a/crates/entry/src/proxy/run.rs
+++ b/crates/entry/src/proxy/run.rs
@@ -13,8 +13,8 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::{mpsc, oneshot, watch};
 
+use super::adapter::Dialect;
 use super::admin::Port;
-use super::dialect::Dialect;
 use super::duty::Duty;
 use super::forward::Forwarder;
 use super::settings::Settings;
