--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -23,7 +23,7 @@
 use crate::clock::Clock;
 use crate::flight::{self, Flight};
 use crate::metrics::Metrics;
-use adapter::Dialect;
+use adapter::Adapter;
 
 pub mod accept;
 pub mod adapter;
@@ -62,7 +62,7 @@
     /// Counters.
     pub metrics: Metrics,
     /// The platform's language.
-    pub dialect: Arc<dyn Dialect>,
+    pub adapter: Arc<dyn Adapter>,
     /// Settings as last read.
     pub settings: ArcSwap<settings::Settings>,
     /// Whether the process was told to stop.
@@ -89,7 +89,7 @@
 
 impl Shared {
     /// State of a process that has just started.
-    pub fn new(settings: settings::Settings, dialect: Arc<dyn Dialect>) -> Arc<Self> {
+    pub fn new(settings: settings::Settings, adapter: Arc<dyn Adapter>) -> Arc<Self> {
         let state = State::new(settings.bounds.clone(), &settings.zone);
         let clock = Clock::default();
         let mut civil = Civil::default();
@@ -98,7 +98,7 @@
             began: civil.now(clock.now()),
             clock,
             metrics: Metrics::default(),
-            dialect,
+            adapter,
             settings: ArcSwap::from_pointee(settings),
             stopping: AtomicBool::new(false),
             state: Mutex::new(state),
--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -80,7 +80,7 @@
 }
 
 /// A platform's language.
-pub trait Dialect: fmt::Debug + Send + Sync {
+pub trait Adapter: fmt::Debug + Send + Sync {
     /// Path at which the balancer asks whether callers should come here.
     fn ready_path(&self) -> &'static str;
 
--- a/crates/entry/src/proxy/admin.rs
+++ b/crates/entry/src/proxy/admin.rs
@@ -63,7 +63,7 @@
             shared.metrics.dropped_lines.set(log::dropped() as i64);
             answer(StatusCode::OK, shared.metrics.text())
         }
-        path if path == shared.dialect.ready_path() => readiness(shared),
+        path if path == shared.adapter.ready_path() => readiness(shared),
         _ => answer(StatusCode::NOT_FOUND, "not found\n"),
     }
 }
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -30,14 +30,14 @@
 pub async fn ask_with(shared: &Shared, asker: &Asker, call: &Call, timeouts: Timeouts) -> Page {
     let asked = shared.now();
     let address = shared.settings.load().store;
-    let request = shared.dialect.call(call);
+    let request = shared.adapter.call(call);
     let unanswered = |answer| Page {
         answer,
         more: false,
         revision: 0,
     };
     let (page, bytes) = match asker.ask_with(address, request, timeouts).await {
-        Asked::Answer(status, body) => (shared.dialect.answer(call, status, &body), body.len()),
+        Asked::Answer(status, body) => (shared.adapter.answer(call, status, &body), body.len()),
         Asked::Never => (unanswered(Answer::Refused), 0),
         Asked::Lost { came } => (unanswered(Answer::Lost), came),
     };
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -87,7 +87,7 @@
     /// Asks the store.
     async fn read(&self, step: Step, reads: bool) -> Result<(), Failure> {
         let sent = self.shared.now();
-        let key = self.shared.dialect.keys().document.to_string();
+        let key = self.shared.adapter.keys().document.to_string();
         let version = self.shared.document().version();
         let call = match step {
             Step::Renew => Call::Renew { key, version },
@@ -167,7 +167,7 @@
 }
 
 fn put_in_force(shared: &Shared, as_of: Moment, entry: &Entry) {
-    let table = match shared.dialect.table(entry) {
+    let table = match shared.adapter.table(entry) {
         Ok(table) => table,
         Err(err) => {
             // The store takes valid documents only; this one says something that this
@@ -204,7 +204,7 @@
             false
         }
         News::Text(as_of, version, value) => {
-            let key = shared.dialect.keys().document.to_string();
+            let key = shared.adapter.keys().document.to_string();
             take(shared, as_of, Entry { key, version, value })
         }
         News::Newer(version) => {
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -258,7 +258,7 @@
         self.shared.state().fleet.hear(now, slot.key);
         let (response, kept) = exchange.split();
         let (parts, body) = response.into_parts();
-        let mark = self.shared.dialect.mark(&parts);
+        let mark = self.shared.adapter.mark(&parts);
         if mark.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
             let sign = match parts.status {
                 StatusCode::MISDIRECTED_REQUEST => Sign::Replaced,
@@ -355,7 +355,7 @@
         let mut request = Request::new(Full::new(job.body.clone()));
         *request.method_mut() = job.parts.method.clone();
         *request.uri_mut() = job.parts.uri.clone();
-        *request.headers_mut() = self.shared.dialect.pass(&job.parts, &pass);
+        *request.headers_mut() = self.shared.adapter.pass(&job.parts, &pass);
         request
     }
 
--- a/crates/entry/src/proxy/run.rs
+++ b/crates/entry/src/proxy/run.rs
@@ -13,7 +13,7 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::adapter::Dialect;
+use super::adapter::Adapter;
 use super::admin::Port;
 use super::duty::Duty;
 use super::forward::Forwarder;
@@ -38,11 +38,11 @@
 /// # Errors
 ///
 /// When something cannot be read, bound or started.
-pub fn run(path: &Path, dialect: Arc<dyn Dialect>) -> Result<()> {
+pub fn run(path: &Path, adapter: Arc<dyn Adapter>) -> Result<()> {
     let settings = load(path)?;
     // Before anything else: a signal that comes early must not end the process.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).context("setting signal handlers")?;
-    let shared = Shared::new(settings.clone(), dialect);
+    let shared = Shared::new(settings.clone(), adapter);
     tracing::info!(event = "starting", host = settings.host, zone = settings.zone, incarnation = %shared.me);
     let pool = Pool::default();
     let forwarder = Arc::new(Forwarder {
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -188,7 +188,7 @@
                 prefix: String::new(),
                 after: match after.is_empty() {
                     // It sorts before the other keys.
-                    true => self.shared.dialect.keys().document.to_string(),
+                    true => self.shared.adapter.keys().document.to_string(),
                     false => after.clone(),
                 },
                 limit: LIMIT,
@@ -243,7 +243,7 @@
 
     /// Puts in force what all keys say; whether any runner has changed.
     fn settle(&mut self) -> bool {
-        let keys = self.shared.dialect.keys();
+        let keys = self.shared.adapter.keys();
         let (as_of, runners, own) = {
             let mirror = self.shared.mirror();
             let Some(as_of) = mirror.as_of() else {
