--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -20,7 +20,7 @@
 use tokio::time::timeout;
 
 use super::Shared;
-use super::adapter::Head;
+use super::adapter::Metadata;
 use super::forward::Forwarder;
 use super::job::{Job, Tries, ask};
 use super::reply::{self, Body, come_back};
@@ -172,7 +172,7 @@
     result
 }
 
-fn admit(shared: &Shared, parts: &request::Parts, head: &Head) -> Result<Admission, Refusal> {
+fn admit(shared: &Shared, parts: &request::Parts, head: &Metadata) -> Result<Admission, Refusal> {
     let now = shared.now();
     let mut state = shared.state();
     let admission = state
@@ -185,7 +185,7 @@
     Ok(admission)
 }
 
-fn until(arrived: Moment, head: &Head, admission: &Admission) -> Option<Moment> {
+fn until(arrived: Moment, head: &Metadata, admission: &Admission) -> Option<Moment> {
     let spans = [head.deadline, admission.route.timeout];
     let span = spans.into_iter().flatten().min()?;
     Some(arrived + span)
@@ -208,7 +208,7 @@
     }
 }
 
-fn refused(shared: &Shared, head: Option<&Head>, refusal: Refusal) -> Refusal {
+fn refused(shared: &Shared, head: Option<&Metadata>, refusal: Refusal) -> Refusal {
     let now = shared.now();
     let state = shared.state();
     tracing::info!(
--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -22,7 +22,7 @@
 
 /// What a caller's head says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Head {
+pub struct Metadata {
     /// The caller's name for this attempt.
     pub id: String,
     /// How long the caller will wait.
@@ -92,7 +92,7 @@
     /// # Errors
     ///
     /// What is wrong with it.
-    fn head(&self, parts: &request::Parts) -> Result<Head, Kind>;
+    fn head(&self, parts: &request::Parts) -> Result<Metadata, Kind>;
 
     /// Head towards a runner.
     fn pass(&self, parts: &request::Parts, pass: &Pass<'_>) -> HeaderMap;
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -12,7 +12,7 @@
 use radishstair_core::repeat::{self, Rule};
 use radishstair_core::time::Moment;
 
-use super::adapter::Head;
+use super::adapter::Metadata;
 
 /// Runners tried without reaching one, before the caller is told so.
 const UNREACHABLE: u32 = 4;
@@ -23,7 +23,7 @@
     /// Its head as it came.
     pub parts: request::Parts,
     /// What the head says.
-    pub head: Head,
+    pub head: Metadata,
     /// Its body.
     pub body: Bytes,
     /// What the document says of it.
@@ -85,7 +85,7 @@
 }
 
 /// What a head asks of the document.
-pub fn ask<'a>(parts: &'a request::Parts, head: &'a Head) -> Ask<'a> {
+pub fn ask<'a>(parts: &'a request::Parts, head: &'a Metadata) -> Ask<'a> {
     let host = parts.headers.get(HOST);
     Ask {
         host: host.and_then(|host| host.to_str().ok()).unwrap_or_default(),
