--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -114,7 +114,7 @@
     let shared = forwarder.shared.clone();
     let (parts, body) = request.into_parts();
     let head = shared.adapter.head(&parts);
-    let deadline = head.as_ref().ok().and_then(|head| head.deadline);
+    let deadline = head.as_ref().ok().and_then(|head| head.timeout);
     let body = read(body, limits(&shared).body, deadline.unwrap_or(BODY)).await;
     let head = head.map_err(|kind| refused(&shared, None, Refusal::new(kind)))?;
     let body = body.map_err(|kind| refused(&shared, Some(&head), Refusal::new(kind)))?;
@@ -178,7 +178,7 @@
     let admission = state
         .admit(now, &ask(parts, head))
         .map_err(|refusal| match refusal.kind {
-            Kind::Stale => refusal.after(come_back(head.deadline, rand::random())),
+            Kind::Stale => refusal.after(come_back(head.timeout, rand::random())),
             _ => refusal,
         })?;
     state.budgets.count(now, &admission.service);
@@ -186,7 +186,7 @@
 }
 
 fn until(arrived: Moment, head: &Metadata, admission: &Admission) -> Option<Moment> {
-    let spans = [head.deadline, admission.route.timeout];
+    let spans = [head.timeout, admission.route.timeout];
     let span = spans.into_iter().flatten().min()?;
     Some(arrived + span)
 }
--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -26,20 +26,20 @@
     /// The caller's name for this attempt.
     pub id: String,
     /// How long the caller will wait.
-    pub deadline: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Key that it carries.
     pub key: Option<String>,
     /// Last event that the caller has of a stream.
     pub last_event: Option<u64>,
     /// Tokens of the prompt; 0 for plain requests.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Most tokens of the answer.
-    pub output: u64,
+    pub max_output_tokens: u64,
     /// Tokens of the answer as the caller expects them; often far off.
-    pub hint: Option<u64>,
+    pub expected_output_tokens: Option<u64>,
     /// Parts of the prompt, in order; the last one is the request's own or its
     /// session's.
-    pub parts: Vec<Part>,
+    pub prompt_parts: Vec<Part>,
 }
 
 /// What the head towards a runner says besides the caller's own.
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -73,9 +73,13 @@
     pub fn demand(&self, draw: u64) -> Demand {
         Demand {
             service: self.admission.service.clone(),
-            prompt: self.head.prompt,
-            output: self.head.hint.unwrap_or(self.head.output).min(self.head.output),
-            parts: self.head.parts.clone(),
+            prompt: self.head.prompt_tokens,
+            output: self
+                .head
+                .expected_output_tokens
+                .unwrap_or(self.head.max_output_tokens)
+                .min(self.head.max_output_tokens),
+            parts: self.head.prompt_parts.clone(),
             bytes: self.body.len() as u64,
             copies: self.admission.copies,
             once: self.once(),
