--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -113,7 +113,7 @@
     let flight = forwarder.shared.flight();
     let shared = forwarder.shared.clone();
     let (parts, body) = request.into_parts();
-    let head = shared.adapter.head(&parts);
+    let head = shared.adapter.parse_request(&parts);
     let deadline = head.as_ref().ok().and_then(|head| head.timeout);
     let body = read(body, limits(&shared).body, deadline.unwrap_or(BODY)).await;
     let head = head.map_err(|kind| refused(&shared, None, Refusal::new(kind)))?;
--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -92,7 +92,7 @@
     /// # Errors
     ///
     /// What is wrong with it.
-    fn head(&self, parts: &request::Parts) -> Result<Metadata, Kind>;
+    fn parse_request(&self, parts: &request::Parts) -> Result<Metadata, Kind>;
 
     /// Head towards a runner.
     fn pass(&self, parts: &request::Parts, pass: &Pass<'_>) -> HeaderMap;
