--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -44,7 +44,7 @@
 
 /// What the head towards a runner says besides the caller's own.
 #[derive(Clone, Copy, Debug)]
-pub struct Pass<'a> {
+pub struct Forwarding<'a> {
     /// Runner that alone may run it.
     pub instance: &'a str,
     /// Time left.
@@ -95,7 +95,7 @@
     fn parse_request(&self, parts: &request::Parts) -> Result<Metadata, Kind>;
 
     /// Head towards a runner.
-    fn pass(&self, parts: &request::Parts, pass: &Pass<'_>) -> HeaderMap;
+    fn forwarded_headers(&self, parts: &request::Parts, forwarding: &Forwarding<'_>) -> HeaderMap;
 
     /// Reads a runner's head.
     fn mark(&self, parts: &response::Parts) -> Mark;
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -22,7 +22,7 @@
 use tokio::time::timeout;
 
 use super::Shared;
-use super::adapter::{Mark, Pass};
+use super::adapter::{Forwarding, Mark};
 use super::job::{Job, Tries};
 use super::reply::come_back;
 use super::slot::Slot;
@@ -344,7 +344,7 @@
     }
 
     fn request(&self, now: Moment, job: &Job, after: Option<u64>, slot: &Slot) -> Request<Full<Bytes>> {
-        let pass = Pass {
+        let forwarding = Forwarding {
             instance: &slot.id,
             left: job.left(now),
             rank: job.is_stream().then_some(job.admission.rank),
@@ -355,7 +355,7 @@
         let mut request = Request::new(Full::new(job.body.clone()));
         *request.method_mut() = job.parts.method.clone();
         *request.uri_mut() = job.parts.uri.clone();
-        *request.headers_mut() = self.shared.adapter.pass(&job.parts, &pass);
+        *request.headers_mut() = self.shared.adapter.forwarded_headers(&job.parts, &forwarding);
         request
     }
 
