--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -46,17 +46,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Forwarding<'a> {
     /// Runner that alone may run it.
-    pub instance: &'a str,
+    pub runner_id: &'a str,
     /// Time left.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
     /// Rank, 0 first, for requests to engines.
     pub rank: Option<u8>,
     /// Whose it is.
     pub customer: Option<&'a str>,
     /// Event after which the stream goes on.
-    pub after: Option<u64>,
+    pub resume_after: Option<u64>,
     /// Runner from whose memory it copies the beginning of the prompt.
-    pub source: Option<SocketAddr>,
+    pub cache_source: Option<SocketAddr>,
 }
 
 /// What a runner's head says of its answer.
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -345,12 +345,12 @@
 
     fn request(&self, now: Moment, job: &Job, after: Option<u64>, slot: &Slot) -> Request<Full<Bytes>> {
         let forwarding = Forwarding {
-            instance: &slot.id,
-            left: job.left(now),
+            runner_id: &slot.id,
+            time_left: job.left(now),
             rank: job.is_stream().then_some(job.admission.rank),
             customer: job.admission.customer.as_deref(),
-            after: after.or(job.head.last_event),
-            source: slot.source,
+            resume_after: after.or(job.head.last_event),
+            cache_source: slot.source,
         };
         let mut request = Request::new(Full::new(job.body.clone()));
         *request.method_mut() = job.parts.method.clone();
