--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -61,9 +61,9 @@
 
 /// What a runner's head says of its answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Mark {
+pub struct Provenance {
     /// Request that it answers.
-    pub id: Option<String>,
+    pub request_id: Option<String>,
     /// Whether the runner vouches for the answer.
     pub signed: bool,
     /// Whether the runner states that the request did not run.
@@ -98,7 +98,7 @@
     fn forwarded_headers(&self, parts: &request::Parts, forwarding: &Forwarding<'_>) -> HeaderMap;
 
     /// Reads a runner's head.
-    fn mark(&self, parts: &response::Parts) -> Mark;
+    fn parse_response(&self, parts: &response::Parts) -> Provenance;
 
     /// Reads the operator's document.
     ///
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -22,7 +22,7 @@
 use tokio::time::timeout;
 
 use super::Shared;
-use super::adapter::{Forwarding, Mark};
+use super::adapter::{Forwarding, Provenance};
 use super::job::{Job, Tries};
 use super::reply::come_back;
 use super::slot::Slot;
@@ -258,8 +258,8 @@
         self.shared.state().fleet.hear(now, slot.key);
         let (response, kept) = exchange.split();
         let (parts, body) = response.into_parts();
-        let mark = self.shared.adapter.mark(&parts);
-        if mark.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
+        let provenance = self.shared.adapter.parse_response(&parts);
+        if provenance.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
             let sign = match parts.status {
                 StatusCode::MISDIRECTED_REQUEST => Sign::Replaced,
                 _ => Sign::Full,
@@ -277,15 +277,15 @@
             }
             return Err(Halt::Failed(Fault::NotRun));
         }
-        if !is_own(job, &parts, &mark) {
+        if !is_own(job, &parts, &provenance) {
             slot.sign(Sign::Broken);
             tracing::warn!(
                 event = "answer-not-own",
                 request = job.head.id,
                 runner = slot.id,
                 status = parts.status.as_u16(),
-                answers = mark.id,
-                signed = mark.signed
+                answers = provenance.request_id,
+                signed = provenance.signed
             );
             return Err(Halt::Failed(Fault::Broken));
         }
@@ -394,9 +394,9 @@
 /// An extra answer may come late, where the next request's is expected; passed
 /// on, a caller would get somebody else's data. Statuses that promise "not run"
 /// are not passed on without the runner's own statement of it.
-fn is_own(job: &Job, parts: &response::Parts, mark: &Mark) -> bool {
+fn is_own(job: &Job, parts: &response::Parts, provenance: &Provenance) -> bool {
     let promises = matches!(parts.status.as_u16(), 408 | 421 | 429 | 503);
-    let named = mark.id.as_deref() == Some(job.head.id.as_str());
+    let named = provenance.request_id.as_deref() == Some(job.head.id.as_str());
     let encoded = parts.headers.contains_key(CONTENT_ENCODING);
-    named && mark.signed && !promises && !encoded
+    named && provenance.signed && !promises && !encoded
 }
