--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -72,11 +72,11 @@
 
 /// Keys in the store that the operator and the runners write.
 #[derive(Clone, Copy, Debug)]
-pub struct Keys {
+pub struct StoreKeys {
     /// The operator's document. It sorts before the other keys that hosts read.
     pub document: &'static str,
     /// Prefix of the runners' entries.
-    pub runners: &'static str,
+    pub runner_prefix: &'static str,
 }
 
 /// A platform's language.
@@ -85,7 +85,7 @@
     fn ready_path(&self) -> &'static str;
 
     /// Keys in the store.
-    fn keys(&self) -> Keys;
+    fn store_keys(&self) -> StoreKeys;
 
     /// Reads a caller's head.
     ///
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -87,7 +87,7 @@
     /// Asks the store.
     async fn read(&self, step: Step, reads: bool) -> Result<(), Failure> {
         let sent = self.shared.now();
-        let key = self.shared.adapter.keys().document.to_string();
+        let key = self.shared.adapter.store_keys().document.to_string();
         let version = self.shared.document().version();
         let call = match step {
             Step::Renew => Call::Renew { key, version },
@@ -204,7 +204,7 @@
             false
         }
         News::Text(as_of, version, value) => {
-            let key = shared.adapter.keys().document.to_string();
+            let key = shared.adapter.store_keys().document.to_string();
             take(shared, as_of, Entry { key, version, value })
         }
         News::Newer(version) => {
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -188,7 +188,7 @@
                 prefix: String::new(),
                 after: match after.is_empty() {
                     // It sorts before the other keys.
-                    true => self.shared.adapter.keys().document.to_string(),
+                    true => self.shared.adapter.store_keys().document.to_string(),
                     false => after.clone(),
                 },
                 limit: LIMIT,
@@ -243,14 +243,14 @@
 
     /// Puts in force what all keys say; whether any runner has changed.
     fn settle(&mut self) -> bool {
-        let keys = self.shared.adapter.keys();
+        let keys = self.shared.adapter.store_keys();
         let (as_of, runners, own) = {
             let mirror = self.shared.mirror();
             let Some(as_of) = mirror.as_of() else {
                 return false;
             };
             let under = |prefix: &str| mirror.under(prefix).to_vec();
-            (as_of, under(keys.runners), under(PREFIX))
+            (as_of, under(keys.runner_prefix), under(PREFIX))
         };
         let changed = self.beliefs.list(as_of, &runners);
         // A full channel is emptied by the next round.
