--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -118,7 +118,7 @@
     fn call(&self, call: &Call) -> Request<Bytes>;
 
     /// The store's answer to a call.
-    fn answer(&self, call: &Call, status: StatusCode, body: &[u8]) -> Page;
+    fn answer(&self, call: &Call, status: StatusCode, body: &[u8]) -> StoreResponse;
 
     /// A usage report under a fencing number.
     fn report(&self, host: &str, fence: u64, window: &Window) -> Request<Bytes>;
@@ -129,11 +129,11 @@
 
 /// An answer of the store.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Page {
+pub struct StoreResponse {
     /// What it says.
     pub answer: Answer,
     /// Whether there are more keys behind the last one.
-    pub more: bool,
+    pub has_more: bool,
     /// The store's revision when it answered a listing; 0 for other calls.
-    pub revision: u64,
+    pub store_revision: u64,
 }
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -5,7 +5,7 @@
 use radishstair_core::store::{Answer, Call};
 
 use super::Shared;
-use super::adapter::Page;
+use super::adapter::StoreResponse;
 use super::store::{Asked, Asker, Timeouts};
 
 /// Keys of a page that are asked for.
@@ -22,19 +22,19 @@
 };
 
 /// Asks the store within a time limit and counts what came of it.
-pub async fn ask(shared: &Shared, asker: &Asker, call: &Call, limit: Duration) -> Page {
+pub async fn ask(shared: &Shared, asker: &Asker, call: &Call, limit: Duration) -> StoreResponse {
     ask_with(shared, asker, call, Timeouts::within(limit)).await
 }
 
 /// The same with other timeouts.
-pub async fn ask_with(shared: &Shared, asker: &Asker, call: &Call, timeouts: Timeouts) -> Page {
+pub async fn ask_with(shared: &Shared, asker: &Asker, call: &Call, timeouts: Timeouts) -> StoreResponse {
     let asked = shared.now();
     let address = shared.settings.load().store;
     let request = shared.adapter.call(call);
-    let unanswered = |answer| Page {
+    let unanswered = |answer| StoreResponse {
         answer,
-        more: false,
-        revision: 0,
+        has_more: false,
+        store_revision: 0,
     };
     let (page, bytes) = match asker.ask_with(address, request, timeouts).await {
         Asked::Answer(status, body) => (shared.adapter.answer(call, status, &body), body.len()),
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -187,7 +187,7 @@
             };
             let last = entries
                 .last()
-                .filter(|_| page.more)
+                .filter(|_| page.has_more)
                 .map(|entry| entry.key.clone());
             let now = self.shared.now();
             for record in entries.iter().filter_map(parse) {
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -198,7 +198,7 @@
                 return false;
             };
             strip_counts(&mut entries);
-            let last = entries.last().filter(|_| page.more);
+            let last = entries.last().filter(|_| page.has_more);
             let last = last.map(|entry| entry.key.clone());
             if after.is_empty()
                 && last.is_some()
@@ -210,7 +210,7 @@
                 after,
                 entries,
                 more: last.is_some(),
-                revision: page.revision,
+                revision: page.store_revision,
                 sent,
             });
             let Some(last) = last else {
