--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -105,26 +105,26 @@
     /// # Errors
     ///
     /// Names what cannot be read.
-    fn table(&self, entry: &Entry) -> Result<Table>;
+    fn parse_document(&self, entry: &Entry) -> Result<Table>;
 
     /// Reads a runner's entry.
     ///
     /// # Errors
     ///
     /// Names what cannot be read.
-    fn runner(&self, entry: &Entry) -> Result<Listed>;
+    fn parse_runner(&self, entry: &Entry) -> Result<Listed>;
 
     /// A call to the store.
-    fn call(&self, call: &Call) -> Request<Bytes>;
+    fn store_request(&self, call: &Call) -> Request<Bytes>;
 
     /// The store's answer to a call.
-    fn answer(&self, call: &Call, status: StatusCode, body: &[u8]) -> StoreResponse;
+    fn parse_store_response(&self, call: &Call, status: StatusCode, body: &[u8]) -> StoreResponse;
 
     /// A usage report under a fencing number.
-    fn report(&self, host: &str, fence: u64, window: &Window) -> Request<Bytes>;
+    fn usage_request(&self, host: &str, fence: u64, window: &Window) -> Request<Bytes>;
 
     /// An order for runners under a fencing number.
-    fn order(&self, host: &str, fence: u64, order: &Order) -> Request<Bytes>;
+    fn order_request(&self, host: &str, fence: u64, order: &Order) -> Request<Bytes>;
 }
 
 /// An answer of the store.
--- a/crates/entry/src/proxy/beliefs.rs
+++ b/crates/entry/src/proxy/beliefs.rs
@@ -97,7 +97,7 @@
     }
 
     fn parse(&self, entry: &Entry) -> Parsed {
-        let listed = self.shared.adapter.runner(entry);
+        let listed = self.shared.adapter.parse_runner(entry);
         if let Err(err) = &listed {
             not_read(entry, err);
         }
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -30,14 +30,17 @@
 pub async fn ask_with(shared: &Shared, asker: &Asker, call: &Call, timeouts: Timeouts) -> StoreResponse {
     let asked = shared.now();
     let address = shared.settings.load().store;
-    let request = shared.adapter.call(call);
+    let request = shared.adapter.store_request(call);
     let unanswered = |answer| StoreResponse {
         answer,
         has_more: false,
         store_revision: 0,
     };
     let (page, bytes) = match asker.ask_with(address, request, timeouts).await {
-        Asked::Answer(status, body) => (shared.adapter.answer(call, status, &body), body.len()),
+        Asked::Answer(status, body) => (
+            shared.adapter.parse_store_response(call, status, &body),
+            body.len(),
+        ),
         Asked::Never => (unanswered(Answer::Refused), 0),
         Asked::Lost { came } => (unanswered(Answer::Lost), came),
     };
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -167,7 +167,7 @@
 }
 
 fn put_in_force(shared: &Shared, as_of: Moment, entry: &Entry) {
-    let table = match shared.adapter.table(entry) {
+    let table = match shared.adapter.parse_document(entry) {
         Ok(table) => table,
         Err(err) => {
             // The store takes valid documents only; this one says something that this
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -181,7 +181,7 @@
 
     async fn send_report(&mut self, grant: Grant, window: &Window) -> bool {
         let host = self.shared.settings.load().host.clone();
-        let request = self.shared.adapter.report(&host, grant.fence, window);
+        let request = self.shared.adapter.usage_request(&host, grant.fence, window);
         let status = self.send(grant, request).await;
         tracing::info!(
             event = "usage-reported",
@@ -211,7 +211,7 @@
             return false;
         };
         let host = self.shared.settings.load().host.clone();
-        let request = self.shared.adapter.order(&host, grant.fence, &order);
+        let request = self.shared.adapter.order_request(&host, grant.fence, &order);
         let status = self.send(grant, request).await;
         tracing::info!(
             event = "ordered",
