--- a/crates/entry/src/proxy/events.rs
+++ b/crates/entry/src/proxy/events.rs
@@ -21,11 +21,11 @@
 
 /// Bytes of an event that has not ended.
 #[derive(Clone, Debug, Default)]
-pub struct Cutter {
+pub struct Splitter {
     rest: BytesMut,
 }
 
-impl Cutter {
+impl Splitter {
     /// Adds bytes and takes the whole events off; `None` when an event is too long.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Events> {
         self.rest.extend_from_slice(bytes);
--- a/crates/entry/src/proxy/stream/run.rs
+++ b/crates/entry/src/proxy/stream/run.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 use super::super::Shared;
-use super::super::events::{Cutter, Events};
+use super::super::events::{Events, Splitter};
 use super::super::forward::{Forwarder, Opened};
 use super::super::job::Job;
 
@@ -27,7 +27,7 @@
     pub opened: Opened,
     /// Id of the last event that came.
     pub last: Option<u64>,
-    cutter: Cutter,
+    splitter: Splitter,
     framed: bool,
     /// When the last event came.
     came: Option<Moment>,
@@ -52,7 +52,7 @@
         let framed = headers.contains_key(CONTENT_LENGTH) || headers.contains_key("transfer-encoding");
         Self {
             opened,
-            cutter: Cutter::default(),
+            splitter: Splitter::default(),
             last,
             framed,
             came: None,
@@ -100,7 +100,7 @@
             let Some(bytes) = frame.data_ref() else {
                 continue;
             };
-            let Some(events) = self.cutter.push(bytes) else {
+            let Some(events) = self.splitter.push(bytes) else {
                 return Piece::Broken;
             };
             if events.bytes.is_empty() {
@@ -115,7 +115,7 @@
 
     /// Without a length or chunks only a whole event tells the end from a break.
     fn end(&self) -> Piece {
-        match self.cutter.is_empty() {
+        match self.splitter.is_empty() {
             true => Piece::End,
             false => Piece::Broken,
         }
--- a/tests/suite/proxy/events.rs
+++ b/tests/suite/proxy/events.rs
@@ -1,17 +1,17 @@
 //! Cutting streams into whole events.
 
 use quickcheck::quickcheck;
-use radishstair_entry::proxy::events::Cutter;
+use radishstair_entry::proxy::events::Splitter;
 
 fn cut(pieces: &[&[u8]]) -> (Vec<u8>, Vec<u64>, bool) {
-    let mut cutter = Cutter::default();
+    let mut splitter = Splitter::default();
     let (mut bytes, mut ids) = (Vec::new(), Vec::new());
     for piece in pieces {
-        let events = cutter.push(piece).expect("no event is too long");
+        let events = splitter.push(piece).expect("no event is too long");
         bytes.extend_from_slice(&events.bytes);
         ids.extend(events.ids);
     }
-    (bytes, ids, cutter.is_empty())
+    (bytes, ids, splitter.is_empty())
 }
 
 /// A runner dies in the middle of an event. The caller must not get the torn
@@ -48,8 +48,8 @@
 /// A runner that never ends an event must not fill this host's memory.
 #[test]
 fn an_endless_event_is_refused() {
-    let mut cutter = Cutter::default();
+    let mut splitter = Splitter::default();
     let piece = vec![b'x'; 400 * 1024];
-    let kept = (0..4).map(|_| cutter.push(&piece)).collect::<Vec<_>>();
+    let kept = (0..4).map(|_| splitter.push(&piece)).collect::<Vec<_>>();
     assert!(kept[0].is_some() && kept[3].is_none());
 }
