--- a/crates/entry/src/proxy/reply.rs
+++ b/crates/entry/src/proxy/reply.rs
@@ -42,7 +42,7 @@
 
 /// Removes the headers that concern one connection only, those that the
 /// `Connection` header names included.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -70,7 +70,7 @@
     let mut response = Response::new(full(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = parts.headers.clone();
-    strip(response.headers_mut());
+    strip_hop_headers(response.headers_mut());
     response.headers_mut().remove(CONTENT_LENGTH);
     response
 }
