--- a/crates/entry/src/proxy/run.rs
+++ b/crates/entry/src/proxy/run.rs
@@ -39,7 +39,7 @@
 ///
 /// When something cannot be read, bound or started.
 pub fn run(path: &Path, adapter: Arc<dyn Adapter>) -> Result<()> {
-    let settings = load(path)?;
+    let settings = load_settings(path)?;
     // Before anything else: a signal that comes early must not end the process.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).context("setting signal handlers")?;
     let shared = Shared::new(settings.clone(), adapter);
@@ -76,7 +76,7 @@
 /// # Errors
 ///
 /// Names the file and the key.
-pub fn load(path: &Path) -> Result<Settings> {
+pub fn load_settings(path: &Path) -> Result<Settings> {
     let settings: Settings = radishstair_wire::settings::load(path)?;
     settings
         .check()
@@ -151,7 +151,7 @@
 }
 
 fn reload(path: &Path, shared: &Shared, why: &str) {
-    let settings = match load(path) {
+    let settings = match load_settings(path) {
         Ok(settings) => settings,
         Err(err) => {
             tracing::warn!(event = "settings-kept", why, reason = %format!("{err:#}"));
