--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -18,8 +18,8 @@
 use radishstair_core::time::Moment;
 use tokio::sync::mpsc;
 
-use super::beliefs::Beliefs;
 use super::call::{self, LIMIT};
+use super::discovery::Beliefs;
 use super::records::{self, COUNTS, NOTHING, Own, PREFIX};
 use super::store::Asker;
 use super::{Shared, changes, document};
