--- a/crates/entry/src/proxy/discovery.rs
+++ b/crates/entry/src/proxy/discovery.rs
@@ -24,7 +24,7 @@
 
 /// Reads entries and puts them in force.
 #[derive(Debug)]
-pub struct Beliefs {
+pub struct Discovery {
     shared: Arc<Shared>,
     runners: Arc<Pool>,
     /// Sorted by key. Most entries are the same in each round, and reading
@@ -34,7 +34,7 @@
     told: Moment,
 }
 
-impl Beliefs {
+impl Discovery {
     /// Of a host that has read nothing.
     pub fn new(shared: Arc<Shared>, runners: Arc<Pool>) -> Self {
         Self {
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 
 use super::call::{self, LIMIT};
-use super::discovery::Beliefs;
+use super::discovery::Discovery;
 use super::records::{self, COUNTS, NOTHING, Own, PREFIX};
 use super::store::Asker;
 use super::{Shared, changes, document};
@@ -42,7 +42,7 @@
 /// Reads round after round until `own` is closed.
 pub async fn run(shared: Arc<Shared>, store: Arc<Asker>, runners: Arc<Pool>, own: mpsc::Sender<Own>) {
     let mut reader = Reader {
-        beliefs: Beliefs::new(shared.clone(), runners),
+        discovery: Discovery::new(shared.clone(), runners),
         shared,
         store,
         own,
@@ -72,7 +72,7 @@
 struct Reader {
     shared: Arc<Shared>,
     store: Arc<Asker>,
-    beliefs: Beliefs,
+    discovery: Discovery,
     own: mpsc::Sender<Own>,
     share: Share,
     /// Connections to the peers that were asked, sorted by address.
@@ -252,7 +252,7 @@
             let under = |prefix: &str| mirror.under(prefix).to_vec();
             (as_of, under(keys.runner_prefix), under(PREFIX))
         };
-        let changed = self.beliefs.list(as_of, &runners);
+        let changed = self.discovery.list(as_of, &runners);
         // A full channel is emptied by the next round.
         let _ = self.own.try_send(Own { as_of, entries: own });
         changed
