--- a/crates/entry/src/proxy/run.rs
+++ b/crates/entry/src/proxy/run.rs
@@ -21,7 +21,7 @@
 use super::store::Asker;
 use crate::upstream::pool::Pool;
 
-use super::{Shared, accept, admin, document, peers, sync};
+use super::{Shared, accept, admin, document, gossip, sync};
 
 /// How long a stopping host goes on accepting: the balancer asks once a second
 /// and turns away after two misses, and its answer may be a moment late.
@@ -107,7 +107,7 @@
             tokio::spawn(admin::serve(shared.clone(), ready, Port::Outside));
             tokio::spawn(admin::serve(shared.clone(), metrics, Port::Outside));
             tokio::spawn(admin::serve(shared.clone(), changes, Port::Peers));
-            tokio::spawn(peers::run(shared.clone(), peers));
+            tokio::spawn(gossip::run(shared.clone(), peers));
             let store = Arc::new(Asker::default());
             let (own, read) = mpsc::channel(1);
             tokio::spawn(sync::watch_store(shared.clone(), store.clone()));
