--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -30,6 +30,7 @@
 pub mod admin;
 pub mod call;
 pub mod changes;
+pub mod client;
 pub mod discovery;
 pub mod document;
 pub mod duty;
@@ -43,7 +44,6 @@
 pub mod run;
 pub mod settings;
 pub mod slot;
-pub mod store;
 pub mod stream;
 pub mod sync;
 
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -6,7 +6,7 @@
 
 use super::Shared;
 use super::adapter::StoreResponse;
-use super::store::{Asked, Asker, Timeouts};
+use super::client::{Asked, Asker, Timeouts};
 
 /// Keys of a page that are asked for.
 pub const LIMIT: u32 = 500;
--- a/crates/entry/src/proxy/changes.rs
+++ b/crates/entry/src/proxy/changes.rs
@@ -14,8 +14,8 @@
 use radishstair_core::proxy::document::{Notice, SHORT};
 use radishstair_core::proxy::mirror::Changes;
 
+use super::client::{Asked, Asker, Timeouts};
 use super::reply::{Body, answer};
-use super::store::{Asked, Asker, Timeouts};
 use super::{Shared, call, document};
 
 const CHANGES: &str = "/changes";
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -18,7 +18,7 @@
 use super::Shared;
 use super::call::{self, TRANSFER};
 use super::changes;
-use super::store::Asker;
+use super::client::Asker;
 
 /// Reads the document when it is due, until the process ends.
 pub async fn run(shared: Arc<Shared>, store: Arc<Asker>) {
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -16,8 +16,8 @@
 
 use super::Shared;
 use super::call::{self, WRITE};
+use super::client::{Asked, Asker};
 use super::records::{Own, PREFIX, Records};
-use super::store::{Asked, Asker};
 
 /// Time between looks at what is due.
 const TICK: Duration = Duration::from_millis(250);
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -18,7 +18,7 @@
 
 use super::Shared;
 use super::call::{self, LIMIT, WRITE};
-use super::store::Asker;
+use super::client::Asker;
 
 /// Prefix of this system's own keys.
 pub const PREFIX: &str = "radishstair/";
--- a/crates/entry/src/proxy/run.rs
+++ b/crates/entry/src/proxy/run.rs
@@ -15,10 +15,10 @@
 
 use super::adapter::Adapter;
 use super::admin::Port;
+use super::client::Asker;
 use super::duty::Duty;
 use super::forward::Forwarder;
 use super::settings::Settings;
-use super::store::Asker;
 use crate::upstream::pool::Pool;
 
 use super::{Shared, accept, admin, document, gossip, sync};
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -19,9 +19,9 @@
 use tokio::sync::mpsc;
 
 use super::call::{self, LIMIT};
+use super::client::Asker;
 use super::discovery::Discovery;
 use super::records::{self, COUNTS, NOTHING, Own, PREFIX};
-use super::store::Asker;
 use super::{Shared, changes, document};
 use crate::upstream::pool::Pool;
 
