--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -6,7 +6,7 @@
 
 use super::Shared;
 use super::adapter::StoreResponse;
-use super::client::{Asked, Asker, Timeouts};
+use super::client::{Client, Outcome, Timeouts};
 
 /// Keys of a page that are asked for.
 pub const LIMIT: u32 = 500;
@@ -22,12 +22,12 @@
 };
 
 /// Asks the store within a time limit and counts what came of it.
-pub async fn ask(shared: &Shared, asker: &Asker, call: &Call, limit: Duration) -> StoreResponse {
-    ask_with(shared, asker, call, Timeouts::within(limit)).await
+pub async fn ask(shared: &Shared, client: &Client, call: &Call, limit: Duration) -> StoreResponse {
+    ask_with(shared, client, call, Timeouts::within(limit)).await
 }
 
 /// The same with other timeouts.
-pub async fn ask_with(shared: &Shared, asker: &Asker, call: &Call, timeouts: Timeouts) -> StoreResponse {
+pub async fn ask_with(shared: &Shared, client: &Client, call: &Call, timeouts: Timeouts) -> StoreResponse {
     let asked = shared.now();
     let address = shared.settings.load().store;
     let request = shared.adapter.store_request(call);
@@ -36,13 +36,13 @@
         has_more: false,
         store_revision: 0,
     };
-    let (page, bytes) = match asker.ask_with(address, request, timeouts).await {
-        Asked::Answer(status, body) => (
+    let (page, bytes) = match client.send_with(address, request, timeouts).await {
+        Outcome::Response(status, body) => (
             shared.adapter.parse_store_response(call, status, &body),
             body.len(),
         ),
-        Asked::Never => (unanswered(Answer::Refused), 0),
-        Asked::Lost { came } => (unanswered(Answer::Lost), came),
+        Outcome::NotSent => (unanswered(Answer::Refused), 0),
+        Outcome::Lost { received } => (unanswered(Answer::Lost), received),
     };
     let took = shared.now().since(asked);
     shared.metrics.answered(call.name(), bytes, took);
--- a/crates/entry/src/proxy/changes.rs
+++ b/crates/entry/src/proxy/changes.rs
@@ -14,7 +14,7 @@
 use radishstair_core::proxy::document::{Notice, SHORT};
 use radishstair_core::proxy::mirror::Changes;
 
-use super::client::{Asked, Asker, Timeouts};
+use super::client::{Client, Outcome, Timeouts};
 use super::reply::{Body, answer};
 use super::{Shared, call, document};
 
@@ -88,7 +88,13 @@
 
 /// Asks a peer for what came after a revision, and for the document if it is newer than
 /// version `have`; none if it cannot tell.
-pub async fn ask(shared: &Shared, asker: &Asker, peer: SocketAddr, after: u64, have: u64) -> Option<Changes> {
+pub async fn ask(
+    shared: &Shared,
+    client: &Client,
+    peer: SocketAddr,
+    after: u64,
+    have: u64,
+) -> Option<Changes> {
     let timeouts = match after {
         0 => Timeouts {
             idle: WAIT_WHOLE,
@@ -98,14 +104,14 @@
         _ => SHORT_ANSWER,
     };
     let path = format!("{CHANGES}?{AFTER}={after}&{HAVE}={have}");
-    ask_path(shared, asker, peer, "peer", &path, timeouts).await
+    ask_path(shared, client, peer, "peer", &path, timeouts).await
 }
 
 /// Asks a peer for the document if it is newer than version `have`, with at most so many
 /// bytes of what is lacking.
 pub async fn ask_document(
     shared: &Shared,
-    asker: &Asker,
+    client: &Client,
     peer: SocketAddr,
     have: u64,
     most: usize,
@@ -116,12 +122,12 @@
         call::TRANSFER
     };
     let path = format!("{DOCUMENT}?{HAVE}={have}&{MOST}={most}");
-    ask_path(shared, asker, peer, "peer-document", &path, timeouts).await
+    ask_path(shared, client, peer, "peer-document", &path, timeouts).await
 }
 
 async fn ask_path<M: Message + Default>(
     shared: &Shared,
-    asker: &Asker,
+    client: &Client,
     peer: SocketAddr,
     name: &'static str,
     path: &str,
@@ -131,16 +137,16 @@
     let mut request = Request::new(Bytes::new());
     // Made of fixed words and numbers only.
     *request.uri_mut() = path.parse().unwrap_or_default();
-    let answer = asker.ask_with(peer, request, timeouts).await;
+    let answer = client.send_with(peer, request, timeouts).await;
     let took = shared.now().since(asked);
     let (told, outcome, bytes) = match answer {
-        Asked::Answer(StatusCode::OK, body) => {
+        Outcome::Response(StatusCode::OK, body) => {
             let bytes = body.len();
             (M::decode(body).ok(), "odd", bytes)
         }
-        Asked::Answer(..) => (None, "refused", 0),
-        Asked::Never => (None, "unreachable", 0),
-        Asked::Lost { came } => (None, "lost", came),
+        Outcome::Response(..) => (None, "refused", 0),
+        Outcome::NotSent => (None, "unreachable", 0),
+        Outcome::Lost { received } => (None, "lost", received),
     };
     shared.metrics.answered(name, bytes, took);
     if told.is_none() {
--- a/crates/entry/src/proxy/client.rs
+++ b/crates/entry/src/proxy/client.rs
@@ -25,15 +25,15 @@
 
 /// What came of a call.
 #[derive(Clone, Debug)]
-pub enum Asked {
+pub enum Outcome {
     /// It was answered.
-    Answer(StatusCode, Bytes),
+    Response(StatusCode, Bytes),
     /// It did not leave this host.
-    Never,
+    NotSent,
     /// It may have been carried out.
     Lost {
         /// Bytes of the answer's body that had come.
-        came: usize,
+        received: usize,
     },
 }
 
@@ -61,43 +61,48 @@
 
 /// Connections to one service of the platform.
 #[derive(Debug, Default)]
-pub struct Asker {
+pub struct Client {
     idle: Mutex<Vec<Line>>,
 }
 
-impl Asker {
+impl Client {
     /// Asks within a time limit.
-    pub async fn ask(&self, address: SocketAddr, request: Request<Bytes>, limit: Duration) -> Asked {
-        self.ask_with(address, request, Timeouts::within(limit)).await
+    pub async fn send(&self, address: SocketAddr, request: Request<Bytes>, limit: Duration) -> Outcome {
+        self.send_with(address, request, Timeouts::within(limit)).await
     }
 
     /// Asks with these timeouts.
-    pub async fn ask_with(&self, address: SocketAddr, request: Request<Bytes>, timeouts: Timeouts) -> Asked {
+    pub async fn send_with(
+        &self,
+        address: SocketAddr,
+        request: Request<Bytes>,
+        timeouts: Timeouts,
+    ) -> Outcome {
         let mut left = false;
         let began = Instant::now();
-        let (line, response) = match timeout(timeouts.head, self.send(address, request, &mut left)).await {
+        let (line, response) = match timeout(timeouts.head, self.start(address, request, &mut left)).await {
             Ok(Ok(begun)) => begun,
             Ok(Err(asked)) => return asked,
-            Err(_) if left => return Asked::Lost { came: 0 },
-            Err(_) => return Asked::Never,
+            Err(_) if left => return Outcome::Lost { received: 0 },
+            Err(_) => return Outcome::NotSent,
         };
         let rest = timeouts.total.saturating_sub(began.elapsed());
         let mut body = BytesMut::new();
         let collecting = self.collect(line, response, timeouts.idle, &mut body);
         match timeout(rest, collecting).await {
-            Ok(Some(status)) => Asked::Answer(status, body.freeze()),
-            Ok(None) | Err(_) => Asked::Lost { came: body.len() },
+            Ok(Some(status)) => Outcome::Response(status, body.freeze()),
+            Ok(None) | Err(_) => Outcome::Lost { received: body.len() },
         }
     }
 
-    async fn send(
+    async fn start(
         &self,
         address: SocketAddr,
         request: Request<Bytes>,
         left: &mut bool,
-    ) -> Result<(Line, Response<Incoming>), Asked> {
+    ) -> Result<(Line, Response<Incoming>), Outcome> {
         let Some(mut line) = self.line(address).await else {
-            return Err(Asked::Never);
+            return Err(Outcome::NotSent);
         };
         let (mut parts, body) = request.into_parts();
         if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
@@ -106,8 +111,8 @@
         *left = true;
         match line.send(Request::from_parts(parts, Full::new(body))).await {
             Sent::Answer(response) => Ok((line, response)),
-            Sent::Never => Err(Asked::Never),
-            Sent::Maybe => Err(Asked::Lost { came: 0 }),
+            Sent::Never => Err(Outcome::NotSent),
+            Sent::Maybe => Err(Outcome::Lost { received: 0 }),
         }
     }
 
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -18,10 +18,10 @@
 use super::Shared;
 use super::call::{self, TRANSFER};
 use super::changes;
-use super::client::Asker;
+use super::client::Client;
 
 /// Reads the document when it is due, until the process ends.
-pub async fn run(shared: Arc<Shared>, store: Arc<Asker>) {
+pub async fn run(shared: Arc<Shared>, store: Arc<Client>) {
     let mut keeper = Keeper {
         shared,
         store,
@@ -39,7 +39,7 @@
 
 struct Keeper {
     shared: Arc<Shared>,
-    store: Arc<Asker>,
+    store: Arc<Client>,
     share: Share,
     plan: Plan,
 }
@@ -130,8 +130,8 @@
         let asked = self.shared.now();
         let have = self.shared.document().version();
         // An asker's connections all lead to one address, and peers are asked here once in a while.
-        let asker = Asker::default();
-        let told = changes::ask_document(&self.shared, &asker, peer, have, most).await;
+        let client = Client::default();
+        let told = changes::ask_document(&self.shared, &client, peer, have, most).await;
         told.is_some_and(|notice| hear(&self.shared, asked, notice))
     }
 }
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -16,7 +16,7 @@
 
 use super::Shared;
 use super::call::{self, WRITE};
-use super::client::{Asked, Asker};
+use super::client::{Client, Outcome};
 use super::records::{Own, PREFIX, Records};
 
 /// Time between looks at what is due.
@@ -31,8 +31,8 @@
 #[derive(Debug)]
 pub struct Duty {
     shared: Arc<Shared>,
-    store: Arc<Asker>,
-    desk: Asker,
+    store: Arc<Client>,
+    desk: Client,
     began: Moment,
     lease: Lease,
     reporter: Reporter,
@@ -43,7 +43,7 @@
 
 impl Duty {
     /// A host that holds nothing yet.
-    pub fn new(shared: Arc<Shared>, store: Arc<Asker>) -> Self {
+    pub fn new(shared: Arc<Shared>, store: Arc<Client>) -> Self {
         let terms = Terms::fenced(Duration::from_millis(shared.settings.load().bounds.lease_ms));
         Self {
             began: shared.now(),
@@ -51,7 +51,7 @@
             records: Records::new(shared.clone(), store.clone()),
             shared,
             store,
-            desk: Asker::default(),
+            desk: Client::default(),
             reporter: Reporter::default(),
             planner: Planner::default(),
             holds: false,
@@ -237,12 +237,12 @@
             return None;
         }
         let address = self.shared.settings.load().desk;
-        let asked = self.desk.ask(address, request, grant.send).await;
+        let asked = self.desk.send(address, request, grant.send).await;
         let (outcome, status) = match asked {
-            Asked::Answer(status, _) if status.is_success() => ("ok", Some(status.as_u16())),
-            Asked::Answer(status, _) => ("refused", Some(status.as_u16())),
-            Asked::Never => ("refused", None),
-            Asked::Lost { .. } => ("lost", None),
+            Outcome::Response(status, _) if status.is_success() => ("ok", Some(status.as_u16())),
+            Outcome::Response(status, _) => ("refused", Some(status.as_u16())),
+            Outcome::NotSent => ("refused", None),
+            Outcome::Lost { .. } => ("lost", None),
         };
         self.shared.metrics.platform_call("duty", outcome);
         if status == Some(StatusCode::CONFLICT.as_u16()) {
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -18,7 +18,7 @@
 
 use super::Shared;
 use super::call::{self, LIMIT, WRITE};
-use super::client::Asker;
+use super::client::Client;
 
 /// Prefix of this system's own keys.
 pub const PREFIX: &str = "radishstair/";
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Records {
     shared: Arc<Shared>,
-    store: Arc<Asker>,
+    store: Arc<Client>,
     presence: Written,
     counts: Written,
     announced: bool,
@@ -79,7 +79,7 @@
 
 impl Records {
     /// Of a run that has written nothing.
-    pub fn new(shared: Arc<Shared>, store: Arc<Asker>) -> Self {
+    pub fn new(shared: Arc<Shared>, store: Arc<Client>) -> Self {
         let run = run(&shared.settings.load().host, shared.me);
         let written = |prefix: &str| Written {
             key: format!("{prefix}{run}"),
@@ -234,7 +234,7 @@
 /// Writes a key of this run; whether it stands then.
 async fn put(
     shared: &Shared,
-    store: &Asker,
+    store: &Client,
     written: &mut Written,
     value: Result<String, serde_json::Error>,
 ) -> bool {
--- a/crates/entry/src/proxy/run.rs
+++ b/crates/entry/src/proxy/run.rs
@@ -15,7 +15,7 @@
 
 use super::adapter::Adapter;
 use super::admin::Port;
-use super::client::Asker;
+use super::client::Client;
 use super::duty::Duty;
 use super::forward::Forwarder;
 use super::settings::Settings;
@@ -108,7 +108,7 @@
             tokio::spawn(admin::serve(shared.clone(), metrics, Port::Outside));
             tokio::spawn(admin::serve(shared.clone(), changes, Port::Peers));
             tokio::spawn(gossip::run(shared.clone(), peers));
-            let store = Arc::new(Asker::default());
+            let store = Arc::new(Client::default());
             let (own, read) = mpsc::channel(1);
             tokio::spawn(sync::watch_store(shared.clone(), store.clone()));
             tokio::spawn(document::run(shared.clone(), store.clone()));
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 
 use super::call::{self, LIMIT};
-use super::client::Asker;
+use super::client::Client;
 use super::discovery::Discovery;
 use super::records::{self, COUNTS, NOTHING, Own, PREFIX};
 use super::{Shared, changes, document};
@@ -40,7 +40,7 @@
 const DEFERRED: u32 = 3;
 
 /// Reads round after round until `own` is closed.
-pub async fn run(shared: Arc<Shared>, store: Arc<Asker>, runners: Arc<Pool>, own: mpsc::Sender<Own>) {
+pub async fn run(shared: Arc<Shared>, store: Arc<Client>, runners: Arc<Pool>, own: mpsc::Sender<Own>) {
     let mut reader = Reader {
         discovery: Discovery::new(shared.clone(), runners),
         shared,
@@ -71,12 +71,12 @@
 
 struct Reader {
     shared: Arc<Shared>,
-    store: Arc<Asker>,
+    store: Arc<Client>,
     discovery: Discovery,
     own: mpsc::Sender<Own>,
     share: Share,
     /// Connections to the peers that were asked, sorted by address.
-    peers: Vec<(SocketAddr, Asker)>,
+    peers: Vec<(SocketAddr, Client)>,
     /// Where the last round learned what is new.
     source: Option<Source>,
     backoff: Backoff,
@@ -158,14 +158,14 @@
     }
 
     /// The connections to a peer; those to hosts that no longer live are dropped.
-    fn connection(&mut self, peer: SocketAddr) -> &Asker {
+    fn connection(&mut self, peer: SocketAddr) -> &Client {
         let live = self.shared.peers.load();
         self.peers
             .retain(|(have, _)| *have == peer || live.contains(have));
         let at = match self.peers.binary_search_by_key(&peer, |(have, _)| *have) {
             Ok(at) => at,
             Err(at) => {
-                self.peers.insert(at, (peer, Asker::default()));
+                self.peers.insert(at, (peer, Client::default()));
                 at
             }
         };
@@ -286,7 +286,7 @@
 
 /// Asks the store now and then whether it still answers this host, where nothing
 /// else has asked it.
-pub async fn watch_store(shared: Arc<Shared>, store: Arc<Asker>) {
+pub async fn watch_store(shared: Arc<Shared>, store: Arc<Client>) {
     loop {
         let now = shared.now();
         let key = NOTHING.to_string();
