--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -22,12 +22,12 @@
 };
 
 /// Asks the store within a time limit and counts what came of it.
-pub async fn ask(shared: &Shared, client: &Client, call: &Call, limit: Duration) -> StoreResponse {
-    ask_with(shared, client, call, Timeouts::within(limit)).await
+pub async fn send(shared: &Shared, client: &Client, call: &Call, limit: Duration) -> StoreResponse {
+    send_with(shared, client, call, Timeouts::within(limit)).await
 }
 
 /// The same with other timeouts.
-pub async fn ask_with(shared: &Shared, client: &Client, call: &Call, timeouts: Timeouts) -> StoreResponse {
+pub async fn send_with(shared: &Shared, client: &Client, call: &Call, timeouts: Timeouts) -> StoreResponse {
     let asked = shared.now();
     let address = shared.settings.load().store;
     let request = shared.adapter.store_request(call);
--- a/crates/entry/src/proxy/changes.rs
+++ b/crates/entry/src/proxy/changes.rs
@@ -88,7 +88,7 @@
 
 /// Asks a peer for what came after a revision, and for the document if it is newer than
 /// version `have`; none if it cannot tell.
-pub async fn ask(
+pub async fn fetch(
     shared: &Shared,
     client: &Client,
     peer: SocketAddr,
@@ -104,12 +104,12 @@
         _ => SHORT_ANSWER,
     };
     let path = format!("{CHANGES}?{AFTER}={after}&{HAVE}={have}");
-    ask_path(shared, client, peer, "peer", &path, timeouts).await
+    fetch_path(shared, client, peer, "peer", &path, timeouts).await
 }
 
 /// Asks a peer for the document if it is newer than version `have`, with at most so many
 /// bytes of what is lacking.
-pub async fn ask_document(
+pub async fn fetch_document(
     shared: &Shared,
     client: &Client,
     peer: SocketAddr,
@@ -122,10 +122,10 @@
         call::TRANSFER
     };
     let path = format!("{DOCUMENT}?{HAVE}={have}&{MOST}={most}");
-    ask_path(shared, client, peer, "peer-document", &path, timeouts).await
+    fetch_path(shared, client, peer, "peer-document", &path, timeouts).await
 }
 
-async fn ask_path<M: Message + Default>(
+async fn fetch_path<M: Message + Default>(
     shared: &Shared,
     client: &Client,
     peer: SocketAddr,
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -93,7 +93,7 @@
             Step::Renew => Call::Renew { key, version },
             Step::Read | Step::Rest(_) => Call::Get { key },
         };
-        let page = call::ask_with(&self.shared, &self.store, &call, TRANSFER).await;
+        let page = call::send_with(&self.shared, &self.store, &call, TRANSFER).await;
         match page.answer {
             Answer::Same => renew(&self.shared, sent),
             // No entry: the operator has written no document yet.
@@ -131,7 +131,7 @@
         let have = self.shared.document().version();
         // An asker's connections all lead to one address, and peers are asked here once in a while.
         let client = Client::default();
-        let told = changes::ask_document(&self.shared, &client, peer, have, most).await;
+        let told = changes::fetch_document(&self.shared, &client, peer, have, most).await;
         told.is_some_and(|notice| hear(&self.shared, asked, notice))
     }
 }
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -125,7 +125,7 @@
         let candidate = now.since(self.began) >= SETTLED;
         let mut call = self.lease.tick(now, candidate);
         while let Some(next) = call {
-            let answer = call::ask(&self.shared, &self.store, &next, WRITE).await.answer;
+            let answer = call::send(&self.shared, &self.store, &next, WRITE).await.answer;
             call = self.lease.answer(self.shared.now(), &answer);
         }
         self.tell();
@@ -135,7 +135,7 @@
         let now = self.shared.now();
         self.lease.stop(now);
         while let Some(call) = self.lease.tick(self.shared.now(), false) {
-            let answer = call::ask(&self.shared, &self.store, &call, WRITE).await.answer;
+            let answer = call::send(&self.shared, &self.store, &call, WRITE).await.answer;
             self.lease.answer(self.shared.now(), &answer);
         }
         self.tell();
@@ -167,7 +167,7 @@
         while let Some(next) = step {
             step = match next {
                 report::Step::Store(call) => {
-                    let answer = call::ask(&self.shared, &self.store, &call, WRITE).await.answer;
+                    let answer = call::send(&self.shared, &self.store, &call, WRITE).await.answer;
                     self.reporter.answer(self.shared.now(), &answer)
                 }
                 report::Step::Report(grant, window) => {
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -181,7 +181,7 @@
                 after,
                 limit: LIMIT,
             };
-            let page = call::ask(&self.shared, &self.store, &call, WRITE).await;
+            let page = call::send(&self.shared, &self.store, &call, WRITE).await;
             let Answer::Found(entries) = page.answer else {
                 return;
             };
@@ -213,7 +213,7 @@
                 };
                 let expect = *version;
                 let call = Call::Remove { key, expect };
-                let answer = call::ask(&self.shared, &self.store, &call, WRITE).await.answer;
+                let answer = call::send(&self.shared, &self.store, &call, WRITE).await.answer;
                 tracing::info!(event = "host-forgotten", host = record.host, incarnation = %record.incarnation, answer = ?answer);
             }
         }
@@ -247,7 +247,7 @@
         expect: written.version,
         value,
     };
-    match call::ask(shared, store, &call, WRITE).await.answer {
+    match call::send(shared, store, &call, WRITE).await.answer {
         Answer::Written(version) => {
             written.version = version;
             true
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -150,7 +150,7 @@
         let asked = self.shared.now();
         let shared = self.shared.clone();
         let have = shared.document().version();
-        let mut told = changes::ask(&shared, self.connection(peer), peer, after, have).await?;
+        let mut told = changes::fetch(&shared, self.connection(peer), peer, after, have).await?;
         if let Some(notice) = told.document.take() {
             document::hear(&shared, asked, notice);
         }
@@ -193,7 +193,7 @@
                 },
                 limit: LIMIT,
             };
-            let page = call::ask(&self.shared, &self.store, &call, PAGE).await;
+            let page = call::send(&self.shared, &self.store, &call, PAGE).await;
             let Answer::Found(mut entries) = page.answer else {
                 return false;
             };
@@ -291,7 +291,7 @@
         let now = shared.now();
         let key = NOTHING.to_string();
         if !shared.state().store_answered.covers(now, STORE_ASKED) {
-            call::ask(&shared, &store, &Call::Peek { key }, PAGE).await;
+            call::send(&shared, &store, &Call::Peek { key }, PAGE).await;
         }
         tokio::time::sleep(STORE_ASKED / 4).await;
     }
