--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -3,7 +3,7 @@
 //! Once a byte of a request may have left, only the runner's own statement that
 //! it did not run allows a second runner or a refusal that says "not run".
 //! Everything else may have run: a reset, a closed connection, silence.
-//! Plain requests and streams go from runner to runner as [`plain`](super::plain)
+//! Plain requests and streams go from runner to runner as [`buffered`](super::buffered)
 //! and [`stream`](super::stream) say.
 
 use std::sync::Arc;
