--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -136,8 +136,13 @@
     let job = Arc::new(job);
     let mut tries = Tries::default();
     let result = match job.is_stream() {
-        true => forwarder.clone().stream(job.clone(), &mut tries, flight).await,
-        false => forwarder.plain(&job, &mut tries).await,
+        true => {
+            forwarder
+                .clone()
+                .forward_stream(job.clone(), &mut tries, flight)
+                .await
+        }
+        false => forwarder.forward_buffered(&job, &mut tries).await,
     };
     let now = shared.now();
     let after_ms = now.since(job.arrived).as_millis() as u64;
--- a/crates/entry/src/proxy/buffered.rs
+++ b/crates/entry/src/proxy/buffered.rs
@@ -11,7 +11,7 @@
 use super::slot::Slot;
 use crate::upstream::attempts::{self, Attempts};
 
-struct Plain<'a> {
+struct Buffered<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
     tries: &'a mut Tries,
@@ -19,7 +19,7 @@
     failure: Option<Response<Body>>,
 }
 
-impl Attempts for Plain<'_> {
+impl Attempts for Buffered<'_> {
     type Place = Slot;
     type Answer = Response<Body>;
     type End = Refusal;
@@ -53,14 +53,14 @@
     /// # Errors
     ///
     /// The refusal that the caller gets.
-    pub async fn plain(&self, job: &Job, tries: &mut Tries) -> Result<Response<Body>, Refusal> {
-        let mut plain = Plain {
+    pub async fn forward_buffered(&self, job: &Job, tries: &mut Tries) -> Result<Response<Body>, Refusal> {
+        let mut buffered = Buffered {
             forwarder: self,
             job,
             tries,
             failure: None,
         };
-        let result = attempts::run(&mut plain).await;
-        result.or_else(|refusal| plain.failure.take().ok_or(refusal))
+        let result = attempts::run(&mut buffered).await;
+        result.or_else(|refusal| buffered.failure.take().ok_or(refusal))
     }
 }
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -148,7 +148,7 @@
     /// # Errors
     ///
     /// The refusal that the caller gets, if no runner came to its first event.
-    pub async fn stream(
+    pub async fn forward_stream(
         self: Arc<Self>,
         job: Arc<Job>,
         tries: &mut Tries,
