--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -23,9 +23,9 @@
 use crate::flight::Flight;
 use crate::upstream::attempts::{self, Attempts};
 
-mod run;
+mod segment;
 
-use run::{Piece, Run};
+use segment::{Piece, Run};
 
 /// Tells how a stream ended, also when its caller left.
 struct Closing {
