--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -25,7 +25,7 @@
 
 mod segment;
 
-use segment::{Piece, Run};
+use segment::{Progress, Segment};
 
 /// Tells how a stream ended, also when its caller left.
 struct Closing {
@@ -58,7 +58,7 @@
 /// What a stream begins with.
 enum Begun {
     /// Its first events.
-    Stream(Box<Run>, Events),
+    Stream(Box<Segment>, Events),
     /// A runner's failure, whole.
     Failure(Response<Body>),
 }
@@ -94,15 +94,15 @@
             self.failure = Some(answer);
             return Err(Halt::Failed(Fault::Broken));
         }
-        let mut run = Run::new(opened, None);
-        match run.next(self.job, &self.forwarder.shared).await {
-            Piece::Events(events) => Ok(Begun::Stream(Box::new(run), events)),
-            Piece::End => Ok(Begun::Stream(Box::new(run), Events::default())),
-            Piece::Broken => {
-                run.abandon(self.job);
+        let mut segment = Segment::new(opened, None);
+        match segment.next(self.job, &self.forwarder.shared).await {
+            Progress::Events(events) => Ok(Begun::Stream(Box::new(segment), events)),
+            Progress::End => Ok(Begun::Stream(Box::new(segment), Events::default())),
+            Progress::Broken => {
+                segment.abandon(self.job);
                 Err(Halt::Failed(Fault::Broken))
             }
-            Piece::Over => Err(Halt::Over(Kind::UpstreamTimeout.into())),
+            Progress::Over => Err(Halt::Over(Kind::UpstreamTimeout.into())),
         }
     }
 
@@ -121,18 +121,18 @@
 
 impl Attempts for Resume<'_> {
     type Place = Slot;
-    type Answer = Run;
+    type Answer = Segment;
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
         self.forwarder.place(self.job, self.tries)
     }
 
-    async fn attempt(&mut self, slot: Slot) -> Result<Run, Halt> {
+    async fn attempt(&mut self, slot: Slot) -> Result<Segment, Halt> {
         let after = Some(self.last);
         let opened = self.forwarder.open(self.job, after, slot, self.tries).await?;
         match opened.parts.status.is_success() {
-            true => Ok(Run::new(opened, after)),
+            true => Ok(Segment::new(opened, after)),
             false => Err(Halt::Failed(Fault::Broken)),
         }
     }
@@ -164,12 +164,12 @@
             Ok(begun) => begun,
             Err(refusal) => return begin.failure.ok_or(refusal),
         };
-        let (mut run, events) = match begun {
-            Begun::Stream(run, events) => (*run, events),
+        let (mut segment, events) = match begun {
+            Begun::Stream(segment, events) => (*segment, events),
             Begun::Failure(answer) => return Ok(answer),
         };
-        self.started(&job, &mut run);
-        let parts = run.opened.parts.clone();
+        self.started(&job, &mut segment);
+        let parts = segment.opened.parts.clone();
         let closing = Closing {
             forwarder: self.clone(),
             job,
@@ -179,43 +179,43 @@
             _flight: flight,
         };
         let tries = tries.clone();
-        Ok(answer(&parts, self.body(closing, run, events, tries)))
+        Ok(answer(&parts, self.body(closing, segment, events, tries)))
     }
 
-    fn started(&self, job: &Job, run: &mut Run) {
-        run.opened.slot.read();
+    fn started(&self, job: &Job, segment: &mut Segment) {
+        segment.opened.slot.read();
         self.shared.count_start(job.admission.customer.as_deref());
         let waited = self.shared.now().since(job.arrived);
         self.shared.metrics.first_after(&job.admission.route.name, waited);
     }
 
-    fn body(self: Arc<Self>, closing: Closing, run: Run, first: Events, mut tries: Tries) -> Body {
+    fn body(self: Arc<Self>, closing: Closing, segment: Segment, first: Events, mut tries: Tries) -> Body {
         let pieces = stream! {
             // Whole, so that it is dropped (and logged) with the stream.
             let mut closing = closing;
             let job = closing.job.clone();
-            let mut run = run;
+            let mut segment = segment;
             closing.events += first.ids.len();
             if !first.bytes.is_empty() {
                 yield Ok(Frame::data(first.bytes));
             }
-            run.rest(self.shared.now());
+            segment.rest(self.shared.now());
             loop {
-                match run.next(&job, &self.shared).await {
-                    Piece::Events(events) => {
+                match segment.next(&job, &self.shared).await {
+                    Progress::Events(events) => {
                         closing.events += events.ids.len();
-                        run.tell(self.shared.now(), &events);
+                        segment.tell(self.shared.now(), &events);
                         yield Ok(Frame::data(events.bytes));
                     }
-                    Piece::End => {
+                    Progress::End => {
                         closing.outcome = "ok";
-                        run.finish(&self);
+                        segment.finish(&self);
                         return;
                     }
-                    Piece::Broken => {
-                        let last = run.abandon(&job);
+                    Progress::Broken => {
+                        let last = segment.abandon(&job);
                         match self.resume(&job, last, &mut tries).await {
-                            Some(next) => run = next,
+                            Some(next) => segment = next,
                             None => {
                                 closing.outcome = "broken";
                                 yield Err(Cut);
@@ -224,7 +224,7 @@
                         }
                         closing.runs += 1;
                     }
-                    Piece::Over => {
+                    Progress::Over => {
                         closing.outcome = "over";
                         yield Err(Cut);
                         return;
@@ -236,7 +236,7 @@
     }
 
     /// Another runner that goes on after `last`; none if the stream may not go on.
-    async fn resume(&self, job: &Job, last: Option<u64>, tries: &mut Tries) -> Option<Run> {
+    async fn resume(&self, job: &Job, last: Option<u64>, tries: &mut Tries) -> Option<Segment> {
         let last = last?;
         if self.fail(job, tries, Fault::Broken).is_some() {
             return None;
@@ -247,15 +247,15 @@
             tries,
             last,
         };
-        let mut run = attempts::run(&mut resume).await.ok()?;
+        let mut segment = attempts::run(&mut resume).await.ok()?;
         tracing::info!(
             event = "stream-resumed",
             request = job.head.id,
-            runner = run.opened.slot.id,
+            runner = segment.opened.slot.id,
             last
         );
-        run.opened.slot.read_again();
-        Some(run)
+        segment.opened.slot.read_again();
+        Some(segment)
     }
 }
 
--- a/crates/entry/src/proxy/stream/segment.rs
+++ b/crates/entry/src/proxy/stream/segment.rs
@@ -22,7 +22,7 @@
 const FOREVER: Duration = Duration::from_secs(24 * 3_600);
 
 /// A runner's part in a stream.
-pub struct Run {
+pub struct Segment {
     /// The runner's answer.
     pub opened: Opened,
     /// Id of the last event that came.
@@ -34,7 +34,7 @@
 }
 
 /// What comes of waiting for a run.
-pub enum Piece {
+pub enum Progress {
     /// Whole events.
     Events(Events),
     /// The stream is whole.
@@ -45,7 +45,7 @@
     Over,
 }
 
-impl Run {
+impl Segment {
     /// A run whose answer has begun; `last` is the event after which it goes on.
     pub fn new(opened: Opened, last: Option<u64>) -> Self {
         let headers = &opened.parts.headers;
@@ -68,15 +68,15 @@
     ///
     /// A host that is told to stop waits for all: a stream that it moved could find no other
     /// runner, and a stop must cut nobody whose runner is only slow.
-    pub async fn next(&mut self, job: &Job, shared: &Shared) -> Piece {
+    pub async fn next(&mut self, job: &Job, shared: &Shared) -> Progress {
         loop {
             let left = job.left(shared.now()).unwrap_or(FOREVER);
             let patience = self.patience(job).unwrap_or(FOREVER);
             match timeout(left.min(patience), self.events()).await {
                 Ok(piece) => return piece,
-                Err(_) if patience >= left => return Piece::Over,
+                Err(_) if patience >= left => return Progress::Over,
                 Err(_) if shared.is_stopping() => {}
-                Err(_) => return Piece::Broken,
+                Err(_) => return Progress::Broken,
             }
         }
     }
@@ -89,35 +89,35 @@
     }
 
     /// The next whole events.
-    async fn events(&mut self) -> Piece {
+    async fn events(&mut self) -> Progress {
         loop {
             let Some(frame) = self.opened.body.frame().await else {
                 return self.end();
             };
             let Ok(frame) = frame else {
-                return Piece::Broken;
+                return Progress::Broken;
             };
             let Some(bytes) = frame.data_ref() else {
                 continue;
             };
             let Some(events) = self.splitter.push(bytes) else {
-                return Piece::Broken;
+                return Progress::Broken;
             };
             if events.bytes.is_empty() {
                 continue;
             }
             if !self.follows(&events.ids) {
-                return Piece::Broken;
+                return Progress::Broken;
             }
-            return Piece::Events(events);
+            return Progress::Events(events);
         }
     }
 
     /// Without a length or chunks only a whole event tells the end from a break.
-    fn end(&self) -> Piece {
+    fn end(&self) -> Progress {
         match self.splitter.is_empty() {
-            true => Piece::End,
-            false => Piece::Broken,
+            true => Progress::End,
+            false => Progress::Broken,
         }
     }
 
