--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -20,7 +20,7 @@
 use tokio::time::timeout;
 
 use super::Shared;
-use super::dialect::Head;
+use super::adapter::Metadata;
 use super::forward::Forwarder;
 use super::job::{Job, Tries, ask};
 use super::reply::{self, Body, come_back};
@@ -113,8 +113,8 @@
     let flight = forwarder.shared.flight();
     let shared = forwarder.shared.clone();
     let (parts, body) = request.into_parts();
-    let head = shared.dialect.head(&parts);
-    let deadline = head.as_ref().ok().and_then(|head| head.deadline);
+    let head = shared.adapter.parse_request(&parts);
+    let deadline = head.as_ref().ok().and_then(|head| head.timeout);
     let body = read(body, limits(&shared).body, deadline.unwrap_or(BODY)).await;
     let head = head.map_err(|kind| refused(&shared, None, Refusal::new(kind)))?;
     let body = body.map_err(|kind| refused(&shared, Some(&head), Refusal::new(kind)))?;
@@ -136,8 +136,13 @@
     let job = Arc::new(job);
     let mut tries = Tries::default();
     let result = match job.is_stream() {
-        true => forwarder.clone().stream(job.clone(), &mut tries, flight).await,
-        false => forwarder.plain(&job, &mut tries).await,
+        true => {
+            forwarder
+                .clone()
+                .forward_stream(job.clone(), &mut tries, flight)
+                .await
+        }
+        false => forwarder.forward_buffered(&job, &mut tries).await,
     };
     let now = shared.now();
     let after_ms = now.since(job.arrived).as_millis() as u64;
@@ -172,21 +177,21 @@
     result
 }
 
-fn admit(shared: &Shared, parts: &request::Parts, head: &Head) -> Result<Admission, Refusal> {
+fn admit(shared: &Shared, parts: &request::Parts, head: &Metadata) -> Result<Admission, Refusal> {
     let now = shared.now();
     let mut state = shared.state();
     let admission = state
         .admit(now, &ask(parts, head))
         .map_err(|refusal| match refusal.kind {
-            Kind::Stale => refusal.after(come_back(head.deadline, rand::random())),
+            Kind::Stale => refusal.after(come_back(head.timeout, rand::random())),
             _ => refusal,
         })?;
     state.budgets.count(now, &admission.service);
     Ok(admission)
 }
 
-fn until(arrived: Moment, head: &Head, admission: &Admission) -> Option<Moment> {
-    let spans = [head.deadline, admission.route.timeout];
+fn until(arrived: Moment, head: &Metadata, admission: &Admission) -> Option<Moment> {
+    let spans = [head.timeout, admission.route.timeout];
     let span = spans.into_iter().flatten().min()?;
     Some(arrived + span)
 }
@@ -208,7 +213,7 @@
     }
 }
 
-fn refused(shared: &Shared, head: Option<&Head>, refusal: Refusal) -> Refusal {
+fn refused(shared: &Shared, head: Option<&Metadata>, refusal: Refusal) -> Refusal {
     let now = shared.now();
     let state = shared.state();
     tracing::info!(
