--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -11,7 +11,7 @@
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::peer::Card;
-use radishstair_core::promise::Secret;
+use radishstair_core::reservation::Secret;
 use tokio::sync::oneshot;
 
 use crate::clock::Clock;
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -10,7 +10,7 @@
 use radishstair_core::id::Incarnation;
 use radishstair_core::kernel::{Event, Kernel, Setup};
 use radishstair_core::member::Me;
-use radishstair_core::promise::Secret;
+use radishstair_core::reservation::Secret;
 use radishstair_wire::platform::Client;
 use tokio::runtime::Runtime;
 use tokio::sync::{mpsc, watch};
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -9,7 +9,7 @@
 use radishstair_core::dispatch::{Decision, Dispatch, Outcome, Policy, Seek};
 use radishstair_core::error::Kind;
 use radishstair_core::id::{Call, Incarnation};
-use radishstair_core::promise::Secret;
+use radishstair_core::reservation::Secret;
 use radishstair_core::runner::Listed;
 use radishstair_core::time::Moment;
 use radishstair_load::measure::Measure;
