--- a/crates/core/src/proxy/report.rs
+++ b/crates/core/src/proxy/report.rs
@@ -10,9 +10,9 @@
 
 use super::tally::{Ledger, Window};
 use crate::lease::Grant;
-use crate::seal::{Outcome, Writer};
 use crate::store::{Answer, Call, Entry};
 use crate::time::Moment;
+use crate::write_once::{Outcome, Writer};
 
 /// Store prefix of sealed windows.
 pub const SEALED: &str = "radishstair/sealed/";
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -10,9 +10,9 @@
 use super::gather::add_part;
 use crate::lease::Grant;
 use crate::peer::{Bundle, Collect, Cursor, Part, Row, Span};
-use crate::seal::{Outcome, Writer};
 use crate::store::{Answer, Call};
 use crate::time::Moment;
+use crate::write_once::{Outcome, Writer};
 
 /// Store prefix of sealed windows.
 pub const SEALED: &str = "usage/sealed/";
--- a/tests/suite/seal.rs
+++ b/tests/suite/seal.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use radishstair_core::seal::{Outcome, Writer};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::target::Targets;
 use radishstair_core::time::Moment;
+use radishstair_core::write_once::{Outcome, Writer};
 
 fn at(ms: u64) -> Moment {
     Moment::at_ms(ms)
