--- a/crates/entry/src/front/call/plain.rs
+++ b/crates/entry/src/front/call/plain.rs
@@ -4,7 +4,7 @@
 
 use radishstair_core::dispatch::Start;
 use radishstair_core::error::{Kind, Refusal, Repeat};
-use radishstair_core::repeat::{Fault, Rule, Tries};
+use radishstair_core::retry::{Fault, Rule, Tries};
 use radishstair_core::runner;
 
 use super::{Answered, Caller, Job};
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -12,7 +12,7 @@
 use radishstair_core::error::{Kind, Ran, Refusal};
 use radishstair_core::id::Call;
 use radishstair_core::kernel::{Event, Reply};
-use radishstair_core::repeat::{Fault, Rule, Tries};
+use radishstair_core::retry::{Fault, Rule, Tries};
 use radishstair_core::runner;
 use radishstair_core::usage::Item;
 use serde_json::Value;
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -17,7 +17,7 @@
 use hyper::{Request, StatusCode};
 use radishstair_core::error::{Kind, Refusal};
 use radishstair_core::proxy::fleet::{Key, Sign, Silence};
-use radishstair_core::repeat::Fault;
+use radishstair_core::retry::Fault;
 use radishstair_core::time::Moment;
 use tokio::time::timeout;
 
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -9,7 +9,7 @@
 use radishstair_core::proxy::place::Demand;
 use radishstair_core::proxy::route::Mode;
 use radishstair_core::proxy::{Admission, Ask};
-use radishstair_core::repeat::{self, Rule};
+use radishstair_core::retry::{self, Rule};
 use radishstair_core::time::Moment;
 
 use super::dialect::Head;
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tries {
     /// Runners, and whether it may have run.
-    pub runs: repeat::Tries<Key>,
+    pub runs: retry::Tries<Key>,
     /// Id of the runner that was chosen last.
     pub last: Option<String>,
     /// Runners that this one was chosen among.
--- a/crates/entry/src/proxy/plain.rs
+++ b/crates/entry/src/proxy/plain.rs
@@ -3,7 +3,7 @@
 use hyper::Response;
 use radishstair_core::error::Refusal;
 use radishstair_core::proxy::route::Mode;
-use radishstair_core::repeat::Fault;
+use radishstair_core::retry::Fault;
 
 use super::forward::{Forwarder, Halt};
 use super::job::{Job, Tries};
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -13,7 +13,7 @@
 use hyper::body::Frame;
 use hyper::http::response;
 use radishstair_core::error::{Kind, Refusal};
-use radishstair_core::repeat::Fault;
+use radishstair_core::retry::Fault;
 
 use super::events::Events;
 use super::forward::{Forwarder, Halt};
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -15,7 +15,7 @@
 use hyper::header::{CONTENT_TYPE, HOST, HeaderValue};
 use hyper::{Request, Response};
 use radishstair_core::dispatch::Start;
-use radishstair_core::repeat::Fault;
+use radishstair_core::retry::Fault;
 use radishstair_core::time::Moment;
 use radishstair_wire::http;
 
--- a/crates/entry/src/upstream/attempts.rs
+++ b/crates/entry/src/upstream/attempts.rs
@@ -2,9 +2,9 @@
 //!
 //! Both fronts send through [`run`]. What differs between them (how a runner is found,
 //! what is sent, what counts as an answer) is an [`Attempts`]; whether one more runner may
-//! follow is decided in [`radishstair_core::repeat`].
+//! follow is decided in [`radishstair_core::retry`].
 
-use radishstair_core::repeat::Fault;
+use radishstair_core::retry::Fault;
 
 /// Why an attempt brought no answer.
 #[derive(Clone, Debug)]
--- a/tests/suite/repeat.rs
+++ b/tests/suite/repeat.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{TestResult, quickcheck};
 use radishstair_core::error::{Kind, Ran, Refusal};
-use radishstair_core::repeat::{Bar, Fault, Rule, Tries};
+use radishstair_core::retry::{Bar, Fault, Rule, Tries};
 
 const POSTING: Rule = Rule {
     once: true,
