--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -3,7 +3,7 @@
 //! The claim is one key in the store, created by compare-and-swap before any
 //! byte goes upstream, and never changed. A lost answer is settled by reading
 //! back the nonce. Whoever finds another's claim passes the call on to the
-//! holder, which keeps the record in its [`once::Ledger`](crate::once).
+//! holder, which keeps the record in its [`Records`].
 //!
 //! Time-stamped keys (UUID version 7) are refused past a horizon, so their
 //! claims can be swept without opening a key again; the bound on stamps that
@@ -13,9 +13,9 @@
 use sha2::{Digest, Sha256};
 use std::time::Duration;
 
+use crate::at_most_once::{Claim, Records, Verdict};
 use crate::error::{Kind, Refusal};
 use crate::id::{Call, Incarnation};
-use crate::once::{Claim, Records, Verdict};
 use crate::store::{Answer, Call as Ask, Entry, Token};
 use crate::time::Moment;
 
--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -7,13 +7,13 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
+use crate::at_most_once::{End, Key, Verdict};
 use crate::config::view::View;
 use crate::dispatch::{Outcome, Policy, Seek, Start};
 use crate::error::Refusal;
 use crate::id::{Call, Incarnation};
 use crate::lease::Grant;
 use crate::member::Me;
-use crate::once::{End, Key, Verdict};
 use crate::order::Order;
 use crate::peer::{Card, Collect, Collected, Heartbeat, Pull, Pulled, ZoneSummary};
 use crate::runner::Listed;
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -1,10 +1,10 @@
 //! At-most-once calls as a service of the kernel.
 
 use super::{Action, CALLS, Event, Outbox, Reply, Status};
+use crate::at_most_once::{Key, Records, Tombstone, Verdict};
 use crate::claim::{self, Registry};
 use crate::error::{Kind, Refusal};
 use crate::id::{Call, Incarnation};
-use crate::once::{Key, Records, Tombstone, Verdict};
 use crate::peer::Heartbeat;
 use crate::store::{self, Answer, Token};
 use crate::ticket::{self, Secret, Ticket};
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,6 +8,7 @@
 #[macro_use]
 mod macros;
 
+pub mod at_most_once;
 pub mod claim;
 pub mod config;
 pub mod dispatch;
@@ -16,7 +17,6 @@
 pub mod kernel;
 pub mod lease;
 pub mod member;
-pub mod once;
 pub mod order;
 pub mod peer;
 pub mod proxy;
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
+use radishstair_core::at_most_once::{End, Verdict};
 use radishstair_core::id::Call;
 use radishstair_core::kernel::{Action, Event, Kernel, Reply};
-use radishstair_core::once::{End, Verdict};
 use radishstair_core::store;
 use tokio::sync::{mpsc, oneshot};
 
--- a/crates/entry/src/front/call/answer.rs
+++ b/crates/entry/src/front/call/answer.rs
@@ -4,8 +4,8 @@
 use http_body_util::BodyExt;
 use hyper::Response;
 use hyper::header::HeaderValue;
+use radishstair_core::at_most_once::Answer;
 use radishstair_core::error::{Kind, Ran, Refusal};
-use radishstair_core::once::Answer;
 use radishstair_core::peer::Forwarded;
 use radishstair_wire::http;
 
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -11,12 +11,12 @@
 
 use anyhow::Result;
 use argh::FromArgs;
+use radishstair_core::at_most_once::{Answer, End, Records, Verdict};
 use radishstair_core::config::change::{self, Entry, Op, Section};
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Customer, Document, Key, Labels, check};
 use radishstair_core::dispatch::{Dispatch, Outcome, Policy, Seek};
 use radishstair_core::id::{Call, Incarnation};
-use radishstair_core::once::{Answer, End, Records, Verdict};
 use radishstair_core::runner::Listed;
 use radishstair_core::time::Moment;
 use radishstair_core::usage::{Item, Meter};
--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -9,10 +9,10 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+use radishstair_core::at_most_once::{Answer, End, Records, Verdict};
 use radishstair_core::error::Kind;
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
-use radishstair_core::once::{Answer, End, Records, Verdict};
 use radishstair_core::time::Moment;
 use rand::RngExt;
 
--- a/tests/suite/calls/postings.rs
+++ b/tests/suite/calls/postings.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
+use radishstair_core::at_most_once::{Answer, End, Key, Verdict};
 use radishstair_core::error::{Kind, Ran, Refusal, Repeat};
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
-use radishstair_core::once::{Answer, End, Key, Verdict};
 use radishstair_core::ticket::Ticket;
 use rand::RngExt;
 use todc_utils::linearizability::WGLChecker;
