--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -19,13 +19,13 @@
 use crate::runner::{Key, Runners};
 use crate::time::Moment;
 
-pub mod choose;
-pub mod lane;
-mod wait;
+mod admission;
+pub mod placement;
+pub mod queue;
 
-use lane::{Lane, Waiting};
+use queue::{Lane, Waiting};
 
-pub use choose::Policy;
+pub use placement::Policy;
 
 /// Half-life of the counts behind floors and rates.
 const HALF_LIFE: Duration = Duration::from_secs(10);
@@ -370,7 +370,7 @@
 
     fn start_from(&mut self, now: Moment, at: usize) -> Option<Start> {
         let (protected, priority) = (self.tier(at).protected, self.tier(at).priority);
-        let chooser = choose::Chooser {
+        let chooser = placement::Chooser {
             now,
             zone: &self.zone,
             policy: self.policy,
@@ -399,12 +399,12 @@
     }
 
     /// Who else uses each pool of a lane, by the selectors.
-    fn pool_rivals(&self, at: usize) -> Arc<[(String, choose::Rivals)]> {
+    fn pool_rivals(&self, at: usize) -> Arc<[(String, placement::Rivals)]> {
         let priority = self.tier(at).priority;
         let rivals = |pool: &String| {
             let found = self.users.binary_search_by(|(have, _)| have.cmp(pool));
             let users = found.map_or(&[][..], |at| &self.users[at].1);
-            choose::Rivals {
+            placement::Rivals {
                 better: users.iter().any(|other| *other < priority),
                 worse: users.iter().any(|other| *other > priority),
             }
--- a/crates/core/src/dispatch/lane.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::choose::Rivals;
+use super::placement::Rivals;
 use super::{Policy, Seek};
 use crate::id::Call;
 use crate::runner::Key;
