--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -36,7 +36,7 @@
 
 plain! {
     /// A call that seeks a runner.
-    pub struct Seek {
+    pub struct Submission {
         /// The call.
         pub call: Call,
         /// Tier by name, so that it outlives a change of the view.
@@ -201,7 +201,7 @@
     }
 
     /// A call seeks a runner.
-    pub fn seek(&mut self, now: Moment, seek: Seek) -> Vec<Decision> {
+    pub fn seek(&mut self, now: Moment, seek: Submission) -> Vec<Decision> {
         self.decay(now);
         let call = seek.call;
         let Some(at) = self.lane(&seek) else {
@@ -231,7 +231,7 @@
 
     /// The lane of a call: its tier and the pools that may run it. Calls that
     /// need other runners never stand before it.
-    fn lane(&mut self, seek: &Seek) -> Option<usize> {
+    fn lane(&mut self, seek: &Submission) -> Option<usize> {
         let tier = self.view.document.tiers.position(&seek.tier)?;
         let place = (seek.tier.as_str(), &seek.pools[..]);
         Some(
@@ -252,7 +252,13 @@
     }
 
     /// A call on a runner ended.
-    pub fn release(&mut self, now: Moment, seek: &Seek, runner: Key, outcome: &Outcome) -> Vec<Decision> {
+    pub fn release(
+        &mut self,
+        now: Moment,
+        seek: &Submission,
+        runner: Key,
+        outcome: &Outcome,
+    ) -> Vec<Decision> {
         self.decay(now);
         self.runners.finish(runner);
         self.running = self.running.saturating_sub(1);
@@ -413,7 +419,7 @@
         pools.iter().map(|pool| (pool.clone(), rivals(pool))).collect()
     }
 
-    fn listed(&self, seek: &Seek) -> bool {
+    fn listed(&self, seek: &Submission) -> bool {
         let keys = |pool: &String| self.runners.pool(pool).iter().any(|(_, keys)| !keys.is_empty());
         seek.pools.iter().any(keys)
     }
--- a/crates/core/src/dispatch/admission.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt;
 
-use super::{Dispatch, Seek};
+use super::{Dispatch, Submission};
 use crate::error::{Kind, Refusal};
 use crate::time::Moment;
 
@@ -26,7 +26,7 @@
 impl Dispatch {
     /// Refuses a call that would miss its target, by the rate at which
     /// its lane and those before it have been starting.
-    pub(super) fn refuse_early(&mut self, now: Moment, at: usize, seek: &Seek) -> Option<Refusal> {
+    pub(super) fn refuse_early(&mut self, now: Moment, at: usize, seek: &Submission) -> Option<Refusal> {
         if seek.promised && self.policy.promises() {
             return None;
         }
--- a/crates/core/src/dispatch/placement.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -11,7 +11,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use super::Seek;
+use super::Submission;
 use crate::id;
 use crate::runner::{Key, Runner, Runners};
 use crate::time::Moment;
@@ -191,7 +191,7 @@
 
 impl Chooser<'_> {
     /// A runner with room, nearest zone first.
-    pub fn choose(&self, runners: &Runners, rng: &mut ChaCha8Rng, seek: &Seek) -> Option<Key> {
+    pub fn choose(&self, runners: &Runners, rng: &mut ChaCha8Rng, seek: &Submission) -> Option<Key> {
         let pools = || seek.pools.iter().flat_map(|pool| runners.pool(pool));
         let near = pools().filter(|(zone, _)| zone == self.zone);
         let far = pools().filter(|(zone, _)| zone != self.zone);
@@ -213,7 +213,7 @@
         &self,
         runners: &Runners,
         rng: &mut ChaCha8Rng,
-        seek: &Seek,
+        seek: &Submission,
         groups: &[&[Key]],
         reach: Reach,
     ) -> Option<Key> {
@@ -267,7 +267,7 @@
     fn affine<I: Iterator<Item = Key>>(
         &self,
         runners: &Runners,
-        seek: &Seek,
+        seek: &Submission,
         all: impl Fn() -> I,
         best: Key,
     ) -> Key {
@@ -294,7 +294,7 @@
     /// Runners to leave out: those that failed the call before, as long as
     /// there is any other. Where there is none the call would else wait for
     /// nothing until its patience ends.
-    fn avoid<'a>(&self, runners: &Runners, seek: &'a Seek) -> &'a [Key] {
+    fn avoid<'a>(&self, runners: &Runners, seek: &'a Submission) -> &'a [Key] {
         let mut all = seek
             .pools
             .iter()
--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use super::placement::Rivals;
-use super::{Policy, Seek};
+use super::{Policy, Submission};
 use crate::id::Call;
 use crate::runner::Key;
 use crate::time::Moment;
@@ -25,7 +25,7 @@
     /// A call that waits.
     pub struct Waiting {
         /// What it seeks.
-        pub seek: Seek,
+        pub seek: Submission,
         /// Since when.
         pub since: Moment,
         /// Late if it starts past this.
@@ -70,7 +70,7 @@
 
 impl Lane {
     /// An empty lane for calls like one.
-    pub fn new(seek: &Seek, tier: usize) -> Self {
+    pub fn new(seek: &Submission, tier: usize) -> Self {
         Self {
             name: seek.tier.clone(),
             tier: Some(tier),
@@ -199,7 +199,7 @@
     pub fn take(
         &mut self,
         policy: Policy,
-        mut choose: impl FnMut(&Seek) -> Option<Key>,
+        mut choose: impl FnMut(&Submission) -> Option<Key>,
     ) -> Option<(Waiting, Key)> {
         if let Some(taken) = self.take_back(&mut choose) {
             return Some(taken);
@@ -231,7 +231,7 @@
     }
 
     /// Takes a call that came back as promised.
-    fn take_back(&mut self, choose: &mut impl FnMut(&Seek) -> Option<Key>) -> Option<(Waiting, Key)> {
+    fn take_back(&mut self, choose: &mut impl FnMut(&Submission) -> Option<Key>) -> Option<(Waiting, Key)> {
         let runner = choose(&self.back.front()?.seek)?;
         let item = self.back.pop_front()?;
         self.len -= 1;
@@ -244,7 +244,7 @@
 
     /// Takes the call that has been late for the longest; nothing that can be
     /// in time waits.
-    fn take_late(&mut self, mut choose: impl FnMut(&Seek) -> Option<Key>) -> Option<(Waiting, Key)> {
+    fn take_late(&mut self, mut choose: impl FnMut(&Submission) -> Option<Key>) -> Option<(Waiting, Key)> {
         let late = |at: &usize| self.accounts[*at].late.front().map(|head| head.since);
         let at = (0..self.accounts.len())
             .filter(|at| late(at).is_some())
@@ -274,7 +274,7 @@
     }
 
     /// Corrects what a call was expected to cost, and learns its length.
-    pub fn settle(&mut self, seek: &Seek, tokens: u32, whole: bool) {
+    pub fn settle(&mut self, seek: &Submission, tokens: u32, whole: bool) {
         let expected = self.expected(seek);
         let at = self.account(&seek.customer);
         self.accounts[at].served += f64::from(tokens) - expected;
@@ -339,7 +339,7 @@
     }
 
     /// Takes out the calls for which `leaves` holds.
-    pub fn drain_if(&mut self, leaves: impl Fn(&Seek) -> bool) -> Vec<Waiting> {
+    pub fn drain_if(&mut self, leaves: impl Fn(&Submission) -> bool) -> Vec<Waiting> {
         let (mut out, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.back)
             .into_iter()
             .partition(|item| leaves(&item.seek));
@@ -357,7 +357,7 @@
         out
     }
 
-    fn expected(&self, seek: &Seek) -> f64 {
+    fn expected(&self, seek: &Submission) -> f64 {
         let most = f64::from(seek.tokens);
         let learned = self.lengths.binary_search_by(|(class, _)| class.cmp(&seek.class));
         learned.map_or(most, |at| self.lengths[at].1.min(most))
--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -9,7 +9,7 @@
 
 use crate::at_most_once::{End, Key, Verdict};
 use crate::config::view::View;
-use crate::dispatch::{Outcome, Policy, Seek, Start};
+use crate::dispatch::{Outcome, Policy, Start, Submission};
 use crate::error::Refusal;
 use crate::id::{Call, Incarnation};
 use crate::lease::Grant;
@@ -82,7 +82,7 @@
         /// The owner of a call cannot be reached.
         Away { call: Call, owner: Incarnation, key: Key },
         /// A call seeks a runner.
-        Seek(Seek),
+        Seek(Submission),
         /// A call on a runner ended.
         Release { call: Call, outcome: Outcome },
         /// A waiting call's caller went away.
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -5,7 +5,7 @@
 use prost::Message;
 
 use super::{Event, MEMBER, Outbox, Reply, Status};
-use crate::dispatch::{Decision, Dispatch, Outcome, Policy, Seek};
+use crate::dispatch::{Decision, Dispatch, Outcome, Policy, Submission};
 use crate::id::{Call, Incarnation};
 use crate::peer::{Demand, Heartbeat, Shares, Waiting, ZoneSummary};
 use crate::runner::Key;
@@ -32,8 +32,8 @@
 pub struct Service {
     inner: Dispatch,
     zone: String,
-    seeking: Vec<(Call, Seek)>,
-    running: Vec<(Call, Seek, Key)>,
+    seeking: Vec<(Call, Submission)>,
+    running: Vec<(Call, Submission, Key)>,
     /// Sorted by mate.
     queued: Vec<Queued>,
     shares: Option<Shares>,
@@ -167,12 +167,12 @@
         self.inner.set_waiting_mates(pools);
     }
 
-    fn take_seeking(&mut self, call: Call) -> Option<Seek> {
+    fn take_seeking(&mut self, call: Call) -> Option<Submission> {
         let at = self.seeking.binary_search_by(|(have, _)| have.cmp(&call)).ok()?;
         Some(self.seeking.remove(at).1)
     }
 
-    fn take_running(&mut self, call: Call) -> Option<(Call, Seek, Key)> {
+    fn take_running(&mut self, call: Call) -> Option<(Call, Submission, Key)> {
         let at = self.running.binary_search_by(|(have, ..)| have.cmp(&call)).ok()?;
         Some(self.running.remove(at))
     }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -13,7 +13,7 @@
 use radishstair_core::claim;
 use radishstair_core::config::Mode;
 use radishstair_core::config::view::{Route, View};
-use radishstair_core::dispatch::{Outcome, Seek, Start};
+use radishstair_core::dispatch::{Outcome, Start, Submission};
 use radishstair_core::error::{Kind, Ran, Refusal, Repeat};
 use radishstair_core::id::{Incarnation, digest};
 use radishstair_core::kernel::{Event, Reply};
@@ -343,7 +343,7 @@
 
     async fn seek(&self, job: &Job, avoid: &[runner::Key]) -> Result<Start, Refusal> {
         let call = self.handle.call();
-        let seek = Seek {
+        let seek = Submission {
             call,
             tier: job.route.tier.clone(),
             customer: job.customer.clone(),
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use radishstair_core::config::view::Route;
-use radishstair_core::dispatch::{Outcome, Seek, Start};
+use radishstair_core::dispatch::{Outcome, Start, Submission};
 use radishstair_core::error::{Kind, Ran, Refusal};
 use radishstair_core::id::Call;
 use radishstair_core::kernel::{Event, Reply};
@@ -158,7 +158,7 @@
     /// Asks for a runner.
     async fn seek(&self, state: &mut Progress, pieces: &Pieces, avoid: &[runner::Key]) -> Result<Start, End> {
         let call = self.handle.call();
-        let seek = Seek {
+        let seek = Submission {
             call,
             tier: self.route.tier.clone(),
             customer: self.customer.clone(),
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -15,7 +15,7 @@
 use radishstair_core::config::change::{self, Entry, Op, Section};
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Customer, Document, Key, Labels, check};
-use radishstair_core::dispatch::{Dispatch, Outcome, Policy, Seek};
+use radishstair_core::dispatch::{Dispatch, Outcome, Policy, Submission};
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::runner::Listed;
 use radishstair_core::time::Moment;
@@ -102,8 +102,8 @@
     document
 }
 
-fn seek(call: u64) -> Seek {
-    Seek {
+fn seek(call: u64) -> Submission {
+    Submission {
         call: Call(call),
         tier: "t1".into(),
         customer: format!("customer-{:04}", call % 50),
@@ -141,7 +141,7 @@
     }
     let rounds = 20_000;
     let began = Instant::now();
-    let mut running: VecDeque<(Seek, radishstair_core::runner::Key)> = VecDeque::new();
+    let mut running: VecDeque<(Submission, radishstair_core::runner::Key)> = VecDeque::new();
     let mut started = 0;
     for call in 0..rounds {
         now = now + std::time::Duration::from_micros(200);
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -11,7 +11,7 @@
 
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Document, Key, Labels};
-use radishstair_core::dispatch::{Decision, Dispatch, Outcome, Policy, Seek, Start};
+use radishstair_core::dispatch::{Decision, Dispatch, Outcome, Policy, Start, Submission};
 use radishstair_core::error::Refusal;
 use radishstair_core::id::Call;
 use radishstair_core::time::Moment;
@@ -64,7 +64,7 @@
     first: Option<u64>,
     done: u32,
     avoid: Vec<radishstair_core::runner::Key>,
-    seek: Option<Seek>,
+    seek: Option<Submission>,
     runner: Option<(usize, radishstair_core::runner::Key)>,
     started: u64,
     span: u64,
@@ -236,7 +236,7 @@
         let traffic = &self.scenario.traffic[item.traffic];
         let customer = &traffic.customers[item.customer].0;
         let (tier, pools) = self.measure.route(&traffic.class);
-        let seek = Seek {
+        let seek = Submission {
             call: Call(job as u64),
             tier,
             customer: customer.clone(),
--- a/tests/suite/duties.rs
+++ b/tests/suite/duties.rs
@@ -1,6 +1,6 @@
 //! One process in charge: orders to upstreams.
 
-use radishstair_core::dispatch::Seek;
+use radishstair_core::dispatch::Submission;
 use radishstair_core::kernel::Event;
 use radishstair_core::runner::Listed;
 use rand::RngExt;
@@ -22,7 +22,7 @@
             continue;
         }
         let call = world.call();
-        let seek = Seek {
+        let seek = Submission {
             call,
             tier: "t".into(),
             customer: "c".into(),
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -6,7 +6,7 @@
 
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Document, check};
-use radishstair_core::dispatch::{Decision, Dispatch, Outcome, Policy, Seek};
+use radishstair_core::dispatch::{Decision, Dispatch, Outcome, Policy, Submission};
 use radishstair_core::error::Kind;
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::reservation::Secret;
@@ -155,8 +155,8 @@
     ))
 }
 
-fn seek(call: u64, tier: &str, pool: &str) -> Seek {
-    Seek {
+fn seek(call: u64, tier: &str, pool: &str) -> Submission {
+    Submission {
         call: Call(call),
         tier: tier.into(),
         customer: "c".into(),
@@ -342,7 +342,7 @@
         host
     });
     let mut starts = [0, 0];
-    let mut running: Vec<(u64, usize, Seek, radishstair_core::runner::Key)> = Vec::new();
+    let mut running: Vec<(u64, usize, Submission, radishstair_core::runner::Key)> = Vec::new();
     for ms in (0..10_000).step_by(50) {
         let now = Moment::at_ms(1_000 + ms);
         if ms % 1_000 == 0 {
