--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -82,7 +82,7 @@
 
 plain! {
     /// Where a call starts.
-    pub struct Start {
+    pub struct Assignment {
         /// The call.
         pub call: Call,
         /// The runner, to be named at the end.
@@ -100,7 +100,7 @@
     /// What became of a call that sought a runner.
     pub enum Decision {
         /// It starts.
-        Start(Start),
+        Start(Assignment),
         /// It is refused.
         Refuse(Call, Refusal),
     }
@@ -374,7 +374,7 @@
         (0..self.lanes.len()).filter(move |other| self.lanes[*other].overlaps(&self.lanes[at]))
     }
 
-    fn start_from(&mut self, now: Moment, at: usize) -> Option<Start> {
+    fn start_from(&mut self, now: Moment, at: usize) -> Option<Assignment> {
         let (protected, priority) = (self.tier(at).protected, self.tier(at).priority);
         let chooser = placement::Chooser {
             now,
@@ -395,7 +395,7 @@
         self.running += 1;
         self.runners.start(runner);
         let listed = &self.runners.get(runner).listed;
-        Some(Start {
+        Some(Assignment {
             call: item.seek.call,
             runner,
             name: listed.name.clone(),
--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -9,7 +9,7 @@
 
 use crate::at_most_once::{End, Key, Verdict};
 use crate::config::view::View;
-use crate::dispatch::{Outcome, Policy, Start, Submission};
+use crate::dispatch::{Assignment, Outcome, Policy, Submission};
 use crate::error::Refusal;
 use crate::id::{Call, Incarnation};
 use crate::lease::Grant;
@@ -133,7 +133,7 @@
         /// What the owner decided.
         Verdict(Verdict),
         /// Where the call starts.
-        Start(Start),
+        Start(Assignment),
         /// Why it does not.
         Refused(Refusal),
         /// Configuration for a peer.
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -13,7 +13,7 @@
 use radishstair_core::claim;
 use radishstair_core::config::Mode;
 use radishstair_core::config::view::{Route, View};
-use radishstair_core::dispatch::{Outcome, Start, Submission};
+use radishstair_core::dispatch::{Assignment, Outcome, Submission};
 use radishstair_core::error::{Kind, Ran, Refusal, Repeat};
 use radishstair_core::id::{Incarnation, digest};
 use radishstair_core::kernel::{Event, Reply};
@@ -341,7 +341,7 @@
         })
     }
 
-    async fn seek(&self, job: &Job, avoid: &[runner::Key]) -> Result<Start, Refusal> {
+    async fn seek(&self, job: &Job, avoid: &[runner::Key]) -> Result<Assignment, Refusal> {
         let call = self.handle.call();
         let seek = Submission {
             call,
@@ -365,7 +365,7 @@
     }
 
     /// Runs a call at one runner and gives the runner's place back.
-    async fn run(&self, job: &Job, start: &Start, alone: bool) -> Result<Answered, (Failure, Refusal)> {
+    async fn run(&self, job: &Job, start: &Assignment, alone: bool) -> Result<Answered, (Failure, Refusal)> {
         let running = Running {
             handle: &self.handle,
             call: start.call,
@@ -389,7 +389,7 @@
 
     async fn exchange(
         &self,
-        start: &Start,
+        start: &Assignment,
         outgoing: &Outgoing,
         alone: bool,
     ) -> Result<Answered, (Failure, Refusal)> {
--- a/crates/entry/src/front/call/guard.rs
+++ b/crates/entry/src/front/call/guard.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use radishstair_core::dispatch::{Outcome, Start, Submission};
+use radishstair_core::dispatch::{Assignment, Outcome, Submission};
 use radishstair_core::error::{Kind, Refusal};
 use radishstair_core::id::Call;
 use radishstair_core::kernel::{Event, Reply};
@@ -17,7 +17,7 @@
 }
 
 impl Waiting<'_> {
-    pub async fn wait(mut self, seek: Submission) -> Result<Start, Refusal> {
+    pub async fn wait(mut self, seek: Submission) -> Result<Assignment, Refusal> {
         let reply = self.handle.ask(self.call, Event::Seek(seek)).await;
         self.done = true;
         match reply {
--- a/crates/entry/src/front/call/plain.rs
+++ b/crates/entry/src/front/call/plain.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use radishstair_core::dispatch::Start;
+use radishstair_core::dispatch::Assignment;
 use radishstair_core::error::{Kind, Refusal, Repeat};
 use radishstair_core::retry::{Fault, Rule, Tries};
 use radishstair_core::runner;
@@ -47,18 +47,18 @@
 }
 
 impl Attempts for Plain<'_> {
-    type Place = Start;
+    type Place = Assignment;
     type Answer = Answered;
     type End = Refusal;
 
-    async fn place(&mut self) -> Result<Start, Refusal> {
+    async fn place(&mut self) -> Result<Assignment, Refusal> {
         let start = self.caller.seek(self.job, self.tries.tried()).await;
         let start = start.map_err(|refusal| self.tries.refuse(refusal))?;
         self.tries.choose(start.runner);
         Ok(start)
     }
 
-    async fn attempt(&mut self, start: Start) -> Result<Answered, Stop<Refusal>> {
+    async fn attempt(&mut self, start: Assignment) -> Result<Answered, Stop<Refusal>> {
         self.tries.send();
         let answered = self.caller.run(self.job, &start, self.rule.once).await;
         answered.map_err(|(failure, refusal)| {
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use radishstair_core::config::view::Route;
-use radishstair_core::dispatch::{Outcome, Start, Submission};
+use radishstair_core::dispatch::{Assignment, Outcome, Submission};
 use radishstair_core::error::{Kind, Ran, Refusal};
 use radishstair_core::id::Call;
 use radishstair_core::kernel::{Event, Reply};
@@ -88,11 +88,11 @@
 }
 
 impl Attempts for Chat<'_> {
-    type Place = Start;
+    type Place = Assignment;
     type Answer = ();
     type End = End;
 
-    async fn place(&mut self) -> Result<Start, End> {
+    async fn place(&mut self) -> Result<Assignment, End> {
         let start = self.job.seek(self.state, self.pieces, self.tries.tried()).await;
         let start = start.map_err(|end| match end {
             End::CallerGone => End::CallerGone,
@@ -106,7 +106,7 @@
         Ok(start)
     }
 
-    async fn attempt(&mut self, start: Start) -> Result<(), Stop<End>> {
+    async fn attempt(&mut self, start: Assignment) -> Result<(), Stop<End>> {
         self.tries.send();
         let refusal = match self.job.attempt(&start, self.state, self.pieces).await {
             Ok(()) => return Ok(()),
@@ -156,7 +156,12 @@
     }
 
     /// Asks for a runner.
-    async fn seek(&self, state: &mut Progress, pieces: &Pieces, avoid: &[runner::Key]) -> Result<Start, End> {
+    async fn seek(
+        &self,
+        state: &mut Progress,
+        pieces: &Pieces,
+        avoid: &[runner::Key],
+    ) -> Result<Assignment, End> {
         let call = self.handle.call();
         let seek = Submission {
             call,
@@ -184,7 +189,7 @@
         }
     }
 
-    async fn attempt(&self, start: &Start, state: &mut Progress, pieces: &Pieces) -> Result<(), End> {
+    async fn attempt(&self, start: &Assignment, state: &mut Progress, pieces: &Pieces) -> Result<(), End> {
         let before = state.usage.tokens;
         let began = Instant::now();
         let attempt = self.stream(start, state, pieces).await;
@@ -209,7 +214,7 @@
         self.handle.tell(Event::Release { call, outcome });
     }
 
-    async fn stream(&self, start: &Start, state: &mut Progress, pieces: &Pieces) -> Result<(), End> {
+    async fn stream(&self, start: &Assignment, state: &mut Progress, pieces: &Pieces) -> Result<(), End> {
         let outgoing = Outgoing {
             path: "/v1/chat/completions".into(),
             id: self.id.clone(),
@@ -246,7 +251,7 @@
 
     async fn relay(
         &self,
-        start: &Start,
+        start: &Assignment,
         body: &mut Incoming,
         state: &mut Progress,
         pieces: &Pieces,
@@ -381,7 +386,7 @@
 }
 
 impl Progress {
-    fn advance(&mut self, job: &Job, start: &Start, chunk: &Chunk) {
+    fn advance(&mut self, job: &Job, start: &Assignment, chunk: &Chunk) {
         if let Some(head) = self.head.take() {
             let _ = head.send(Ok(start.name.clone()));
             let class = Class {
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -14,7 +14,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HOST, HeaderValue};
 use hyper::{Request, Response};
-use radishstair_core::dispatch::Start;
+use radishstair_core::dispatch::Assignment;
 use radishstair_core::retry::Fault;
 use radishstair_core::time::Moment;
 use radishstair_wire::http;
@@ -107,7 +107,7 @@
 pub async fn send(
     pool: &Pool,
     now: Moment,
-    start: &Start,
+    start: &Assignment,
     outgoing: &Outgoing,
     alone: bool,
 ) -> Result<Exchange, Failure> {
@@ -142,7 +142,7 @@
     }
 }
 
-fn request(start: &Start, outgoing: &Outgoing) -> Result<Request<Full<Bytes>>, Failure> {
+fn request(start: &Assignment, outgoing: &Outgoing) -> Result<Request<Full<Bytes>>, Failure> {
     let id = HeaderValue::from_str(&outgoing.id).map_err(|_| Failure::NotSent)?;
     let host = HeaderValue::from_str(&start.address).map_err(|_| Failure::NotSent)?;
     Request::post(&outgoing.path)
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -11,7 +11,7 @@
 
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Document, Key, Labels};
-use radishstair_core::dispatch::{Decision, Dispatch, Outcome, Policy, Start, Submission};
+use radishstair_core::dispatch::{Assignment, Decision, Dispatch, Outcome, Policy, Submission};
 use radishstair_core::error::Refusal;
 use radishstair_core::id::Call;
 use radishstair_core::time::Moment;
@@ -264,7 +264,7 @@
         }
     }
 
-    fn start(&mut self, start: &Start) {
+    fn start(&mut self, start: &Assignment) {
         let job = start.call.0 as usize;
         let Some(engine) = self
             .engines
