--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -108,7 +108,7 @@
 
 /// The dispatcher of one host.
 #[derive(Debug)]
-pub struct Dispatch {
+pub struct Dispatcher {
     zone: String,
     policy: Policy,
     view: Arc<View>,
@@ -131,7 +131,7 @@
     rng: ChaCha8Rng,
 }
 
-impl Dispatch {
+impl Dispatcher {
     /// A dispatcher with nothing to do.
     pub fn new(zone: &str, seed: u64, policy: Policy) -> Self {
         use rand::SeedableRng;
--- a/crates/core/src/dispatch/admission.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt;
 
-use super::{Dispatch, Submission};
+use super::{Dispatcher, Submission};
 use crate::error::{Kind, Refusal};
 use crate::time::Moment;
 
@@ -23,7 +23,7 @@
 /// Most calls that wait at one host.
 const WAITING: usize = 4_096;
 
-impl Dispatch {
+impl Dispatcher {
     /// Refuses a call that would miss its target, by the rate at which
     /// its lane and those before it have been starting.
     pub(super) fn refuse_early(&mut self, now: Moment, at: usize, seek: &Submission) -> Option<Refusal> {
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -5,7 +5,7 @@
 use prost::Message;
 
 use super::{Event, MEMBER, Outbox, Reply, Status};
-use crate::dispatch::{Decision, Dispatch, Outcome, Policy, Submission};
+use crate::dispatch::{Decision, Dispatcher, Outcome, Policy, Submission};
 use crate::id::{Call, Incarnation};
 use crate::peer::{Demand, Heartbeat, Shares, Waiting, ZoneSummary};
 use crate::runner::Key;
@@ -30,7 +30,7 @@
 /// The dispatcher, with the calls that it has started.
 #[derive(Debug)]
 pub struct Service {
-    inner: Dispatch,
+    inner: Dispatcher,
     zone: String,
     seeking: Vec<(Call, Submission)>,
     running: Vec<(Call, Submission, Key)>,
@@ -46,7 +46,7 @@
     /// Nothing to do yet.
     pub fn new(zone: &str, seed: u64, policy: Policy) -> Self {
         Self {
-            inner: Dispatch::new(zone, seed, policy),
+            inner: Dispatcher::new(zone, seed, policy),
             zone: zone.to_string(),
             seeking: Vec::new(),
             running: Vec::new(),
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -15,7 +15,7 @@
 use radishstair_core::config::change::{self, Entry, Op, Section};
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Customer, Document, Key, Labels, check};
-use radishstair_core::dispatch::{Dispatch, Outcome, Policy, Submission};
+use radishstair_core::dispatch::{Dispatcher, Outcome, Policy, Submission};
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::runner::Listed;
 use radishstair_core::time::Moment;
@@ -119,7 +119,7 @@
 
 /// Time of one decision: a call that seeks, starts and is released.
 fn decisions(runners: usize, waiting: usize) {
-    let mut dispatch = Dispatch::new("zone-0", 1, Policy::Full);
+    let mut dispatch = Dispatcher::new("zone-0", 1, Policy::Full);
     dispatch.set_view(Arc::new(View::new(1, sample(50))));
     dispatch.runners.list(listed(runners, 13));
     let mut now = Moment::at_ms(1_000_000);
@@ -270,7 +270,7 @@
     tell("tickets_with_answers", 20_000);
     let view = View::new(1, sample(650));
     tell("customers_with_three_keys", view.document.customers.len());
-    let mut dispatch = Dispatch::new("zone-0", 1, Policy::Full);
+    let mut dispatch = Dispatcher::new("zone-0", 1, Policy::Full);
     dispatch.runners.list(listed(1_700, 13));
     tell("runners", dispatch.runners.iter().count());
     let mut meter = Meter::new(Incarnation(1), now, std::time::Duration::from_secs(300));
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -11,7 +11,7 @@
 
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Document, Key, Labels};
-use radishstair_core::dispatch::{Assignment, Decision, Dispatch, Outcome, Policy, Submission};
+use radishstair_core::dispatch::{Assignment, Decision, Dispatcher, Outcome, Policy, Submission};
 use radishstair_core::error::Refusal;
 use radishstair_core::id::Call;
 use radishstair_core::time::Moment;
@@ -77,7 +77,7 @@
     scenario: &'a Scenario,
     now: u64,
     rng: ChaCha8Rng,
-    hosts: Vec<Dispatch>,
+    hosts: Vec<Dispatcher>,
     zones: Vec<usize>,
     /// What each host last said of its waiting calls, by pool.
     waiting: Vec<Vec<(String, u32)>>,
@@ -116,7 +116,7 @@
         let mut zones = Vec::new();
         for (at, zone) in scenario.zones.iter().enumerate() {
             for _ in 0..scenario.hosts {
-                let mut host = Dispatch::new(zone, rng.random(), policy);
+                let mut host = Dispatcher::new(zone, rng.random(), policy);
                 host.set_view(view.clone());
                 host.set_hosts(scenario.hosts, scenario.zones.len() * scenario.hosts, hosts.len());
                 hosts.push(host);
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -6,7 +6,7 @@
 
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Document, check};
-use radishstair_core::dispatch::{Decision, Dispatch, Outcome, Policy, Submission};
+use radishstair_core::dispatch::{Decision, Dispatcher, Outcome, Policy, Submission};
 use radishstair_core::error::Kind;
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::reservation::Secret;
@@ -129,12 +129,12 @@
   "keys": [{ "name": "k", "customer": "c", "hash": "0000000000000000000000000000000000000000000000000000000000000001" }]
 }"#;
 
-fn dispatch(document: &str, runners: &[(&str, &str, u32)]) -> Dispatch {
+fn dispatch(document: &str, runners: &[(&str, &str, u32)]) -> Dispatcher {
     dispatch_by(Policy::Full, document, runners)
 }
 
-fn dispatch_by(policy: Policy, document: &str, runners: &[(&str, &str, u32)]) -> Dispatch {
-    let mut dispatch = Dispatch::new("a", 7, policy);
+fn dispatch_by(policy: Policy, document: &str, runners: &[(&str, &str, u32)]) -> Dispatcher {
+    let mut dispatch = Dispatcher::new("a", 7, policy);
     dispatch.set_view(view(1, document));
     let listed = |(pool, zone, slots): &(&str, &str, u32)| Listed {
         name: format!("{pool}-{zone}"),
