--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -376,7 +376,7 @@
 
     fn start_from(&mut self, now: Moment, at: usize) -> Option<Assignment> {
         let (protected, priority) = (self.tier(at).protected, self.tier(at).priority);
-        let chooser = placement::Chooser {
+        let chooser = placement::Picker {
             now,
             zone: &self.zone,
             policy: self.policy,
--- a/crates/core/src/dispatch/placement.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -146,7 +146,7 @@
 }
 
 /// One choice.
-pub struct Chooser<'a> {
+pub struct Picker<'a> {
     /// Now.
     pub now: Moment,
     /// This host's zone.
@@ -189,7 +189,7 @@
     pub worse: bool,
 }
 
-impl Chooser<'_> {
+impl Picker<'_> {
     /// A runner with room, nearest zone first.
     pub fn choose(&self, runners: &Runners, rng: &mut ChaCha8Rng, seek: &Submission) -> Option<Key> {
         let pools = || seek.pools.iter().flat_map(|pool| runners.pool(pool));
