--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -405,12 +405,12 @@
     }
 
     /// Who else uses each pool of a lane, by the selectors.
-    fn pool_rivals(&self, at: usize) -> Arc<[(String, placement::Rivals)]> {
+    fn pool_rivals(&self, at: usize) -> Arc<[(String, placement::Contention)]> {
         let priority = self.tier(at).priority;
         let rivals = |pool: &String| {
             let found = self.users.binary_search_by(|(have, _)| have.cmp(pool));
             let users = found.map_or(&[][..], |at| &self.users[at].1);
-            placement::Rivals {
+            placement::Contention {
                 better: users.iter().any(|other| *other < priority),
                 worse: users.iter().any(|other| *other > priority),
             }
--- a/crates/core/src/dispatch/placement.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -164,7 +164,7 @@
     /// Entry hosts that are live, of all zones.
     pub hosts: usize,
     /// Pools of the call, and who shares them.
-    pub rivals: Arc<[(String, Rivals)]>,
+    pub rivals: Arc<[(String, Contention)]>,
     /// Zone mates that have calls waiting, by pool.
     pub waiting_mates: Arc<[(String, u32)]>,
 }
@@ -182,7 +182,7 @@
 
 /// Other tiers that use a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Rivals {
+pub struct Contention {
     /// One with a better priority.
     pub better: bool,
     /// One with a worse priority.
@@ -361,10 +361,10 @@
         (free * HOST_SHARE_PERCENT / 100).div_ceil(self.near_hosts.max(1) as u32)
     }
 
-    fn rivals_at(&self, runner: &Runner) -> Rivals {
+    fn rivals_at(&self, runner: &Runner) -> Contention {
         let pool = runner.listed.pool.as_str();
         let rivals = self.rivals.iter().find(|(name, _)| *name == pool);
-        rivals.map_or(Rivals::default(), |(_, rivals)| *rivals)
+        rivals.map_or(Contention::default(), |(_, rivals)| *rivals)
     }
 
     /// An even part of a runner, for a host whose zone has none of its own.
@@ -389,10 +389,10 @@
             return if self.protected { overbooked } else { reserved };
         }
         match self.rivals_at(runner) {
-            Rivals { better: true, .. } if !self.protected => reserved,
-            Rivals { worse: true, .. } if self.policy.overbooks() => overbooked,
+            Contention { better: true, .. } if !self.protected => reserved,
+            Contention { worse: true, .. } if self.policy.overbooks() => overbooked,
             _ if self.protected && self.policy.overbooks() => overbooked,
-            Rivals { .. } => slots,
+            Contention { .. } => slots,
         }
     }
 
--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::placement::Rivals;
+use super::placement::Contention;
 use super::{Policy, Submission};
 use crate::id::Call;
 use crate::runner::Key;
@@ -54,7 +54,7 @@
     /// Tier's place in the current view.
     pub tier: Option<usize>,
     /// Who else uses its pools.
-    pub rivals: Arc<[(String, Rivals)]>,
+    pub rivals: Arc<[(String, Contention)]>,
     pools: Arc<[String]>,
     accounts: Vec<Account>,
     /// Calls that came back as promised.
