--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -23,7 +23,7 @@
 pub mod placement;
 pub mod queue;
 
-use queue::{Lane, Waiting};
+use queue::{Entry, Queue};
 
 pub use placement::Policy;
 
@@ -114,7 +114,7 @@
     view: Arc<View>,
     /// The runners, fed by the list and by peers.
     pub runners: Runners,
-    lanes: Vec<Lane>,
+    lanes: Vec<Queue>,
     index: usize,
     near_hosts: usize,
     hosts: usize,
@@ -169,7 +169,7 @@
                 ),
                 None => (lane.drain_if(|_| true), Kind::NotSelected),
             };
-            let refuse = |item: Waiting| Decision::Refuse(item.seek.call, kind.into());
+            let refuse = |item: Entry| Decision::Refuse(item.seek.call, kind.into());
             out.extend(refused.into_iter().map(refuse));
         }
         self.lanes.retain(|lane| lane.tier.is_some());
@@ -219,7 +219,7 @@
             return vec![Decision::Refuse(call, refusal)];
         }
         let (target, patience) = (self.tier(at).target, self.tier(at).patience);
-        self.lanes[at].push(Waiting {
+        self.lanes[at].push(Entry {
             seek,
             since: now,
             target: now + target,
@@ -238,7 +238,7 @@
             match self.lanes.binary_search_by(|lane| lane.place().cmp(&place)) {
                 Ok(at) => at,
                 Err(at) => {
-                    self.lanes.insert(at, Lane::new(seek, tier));
+                    self.lanes.insert(at, Queue::new(seek, tier));
                     self.lanes[at].rivals = self.pool_rivals(at);
                     at
                 }
--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -23,7 +23,7 @@
 
 plain! {
     /// A call that waits.
-    pub struct Waiting {
+    pub struct Entry {
         /// What it seeks.
         pub seek: Submission,
         /// Since when.
@@ -41,14 +41,14 @@
         served: f64,
         starts: f64,
         promised: Moment,
-        queue: VecDeque<Waiting>,
-        late: VecDeque<Waiting>,
+        queue: VecDeque<Entry>,
+        late: VecDeque<Entry>,
     }
 }
 
 /// The lane of one tier and set of pools.
 #[derive(Debug)]
-pub struct Lane {
+pub struct Queue {
     /// Tier's name.
     pub name: String,
     /// Tier's place in the current view.
@@ -58,7 +58,7 @@
     pools: Arc<[String]>,
     accounts: Vec<Account>,
     /// Calls that came back as promised.
-    back: VecDeque<Waiting>,
+    back: VecDeque<Entry>,
     /// Times at which calls were told to come back, in order.
     promises: Vec<Moment>,
     lengths: Vec<(String, f64)>,
@@ -68,7 +68,7 @@
     len: usize,
 }
 
-impl Lane {
+impl Queue {
     /// An empty lane for calls like one.
     pub fn new(seek: &Submission, tier: usize) -> Self {
         Self {
@@ -93,7 +93,7 @@
     }
 
     /// Whether two lanes want some of the same runners.
-    pub fn overlaps(&self, other: &Lane) -> bool {
+    pub fn overlaps(&self, other: &Queue) -> bool {
         self.pools.iter().any(|pool| other.pools.contains(pool))
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// A call waits.
-    pub fn push(&mut self, item: Waiting) {
+    pub fn push(&mut self, item: Entry) {
         self.len += 1;
         if item.seek.promised {
             self.back.push_back(item);
@@ -200,7 +200,7 @@
         &mut self,
         policy: Policy,
         mut choose: impl FnMut(&Submission) -> Option<Key>,
-    ) -> Option<(Waiting, Key)> {
+    ) -> Option<(Entry, Key)> {
         if let Some(taken) = self.take_back(&mut choose) {
             return Some(taken);
         }
@@ -231,7 +231,7 @@
     }
 
     /// Takes a call that came back as promised.
-    fn take_back(&mut self, choose: &mut impl FnMut(&Submission) -> Option<Key>) -> Option<(Waiting, Key)> {
+    fn take_back(&mut self, choose: &mut impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
         let runner = choose(&self.back.front()?.seek)?;
         let item = self.back.pop_front()?;
         self.len -= 1;
@@ -244,7 +244,7 @@
 
     /// Takes the call that has been late for the longest; nothing that can be
     /// in time waits.
-    fn take_late(&mut self, mut choose: impl FnMut(&Submission) -> Option<Key>) -> Option<(Waiting, Key)> {
+    fn take_late(&mut self, mut choose: impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
         let late = |at: &usize| self.accounts[*at].late.front().map(|head| head.since);
         let at = (0..self.accounts.len())
             .filter(|at| late(at).is_some())
@@ -303,7 +303,7 @@
     }
 
     /// Takes out the calls that waited too long.
-    pub fn expire(&mut self, now: Moment) -> Vec<Waiting> {
+    pub fn expire(&mut self, now: Moment) -> Vec<Entry> {
         let mut out = Vec::new();
         while self.back.front().is_some_and(|head| now.reached(head.until)) {
             out.extend(self.back.pop_front());
@@ -339,7 +339,7 @@
     }
 
     /// Takes out the calls for which `leaves` holds.
-    pub fn drain_if(&mut self, leaves: impl Fn(&Submission) -> bool) -> Vec<Waiting> {
+    pub fn drain_if(&mut self, leaves: impl Fn(&Submission) -> bool) -> Vec<Entry> {
         let (mut out, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.back)
             .into_iter()
             .partition(|item| leaves(&item.seek));
@@ -373,7 +373,7 @@
         }
     }
 
-    fn heads(&self) -> impl Iterator<Item = (usize, &Waiting)> {
+    fn heads(&self) -> impl Iterator<Item = (usize, &Entry)> {
         self.accounts
             .iter()
             .enumerate()
