--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -36,7 +36,7 @@
 }
 
 plain! {
-    struct Account {
+    struct Flow {
         customer: String,
         served: f64,
         starts: f64,
@@ -56,7 +56,7 @@
     /// Who else uses its pools.
     pub rivals: Arc<[(String, Contention)]>,
     pools: Arc<[String]>,
-    accounts: Vec<Account>,
+    accounts: Vec<Flow>,
     /// Calls that came back as promised.
     back: VecDeque<Entry>,
     /// Times at which calls were told to come back, in order.
@@ -395,7 +395,7 @@
             Err(at) => {
                 self.accounts.insert(
                     at,
-                    Account {
+                    Flow {
                         customer: customer.to_string(),
                         served: self.level,
                         starts: 0.0,
