--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -16,7 +16,7 @@
 use crate::time::Moment;
 
 /// Watchers a zone.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_ZONE: usize = 2;
 /// Entries kept for peers that lag.
 const TAIL: usize = 256;
 /// Entries in one answer from the store.
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -1,7 +1,7 @@
 //! Membership as a service of the kernel.
 
 use super::{Action, CALLS, CONFIG, DISPATCH, Event, ORDERS, Outbox, Standing, Status, USAGE, ZoneStatus};
-use crate::config::service::WATCHERS;
+use crate::config::service::WATCHERS_PER_ZONE;
 use crate::id::Incarnation;
 use crate::member::{Me, Members};
 use crate::peer::Heartbeat;
@@ -69,7 +69,7 @@
         }
         self.digest = self.members.digest();
         let standing = Standing {
-            watcher: self.members.rank(CONFIG) < WATCHERS,
+            watcher: self.members.rank(CONFIG) < WATCHERS_PER_ZONE,
             orders: self.members.leads(ORDERS, CANDIDATES),
             usage: self.members.leads(USAGE, CANDIDATES),
             keepers: self.members.owners(self.me.0, KEEPERS),
