--- a/crates/core/src/config/change.rs
+++ b/crates/core/src/config/change.rs
@@ -9,13 +9,13 @@
 use super::{Document, Settings, check, table::Table};
 
 /// Store prefix of the log; the version follows in sixteen digits.
-pub const LOG: &str = "config/log/";
+pub const LOG_PREFIX: &str = "config/log/";
 /// Store key of the newest snapshot.
-pub const SNAPSHOT: &str = "config/snapshot";
+pub const SNAPSHOT_KEY: &str = "config/snapshot";
 
 /// Store key of one version.
 pub fn log_key(version: u64) -> String {
-    format!("{LOG}{version:016}")
+    format!("{LOG_PREFIX}{version:016}")
 }
 
 record! {
--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -128,7 +128,7 @@
         if !self.booted {
             self.step = Step::Snapshot;
             return Some(Call::Get {
-                key: change::SNAPSHOT.into(),
+                key: change::SNAPSHOT_KEY.into(),
             });
         }
         if watcher && self.view.version >= self.snapshot.0 + SNAPSHOT_EVERY {
@@ -266,7 +266,7 @@
         }
         self.step = Step::Watch;
         let call = Call::Watch {
-            prefix: change::LOG.into(),
+            prefix: change::LOG_PREFIX.into(),
             after: change::log_key(self.view.version),
         };
         (changed, Some(call))
@@ -275,7 +275,7 @@
     fn range(&mut self) -> Call {
         self.step = Step::Range;
         Call::Range {
-            prefix: change::LOG.into(),
+            prefix: change::LOG_PREFIX.into(),
             after: change::log_key(self.view.version),
             limit: BATCH,
         }
@@ -288,7 +288,7 @@
             document: self.view.document.clone(),
         };
         Call::Swap {
-            key: change::SNAPSHOT.into(),
+            key: change::SNAPSHOT_KEY.into(),
             expect: self.snapshot.1,
             value: serde_json::to_string(&snapshot).unwrap_or_default(),
         }
--- a/crates/ctl/src/commit.rs
+++ b/crates/ctl/src/commit.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result, bail, ensure};
 use radishstair_core::config::Document;
-use radishstair_core::config::change::{self, Entry, LOG, Op, SNAPSHOT, Snapshot};
+use radishstair_core::config::change::{self, Entry, LOG_PREFIX, Op, SNAPSHOT_KEY, Snapshot};
 use radishstair_core::store::{self, Answer, Call};
 use radishstair_wire::platform::Client;
 
@@ -23,7 +23,12 @@
 ///
 /// When the store cannot be read.
 pub fn load(client: &Client) -> Result<Snapshot> {
-    let entries = read(client, &Call::Get { key: SNAPSHOT.into() })?;
+    let entries = read(
+        client,
+        &Call::Get {
+            key: SNAPSHOT_KEY.into(),
+        },
+    )?;
     let mut snapshot = match entries.first().filter(|entry| entry.version > 0) {
         Some(entry) => serde_json::from_str(&entry.value).context("reading the stored snapshot")?,
         None => Snapshot::default(),
@@ -49,7 +54,7 @@
     let mut from = change::log_key(after);
     loop {
         let call = Call::Range {
-            prefix: LOG.into(),
+            prefix: LOG_PREFIX.into(),
             after: from.clone(),
             limit: BATCH,
         };
--- a/crates/load/src/cmd/slopes/fleet.rs
+++ b/crates/load/src/cmd/slopes/fleet.rs
@@ -134,7 +134,7 @@
             kernels: (0..total).map(kernel).collect(),
             mail: Vec::new(),
             watches: Vec::new(),
-            store: BTreeMap::from([(change::SNAPSHOT.to_string(), (1, text))]),
+            store: BTreeMap::from([(change::SNAPSHOT_KEY.to_string(), (1, text))]),
             version: 1,
             costs: vec![Cost::default(); total],
             reads: 0,
@@ -149,7 +149,7 @@
         let version = self
             .store
             .keys()
-            .filter(|key| key.starts_with(change::LOG))
+            .filter(|key| key.starts_with(change::LOG_PREFIX))
             .count() as u64
             + 2;
         let entry = Entry {
@@ -171,7 +171,7 @@
         self.store.insert(change::log_key(version), (self.version, text));
         let (ready, rest) = std::mem::take(&mut self.watches)
             .into_iter()
-            .partition(|(.., prefix)| prefix == change::LOG);
+            .partition(|(.., prefix)| prefix == change::LOG_PREFIX);
         self.watches = rest;
         let ready: Vec<(usize, Event, String)> = ready;
         self.mail
--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -95,7 +95,7 @@
         let log = world
             .store
             .keys()
-            .filter(|key| key.starts_with(change::LOG))
+            .filter(|key| key.starts_with(change::LOG_PREFIX))
             .count() as u64;
         self.ids += 1;
         let process = self.ids as usize - 1;
@@ -236,7 +236,7 @@
     world
         .store
         .keys()
-        .filter(|key| key.starts_with(change::LOG))
+        .filter(|key| key.starts_with(change::LOG_PREFIX))
         .count() as u64
         + 1
 }
