--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -18,7 +18,7 @@
 pub mod report;
 
 /// Longest time a chunk stays open: what a crash can lose.
-pub const CHUNK: Duration = Duration::from_secs(2);
+pub const MAX_CHUNK_AGE: Duration = Duration::from_secs(2);
 /// Peers that keep copies.
 pub const KEEPERS: usize = 2;
 /// Chunks in one heartbeat.
@@ -121,7 +121,7 @@
     /// Closes the open chunk when it is old or its window has ended.
     pub fn tick(&mut self, now: Moment) {
         let current = window(now, self.length);
-        if current != self.window || now.since(self.opened) >= CHUNK {
+        if current != self.window || now.since(self.opened) >= MAX_CHUNK_AGE {
             self.flush(now);
         }
     }
