--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -6,7 +6,7 @@
 use crate::member::{Me, Members};
 use crate::peer::Heartbeat;
 use crate::time::Moment;
-use crate::usage::KEEPERS;
+use crate::usage::CHUNK_REPLICAS;
 
 /// Hosts that seek each duty.
 const CANDIDATES: usize = 3;
@@ -72,7 +72,7 @@
             watcher: self.members.rank(CONFIG) < WATCHERS_PER_ZONE,
             orders: self.members.leads(ORDERS, CANDIDATES),
             usage: self.members.leads(USAGE, CANDIDATES),
-            keepers: self.members.owners(self.me.0, KEEPERS),
+            keepers: self.members.owners(self.me.0, CHUNK_REPLICAS),
             mates: self
                 .members
                 .mates()
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -20,7 +20,7 @@
 /// Longest time a chunk stays open: what a crash can lose.
 pub const MAX_CHUNK_AGE: Duration = Duration::from_secs(2);
 /// Peers that keep copies.
-pub const KEEPERS: usize = 2;
+pub const CHUNK_REPLICAS: usize = 2;
 /// Chunks in one heartbeat.
 const CHUNKS_A_BEAT: usize = 16;
 /// Most chunks kept for others.
