--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -20,7 +20,7 @@
 use crate::store::{self, Token};
 use crate::ticket::Secret;
 use crate::time::Moment;
-use crate::usage::Item;
+use crate::usage::Record;
 use crate::usage::report::Seal;
 
 pub mod calls;
@@ -90,7 +90,7 @@
         /// A runner said, or showed, that it leaves.
         Leaving(String),
         /// Something to count.
-        Count(Item),
+        Count(Record),
         /// The store answered.
         Stored(Token, store::Answer),
         /// A peer asks for configuration.
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -28,7 +28,7 @@
 
 plain! {
     /// One thing to count.
-    pub struct Item {
+    pub struct Record {
         /// Customer.
         pub customer: String,
         /// Request class.
@@ -105,7 +105,7 @@
     }
 
     /// Counts one thing.
-    pub fn count(&mut self, now: Moment, item: &Item) {
+    pub fn count(&mut self, now: Moment, item: &Record) {
         self.tick(now);
         let row = Row {
             customer: item.customer.clone(),
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -20,7 +20,7 @@
 use radishstair_core::peer::{Forward, Forwarded};
 use radishstair_core::runner;
 use radishstair_core::ticket::Ticket;
-use radishstair_core::usage::Item;
+use radishstair_core::usage::Record;
 use radishstair_wire::http;
 
 use super::{BODY_BYTES, Body, authenticate, header, issue, read, refused};
@@ -421,7 +421,7 @@
     }
 
     fn count(&self, job: &Job) {
-        self.handle.tell(Event::Count(Item {
+        self.handle.tell(Event::Count(Record {
             customer: job.customer.clone(),
             class: job.route.class.clone(),
             prompt: 0,
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -14,7 +14,7 @@
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::retry::{Fault, Rule, Tries};
 use radishstair_core::runner;
-use radishstair_core::usage::Item;
+use radishstair_core::usage::Record;
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
@@ -333,7 +333,7 @@
         };
         self.handle.metrics.request(&self.route.class, name);
         if state.usage.tokens > 0 || whole {
-            self.handle.tell(Event::Count(Item {
+            self.handle.tell(Event::Count(Record {
                 customer: self.customer.clone(),
                 class: self.route.class.clone(),
                 prompt: state.usage.prompt,
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -19,7 +19,7 @@
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::runner::Listed;
 use radishstair_core::time::Moment;
-use radishstair_core::usage::{Item, Meter};
+use radishstair_core::usage::{Meter, Record};
 
 /// Print what decisions, heartbeats and state cost at several sizes.
 #[derive(Debug, FromArgs)]
@@ -166,8 +166,8 @@
     println!("decision runners={runners} waiting={waiting} started={started} us_each={each:.2}");
 }
 
-fn item(at: u64) -> Item {
-    Item {
+fn item(at: u64) -> Record {
+    Record {
         customer: format!("customer-{:04}", at % 650),
         class: format!("class-{}", at % 3),
         prompt: 200,
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -5,7 +5,7 @@
 
 use radishstair_core::id::Incarnation;
 use radishstair_core::kernel::Event;
-use radishstair_core::usage::Item;
+use radishstair_core::usage::Record;
 use radishstair_core::usage::report::Seal;
 use rand::RngExt;
 
@@ -41,7 +41,7 @@
         if !world.running(at) || !world.rng.random_bool(0.5) {
             continue;
         }
-        let item = Item {
+        let item = Record {
             customer: "c".into(),
             class: "x".into(),
             prompt: 1,
