--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -47,7 +47,7 @@
 /// Windows are named by their start, not counted, so that hosts that still
 /// have another length (before their first configuration, or while a change
 /// of it travels) do not name a window of another year.
-pub fn window(now: Moment, length: Duration) -> u64 {
+pub fn window_start(now: Moment, length: Duration) -> u64 {
     let length = (length.as_millis() as u64).max(1);
     now.wall / length * length
 }
@@ -91,7 +91,7 @@
             length,
             open: Vec::new(),
             opened: now,
-            window: window(now, length),
+            window: window_start(now, length),
             number: 0,
             sealed: 0,
             chunks: Vec::new(),
@@ -120,7 +120,7 @@
 
     /// Closes the open chunk when it is old or its window has ended.
     pub fn tick(&mut self, now: Moment) {
-        let current = window(now, self.length);
+        let current = window_start(now, self.length);
         if current != self.window || now.since(self.opened) >= MAX_CHUNK_AGE {
             self.flush(now);
         }
@@ -139,7 +139,7 @@
             self.keep(chunk);
         }
         self.opened = now;
-        self.window = window(now, self.length).max(self.window);
+        self.window = window_start(now, self.length).max(self.window);
     }
 
     /// Chunks that a keeper has not confirmed yet.
@@ -206,7 +206,7 @@
         ask: &Collect,
         answers: impl Fn(Incarnation) -> bool,
     ) -> Collected {
-        if window(now, self.length) > ask.window {
+        if window_start(now, self.length) > ask.window {
             self.flush(now);
         }
         // A cursor is forgotten after long silence; without this bound the
