--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -53,7 +53,7 @@
 }
 
 /// Adds rows of the same customer and class.
-pub fn merge(into: &mut Vec<Row>, rows: &[Row]) {
+pub fn merge_rows(into: &mut Vec<Row>, rows: &[Row]) {
     for row in rows {
         match into.binary_search_by(|have| (&have.customer, &have.class).cmp(&(&row.customer, &row.class))) {
             Ok(at) => add(&mut into[at], row),
@@ -115,7 +115,7 @@
             tokens: item.tokens,
             broken: u64::from(!item.whole),
         };
-        merge(&mut self.open, &[row]);
+        merge_rows(&mut self.open, &[row]);
     }
 
     /// Closes the open chunk when it is old or its window has ended.
@@ -273,7 +273,7 @@
     if let Some(sum) = sums.last_mut() {
         sum.number = chunk.number;
         match sum.parts.iter_mut().find(|part| part.window == chunk.window) {
-            Some(part) => merge(&mut part.rows, &chunk.rows),
+            Some(part) => merge_rows(&mut part.rows, &chunk.rows),
             None => sum.parts.push(Part {
                 window: chunk.window,
                 rows: chunk.rows.clone(),
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use super::merge;
+use super::merge_rows;
 use crate::id::Call;
 use crate::peer::{Bundle, Collected, Part, Span, Sum};
 use crate::time::Moment;
@@ -77,7 +77,7 @@
 /// Adds a part to parts sorted by window.
 pub fn add_part(parts: &mut Vec<Part>, part: &Part) {
     match parts.binary_search_by(|have| have.window.cmp(&part.window)) {
-        Ok(at) => merge(&mut parts[at].rows, &part.rows),
+        Ok(at) => merge_rows(&mut parts[at].rows, &part.rows),
         Err(at) => parts.insert(at, part.clone()),
     }
 }
--- a/tests/suite/parse.rs
+++ b/tests/suite/parse.rs
@@ -133,11 +133,13 @@
             ..Default::default()
         };
         let (mut one, mut two) = (Vec::new(), Vec::new());
-        items.iter().for_each(|item| usage::merge(&mut one, &[row(item)]));
+        items
+            .iter()
+            .for_each(|item| usage::merge_rows(&mut one, &[row(item)]));
         items
             .iter()
             .rev()
-            .for_each(|item| usage::merge(&mut two, &[row(item)]));
+            .for_each(|item| usage::merge_rows(&mut two, &[row(item)]));
         one == two
     }
     check(property as fn(Vec<(u8, u16)>) -> bool);
