--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -11,7 +11,7 @@
 use crate::store::{Answer, Token};
 use crate::time::Moment;
 use crate::usage::Meter;
-use crate::usage::gather::Gather;
+use crate::usage::gather::Collection;
 use crate::usage::report::{Reporter, Step};
 
 /// Wait for the first delegates before the second ones are asked.
@@ -28,7 +28,7 @@
     grace: Duration,
     lease_request: Request,
     report_request: Request,
-    gathers: Vec<Gather>,
+    gathers: Vec<Collection>,
     zone: String,
     answered: Vec<String>,
     second: Option<(Moment, Collect)>,
@@ -138,7 +138,7 @@
             ..ask.clone()
         };
         let own = self.sum_up(now, &ask);
-        self.gathers.push(Gather::new(now, call, own));
+        self.gathers.push(Collection::new(now, call, own));
         for address in &self.standing.mates {
             out.act(Action::Collect(address.clone(), ask.clone()));
         }
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -13,18 +13,18 @@
 use crate::time::Moment;
 
 /// Wait for the mates' answers.
-pub const GATHER: Duration = Duration::from_millis(1_200);
+pub const GATHER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// One collection that is under way in this zone.
 #[derive(Debug)]
-pub struct Gather {
+pub struct Collection {
     /// Whom to answer; the reporter of this process when absent.
     pub call: Option<Call>,
     since: Moment,
     sums: Vec<Sum>,
 }
 
-impl Gather {
+impl Collection {
     /// Begins with what this host knows itself.
     pub fn new(now: Moment, call: Option<Call>, own: Collected) -> Self {
         let mut gather = Self {
@@ -51,7 +51,7 @@
 
     /// Whether the mates had their time.
     pub fn is_over(&self, now: Moment) -> bool {
-        now.since(self.since) >= GATHER
+        now.since(self.since) >= GATHER_TIMEOUT
     }
 
     /// The zone's sum.
