--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -15,9 +15,9 @@
 use crate::write_once::{Outcome, Writer};
 
 /// Store prefix of sealed windows.
-pub const SEALED: &str = "usage/sealed/";
+pub const SEALED_PREFIX: &str = "usage/sealed/";
 /// Store key that tells how far reports went.
-pub const HEAD: &str = "usage/head";
+pub const PROGRESS_KEY: &str = "usage/head";
 /// Wait for the zones' answers to a collection.
 const COLLECT: Duration = Duration::from_secs(4);
 /// Wait for one store answer or report before it counts as lost.
@@ -80,7 +80,7 @@
 
 record! {
     /// How far reports went; a hint that saves reading, never trusted alone.
-    pub struct Head {
+    pub struct Progress {
         /// Number of the last seal known to be reported.
         pub reported: u64,
     }
@@ -155,7 +155,9 @@
         match &self.state {
             State::Idle => {
                 self.state = State::ReadHead { since: now };
-                Some(Step::Store(Call::Get { key: HEAD.into() }))
+                Some(Step::Store(Call::Get {
+                    key: PROGRESS_KEY.into(),
+                }))
             }
             State::Ready => self.proceed(now, grant, length, grace),
             State::Collecting {
@@ -248,14 +250,14 @@
             (State::ReadHead { .. }, Answer::Found(entries)) => {
                 let entry = entries.first().filter(|entry| entry.version > 0);
                 self.head_version = entry.map_or(0, |entry| entry.version);
-                let head = entry.and_then(|entry| serde_json::from_str::<Head>(&entry.value).ok());
+                let head = entry.and_then(|entry| serde_json::from_str::<Progress>(&entry.value).ok());
                 let reported = head.map_or(0, |head| head.reported);
                 self.state = State::ReadSeals {
                     since: now,
                     head: reported,
                 };
                 Some(Call::Range {
-                    prefix: SEALED.into(),
+                    prefix: SEALED_PREFIX.into(),
                     after: seal_key(reported.saturating_sub(1)),
                     limit: 1_000,
                 })
@@ -308,11 +310,11 @@
         }
         let seal = self.unreported.remove(0);
         self.state = State::Recording { since: now };
-        let head = Head {
+        let head = Progress {
             reported: seal.number,
         };
         Some(Call::Swap {
-            key: HEAD.into(),
+            key: PROGRESS_KEY.into(),
             expect: self.head_version,
             value: serde_json::to_string(&head).unwrap_or_default(),
         })
@@ -382,7 +384,7 @@
 
 /// Store key of a seal.
 pub fn seal_key(number: u64) -> String {
-    format!("{SEALED}{number:016}")
+    format!("{SEALED_PREFIX}{number:016}")
 }
 
 fn mark(marks: &mut Vec<Mark>, span: &Span, window: u64) {
