--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -27,7 +27,7 @@
 /// Milliseconds after which a source that is silent loses its cursor, and a
 /// chunk that is older is not counted any more: both in one rule, so that a
 /// chunk cannot be counted again once its cursor is gone.
-pub const FORGET: u64 = 24 * 3_600_000;
+pub const RETENTION_MS: u64 = 24 * 3_600_000;
 
 record! {
     /// Figures of one customer and class in a report.
@@ -350,12 +350,12 @@
 
     fn seal(&self, window: u64, bundle: &Bundle) -> Seal {
         let mut marks = self.last.as_ref().map_or(Vec::new(), |seal| seal.marks.clone());
-        marks.retain(|mark| mark.moved + FORGET > window);
+        marks.retain(|mark| mark.moved + RETENTION_MS > window);
         bundle
             .spans
             .iter()
             .for_each(|span| mark(&mut marks, span, window));
-        let counts = |part: &&Part| part.window + FORGET > window;
+        let counts = |part: &&Part| part.window + RETENTION_MS > window;
         let parts: Vec<&Part> = bundle.parts.iter().filter(counts).collect();
         Seal {
             number: self.last.as_ref().map_or(1, |seal| seal.number + 1),
