--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -52,7 +52,7 @@
 
 record! {
     /// A source's sealed chunks.
-    pub struct Mark {
+    pub struct Checkpoint {
         /// Source.
         pub source: crate::id::Incarnation,
         /// Highest sealed chunk.
@@ -74,7 +74,7 @@
         /// Figures, for good.
         pub lines: Vec<Line>,
         /// Cursors after it.
-        pub marks: Vec<Mark>,
+        pub marks: Vec<Checkpoint>,
     }
 }
 
@@ -387,9 +387,9 @@
     format!("{SEALED_PREFIX}{number:016}")
 }
 
-fn mark(marks: &mut Vec<Mark>, span: &Span, window: u64) {
+fn mark(marks: &mut Vec<Checkpoint>, span: &Span, window: u64) {
     let source = crate::id::Incarnation(span.source);
-    let mark = Mark {
+    let mark = Checkpoint {
         source,
         number: span.number,
         moved: window,
