--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -21,7 +21,7 @@
 use crate::ticket::Secret;
 use crate::time::Moment;
 use crate::usage::Record;
-use crate::usage::report::Seal;
+use crate::usage::report::SealedWindow;
 
 pub mod calls;
 pub mod config;
@@ -207,7 +207,7 @@
         /// Whether keys may be trusted, for the traffic threads.
         Trusted(bool),
         /// Send a report if the grant still covers the moment of sending.
-        Report(Grant, Seal),
+        Report(Grant, SealedWindow),
         /// Send an order if the grant still covers the moment of sending.
         Order(Grant, Order),
         /// Everything is handed back: the process may end.
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -64,7 +64,7 @@
 
 record! {
     /// A sealed window.
-    pub struct Seal {
+    pub struct SealedWindow {
         /// Place in the chain of seals, from 1 and without gaps. A reporter
         /// that was away must adopt each seal it missed before it can add
         /// one; skipping one would count that one's chunks twice.
@@ -94,7 +94,7 @@
         /// Ask every zone.
         Collect(Collect),
         /// Send to the usage interface while the grant covers it.
-        Report(Grant, Seal),
+        Report(Grant, SealedWindow),
     }
 }
 
@@ -115,9 +115,9 @@
 #[derive(Debug)]
 pub struct Reporter {
     state: State,
-    writer: Writer<Seal>,
-    unreported: Vec<Seal>,
-    last: Option<Seal>,
+    writer: Writer<SealedWindow>,
+    unreported: Vec<SealedWindow>,
+    last: Option<SealedWindow>,
     head_version: u64,
     next: Moment,
 }
@@ -281,7 +281,7 @@
     }
 
     /// What came of sealing a window.
-    fn sealed(&mut self, now: Moment, outcome: Outcome<Seal>) -> Option<Call> {
+    fn sealed(&mut self, now: Moment, outcome: Outcome<SealedWindow>) -> Option<Call> {
         match outcome {
             Outcome::Ask(call) => return Some(call),
             Outcome::Stands(seal, _) => self.adopt(seal),
@@ -321,7 +321,7 @@
     }
 
     fn recover(&mut self, head: u64, entries: &[crate::store::Entry]) {
-        let mut seals: Vec<Seal> = entries
+        let mut seals: Vec<SealedWindow> = entries
             .iter()
             .filter_map(|entry| serde_json::from_str(&entry.value).ok())
             .collect();
@@ -331,7 +331,7 @@
         self.state = State::Ready;
     }
 
-    fn adopt(&mut self, seal: Seal) {
+    fn adopt(&mut self, seal: SealedWindow) {
         self.last = Some(seal.clone());
         self.unreported.push(seal);
         self.state = State::Ready;
@@ -348,7 +348,7 @@
             .collect()
     }
 
-    fn seal(&self, window: u64, bundle: &Bundle) -> Seal {
+    fn seal(&self, window: u64, bundle: &Bundle) -> SealedWindow {
         let mut marks = self.last.as_ref().map_or(Vec::new(), |seal| seal.marks.clone());
         marks.retain(|mark| mark.moved + RETENTION_MS > window);
         bundle
@@ -357,7 +357,7 @@
             .for_each(|span| mark(&mut marks, span, window));
         let counts = |part: &&Part| part.window + RETENTION_MS > window;
         let parts: Vec<&Part> = bundle.parts.iter().filter(counts).collect();
-        Seal {
+        SealedWindow {
             number: self.last.as_ref().map_or(1, |seal| seal.number + 1),
             window,
             lines: lines(window, &parts),
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -9,7 +9,7 @@
 use radishstair_core::lease::Grant;
 use radishstair_core::order::Order;
 use radishstair_core::store::{Call, Token};
-use radishstair_core::usage::report::Seal;
+use radishstair_core::usage::report::SealedWindow;
 use radishstair_wire::platform::{Client, Report};
 
 use crate::handle::Handle;
@@ -27,7 +27,7 @@
     /// A call to the key-value service.
     Store(Token, Call),
     /// A usage report.
-    Report(Grant, Seal),
+    Report(Grant, SealedWindow),
     /// An order.
     Order(Grant, Order),
 }
@@ -73,7 +73,7 @@
 ///
 /// The job may have waited behind others, or the process may have been paused:
 /// without this look a former reporter would still send.
-fn report(handle: &Handle, client: &Client, grant: Grant, seal: Seal) -> bool {
+fn report(handle: &Handle, client: &Client, grant: Grant, seal: SealedWindow) -> bool {
     let report = Report {
         sender: handle.me.to_string(),
         fence: grant.fence,
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -6,7 +6,7 @@
 use radishstair_core::id::Incarnation;
 use radishstair_core::kernel::Event;
 use radishstair_core::usage::Record;
-use radishstair_core::usage::report::Seal;
+use radishstair_core::usage::report::SealedWindow;
 use rand::RngExt;
 
 use crate::schedule::{all_hold, some_fail};
@@ -103,8 +103,8 @@
 }
 
 /// Each seal's figures, provided that nobody reported others.
-fn sealed(world: &World) -> Result<BTreeMap<u64, Seal>, String> {
-    let mut seals: BTreeMap<u64, Seal> = BTreeMap::new();
+fn sealed(world: &World) -> Result<BTreeMap<u64, SealedWindow>, String> {
+    let mut seals: BTreeMap<u64, SealedWindow> = BTreeMap::new();
     let mut windows: BTreeMap<u64, u64> = BTreeMap::new();
     let mut fence = 0;
     for (time, sender, by, seal) in &world.seen.reports {
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -18,7 +18,7 @@
 use radishstair_core::order::Order;
 use radishstair_core::store::{Call as Ask, Token};
 use radishstair_core::time::Moment;
-use radishstair_core::usage::report::Seal;
+use radishstair_core::usage::report::SealedWindow;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug)]
 enum Job {
     Order(Grant, Order),
-    Report(Grant, Seal),
+    Report(Grant, SealedWindow),
 }
 
 /// What a node answered to a call of a test.
@@ -131,7 +131,7 @@
     /// Orders: time, sender, order.
     pub orders: Vec<(u64, Incarnation, Order)>,
     /// Reports: time, sender, fencing number, sealed figures.
-    pub reports: Vec<(u64, Incarnation, u64, Seal)>,
+    pub reports: Vec<(u64, Incarnation, u64, SealedWindow)>,
 }
 
 /// The world.
