--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -12,7 +12,7 @@
 use crate::time::Moment;
 use crate::usage::Meter;
 use crate::usage::gather::Collection;
-use crate::usage::report::{Reporter, Step};
+use crate::usage::report::{Effect, Reporter};
 
 /// Wait for the first delegates before the second ones are asked.
 const SECOND: Duration = Duration::from_millis(1_800);
@@ -95,9 +95,9 @@
         self.lease_request.ask(USAGE, call, out);
         let grant = self.lease.grant(now);
         match self.reporter.tick(now, grant, self.length, self.grace) {
-            Some(Step::Store(call)) => self.report_request.ask(USAGE, Some(call), out),
-            Some(Step::Collect(ask)) => self.collect(now, ask, out),
-            Some(Step::Report(grant, seal)) => out.act(Action::Report(grant, seal)),
+            Some(Effect::Store(call)) => self.report_request.ask(USAGE, Some(call), out),
+            Some(Effect::Collect(ask)) => self.collect(now, ask, out),
+            Some(Effect::Report(grant, seal)) => out.act(Action::Report(grant, seal)),
             None => {}
         }
     }
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -88,7 +88,7 @@
 
 plain! {
     /// What the shell is to do.
-    pub enum Step {
+    pub enum Effect {
         /// Ask the store.
         Store(Call),
         /// Ask every zone.
@@ -143,7 +143,7 @@
         grant: Option<Grant>,
         length: Duration,
         grace: Duration,
-    ) -> Option<Step> {
+    ) -> Option<Effect> {
         let Some(grant) = grant else {
             *self = Self::default();
             return None;
@@ -155,7 +155,7 @@
         match &self.state {
             State::Idle => {
                 self.state = State::ReadHead { since: now };
-                Some(Step::Store(Call::Get {
+                Some(Effect::Store(Call::Get {
                     key: PROGRESS_KEY.into(),
                 }))
             }
@@ -168,13 +168,13 @@
                 let seal = self.seal(*window, bundle);
                 self.state = State::Sealing;
                 let call = self.writer.write(now, seal_key(seal.number), seal);
-                call.map(Step::Store)
+                call.map(Effect::Store)
             }
             _ => None,
         }
     }
 
-    fn proceed(&mut self, now: Moment, grant: Grant, length: Duration, grace: Duration) -> Option<Step> {
+    fn proceed(&mut self, now: Moment, grant: Grant, length: Duration, grace: Duration) -> Option<Effect> {
         if let Some(seal) = self.unreported.first() {
             // The last check before the send: after a pause the lease is over
             // and the successor reports the same sealed figures instead.
@@ -182,7 +182,7 @@
                 return None;
             }
             self.state = State::Reporting { since: now };
-            return Some(Step::Report(grant, seal.clone()));
+            return Some(Effect::Report(grant, seal.clone()));
         }
         let millis = length.as_millis() as u64;
         let window = self.next_window(now, millis);
@@ -194,7 +194,7 @@
             window,
             bundle: Bundle::default(),
         };
-        Some(Step::Collect(Collect {
+        Some(Effect::Collect(Collect {
             cursors: self.cursors(),
             window,
             zone: true,
