--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -23,15 +23,15 @@
 pub const PREFIX: &str = "claim/k/";
 /// Store prefix of claims of time-stamped keys; the shell ties them to a lease
 /// longer than the horizon, so the store drops them once nobody takes the key.
-pub const STAMPED: &str = "claim/t/";
+pub const TIMESTAMPED_PREFIX: &str = "claim/t/";
 /// Life of that lease.
-pub const LEASE: Duration = Duration::from_secs(26 * 3_600);
+pub const LEASE_TTL: Duration = Duration::from_secs(26 * 3_600);
 /// Oldest time-stamped key that is still taken.
-pub const HORIZON: Duration = Duration::from_secs(24 * 3_600);
+pub const MAX_KEY_AGE: Duration = Duration::from_secs(24 * 3_600);
 /// Furthest that a key's time stamp may lie ahead of this host's clock.
-pub const AHEAD: Duration = Duration::from_secs(300);
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(300);
 /// Longest idempotency key, in bytes.
-pub const KEY_BYTES: usize = 128;
+pub const MAX_KEY_BYTES: usize = 128;
 /// Reads that settle one lost answer before the caller is told.
 const SETTLE_READS: u32 = 3;
 /// Claims in the air at once; past it callers are sent away at once.
@@ -81,23 +81,27 @@
 
 /// Store key of the claim of an idempotency key.
 pub fn store_key(key: &str, claim: &Claim) -> String {
-    let prefix = if stamp(key).is_some() { STAMPED } else { PREFIX };
+    let prefix = if stamp(key).is_some() {
+        TIMESTAMPED_PREFIX
+    } else {
+        PREFIX
+    };
     format!("{prefix}{}", hex::encode(claim))
 }
 
 /// Refuses keys that are malformed, too old or too far ahead.
 pub fn check(now: Moment, key: &str) -> Result<(), Refusal> {
     let printable = key.bytes().all(|c| (0x21..0x7f).contains(&c));
-    if key.is_empty() || key.len() > KEY_BYTES || !printable || key.starts_with(crate::ticket::PREFIX) {
+    if key.is_empty() || key.len() > MAX_KEY_BYTES || !printable || key.starts_with(crate::ticket::PREFIX) {
         return Err(Kind::BadIdempotencyKey.into());
     }
     let Some(stamp) = stamp(key) else {
         return Ok(());
     };
-    if stamp > now.wall + AHEAD.as_millis() as u64 {
+    if stamp > now.wall + MAX_CLOCK_SKEW.as_millis() as u64 {
         return Err(Refusal::new(Kind::BadIdempotencyKey).detail("its time stamp lies ahead"));
     }
-    if stamp + (HORIZON.as_millis() as u64) < now.wall {
+    if stamp + (MAX_KEY_AGE.as_millis() as u64) < now.wall {
         return Err(Kind::KeyExpired.into());
     }
     Ok(())
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -42,12 +42,14 @@
         let Call::Swap { key, .. } = call else {
             return None;
         };
-        if !key.starts_with(claim::STAMPED) && !key.starts_with(calls::TOMBSTONE) {
+        if !key.starts_with(claim::TIMESTAMPED_PREFIX) && !key.starts_with(calls::TOMBSTONE) {
             return None;
         }
         let mut held = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if held.is_none_or(|(_, since)| since.elapsed() >= SHARE) {
-            *held = client.grant(claim::LEASE + SHARE).map(|id| (id, Instant::now()));
+            *held = client
+                .grant(claim::LEASE_TTL + SHARE)
+                .map(|id| (id, Instant::now()));
         }
         held.map(|(id, _)| id)
     }
