--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -15,9 +15,9 @@
 use crate::time::Moment;
 
 /// How long a ticket may be used after its issue.
-pub const TICKET_LIFE: Duration = Duration::from_secs(900);
+pub const TICKET_LIFETIME: Duration = Duration::from_secs(900);
 /// How long a record is kept after its ticket's life, to repeat the answer.
-pub const RECORD_LIFE: Duration = Duration::from_secs(1_800);
+pub const RECORD_RETENTION: Duration = Duration::from_secs(1_800);
 /// Most tickets in one answer.
 pub const TICKETS_A_CALL: u32 = 64;
 /// Most records in memory; past it no ticket is issued.
@@ -313,7 +313,7 @@
         }
         self.pruned = now;
         let old = |record: &Record| {
-            matches!(record.state, State::Ended { .. }) && now.since(record.issued) >= RECORD_LIFE
+            matches!(record.state, State::Ended { .. }) && now.since(record.issued) >= RECORD_RETENTION
         };
         let spent = self.claims.iter().filter(|(_, record)| old(record));
         self.spent.extend(spent.map(|(claim, _)| *claim));
@@ -326,7 +326,7 @@
     fn prune(&mut self, now: Moment) {
         while let Some(front) = self.tickets.front() {
             let running = matches!(front.state, State::Running { .. });
-            if running || now.since(front.issued) < TICKET_LIFE + RECORD_LIFE {
+            if running || now.since(front.issued) < TICKET_LIFETIME + RECORD_RETENTION {
                 return;
             }
             self.tickets.pop_front();
@@ -366,7 +366,7 @@
 fn begin(now: Moment, call: Call, key: Key, record: &mut Record, body: u64, sealed: bool) -> Verdict {
     match &mut record.state {
         State::Open
-            if sealed || (matches!(key, Key::Ticket(_)) && now.since(record.issued) >= TICKET_LIFE) =>
+            if sealed || (matches!(key, Key::Ticket(_)) && now.since(record.issued) >= TICKET_LIFETIME) =>
         {
             record.state = State::Ended { body, end: End::Void };
             Verdict::Refuse(Kind::KeyClosed.into())
