--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -19,17 +19,17 @@
 /// How long a record is kept after its ticket's life, to repeat the answer.
 pub const RECORD_RETENTION: Duration = Duration::from_secs(1_800);
 /// Most tickets in one answer.
-pub const TICKETS_A_CALL: u32 = 64;
+pub const MAX_TICKETS_PER_REQUEST: u32 = 64;
 /// Most records in memory; past it no ticket is issued.
-pub const RECORDS: usize = 60_000;
+pub const MAX_TICKET_RECORDS: usize = 60_000;
 /// Most claims with a record in memory; past it no claim is made.
-pub const CLAIMS: usize = 20_000;
+pub const MAX_CLAIM_RECORDS: usize = 20_000;
 /// Most claims remembered without their answer; past it no claim is made.
-pub const SPENT: usize = 500_000;
+pub const MAX_SPENT_CLAIMS: usize = 500_000;
 /// How often claims are pruned.
 const PRUNE: Duration = Duration::from_secs(10);
 /// Longest answer kept for repetition, in bytes.
-pub const ANSWER_BYTES: usize = 4 * 1024;
+pub const MAX_ANSWER_BYTES: usize = 4 * 1024;
 
 /// A claimed key: the first half of a SHA-256 over customer and key.
 pub type Claim = [u8; 16];
@@ -135,8 +135,8 @@
         if self.closing {
             return Err(Kind::Stopping.into());
         }
-        let count = count.clamp(1, TICKETS_A_CALL);
-        if self.tickets.len() + count as usize > RECORDS {
+        let count = count.clamp(1, MAX_TICKETS_PER_REQUEST);
+        if self.tickets.len() + count as usize > MAX_TICKET_RECORDS {
             return Err(Refusal::new(Kind::Overloaded).after(Duration::from_secs(5)));
         }
         Ok((0..count).map(|_| self.issue_one(now, customer)).collect())
@@ -216,13 +216,16 @@
 
     /// Whether another claim can be recorded.
     pub fn has_room(&self) -> bool {
-        !self.closing && self.claims.len() < CLAIMS && self.spent.len() < SPENT
+        !self.closing && self.claims.len() < MAX_CLAIM_RECORDS && self.spent.len() < MAX_SPENT_CLAIMS
     }
 
     /// Records an end; returns the copies that wait for it.
     pub fn end(&mut self, key: Key, mut end: End) -> Vec<Call> {
         if let End::Ran(answer) = &mut end
-            && answer.body.as_ref().is_some_and(|body| body.len() > ANSWER_BYTES)
+            && answer
+                .body
+                .as_ref()
+                .is_some_and(|body| body.len() > MAX_ANSWER_BYTES)
         {
             answer.body = None;
         }
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -164,7 +164,7 @@
     let count = value.get("count").and_then(serde_json::Value::as_u64);
     count
         .and_then(|count| u32::try_from(count).ok())
-        .filter(|count| (1..=radishstair_core::at_most_once::TICKETS_A_CALL).contains(count))
+        .filter(|count| (1..=radishstair_core::at_most_once::MAX_TICKETS_PER_REQUEST).contains(count))
         .ok_or_else(|| Refusal::new(Kind::BadRequest).detail("count: a whole number from 1 to 64"))
 }
 
