--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -57,7 +57,7 @@
 
 plain! {
     /// How a run ended.
-    pub enum End {
+    pub enum Completion {
         /// The runner answered.
         Ran(Answer),
         /// Bytes went out and no whole answer came back.
@@ -87,7 +87,7 @@
     enum State {
         Open,
         Running { body: u64, waiting: Vec<Call> },
-        Ended { body: u64, end: End },
+        Ended { body: u64, end: Completion },
     }
 }
 
@@ -220,8 +220,8 @@
     }
 
     /// Records an end; returns the copies that wait for it.
-    pub fn end(&mut self, key: Key, mut end: End) -> Vec<Call> {
-        if let End::Ran(answer) = &mut end
+    pub fn end(&mut self, key: Key, mut end: Completion) -> Vec<Call> {
+        if let Completion::Ran(answer) = &mut end
             && answer
                 .body
                 .as_ref()
@@ -266,8 +266,16 @@
     pub fn seal(&mut self) -> Tombstone {
         self.closing = true;
         self.sealed = true;
-        let used =
-            |record: &Record| !matches!(record.state, State::Open | State::Ended { end: End::Void, .. });
+        let used = |record: &Record| {
+            !matches!(
+                record.state,
+                State::Open
+                    | State::Ended {
+                        end: Completion::Void,
+                        ..
+                    }
+            )
+        };
         let claims = self.claims.iter().filter(|(_, record)| used(record));
         Tombstone {
             claims: claims
@@ -371,7 +379,10 @@
         State::Open
             if sealed || (matches!(key, Key::Ticket(_)) && now.since(record.issued) >= TICKET_LIFETIME) =>
         {
-            record.state = State::Ended { body, end: End::Void };
+            record.state = State::Ended {
+                body,
+                end: Completion::Void,
+            };
             Verdict::Refuse(Kind::KeyClosed.into())
         }
         State::Open => {
@@ -384,7 +395,7 @@
         State::Running { body: have, .. }
         | State::Ended {
             body: have,
-            end: End::Ran(_) | End::Unknown,
+            end: Completion::Ran(_) | Completion::Unknown,
         } if *have != body => Verdict::Refuse(Kind::KeyReused.into()),
         State::Running { waiting, .. } => {
             waiting.push(call);
@@ -394,10 +405,10 @@
     }
 }
 
-fn replay(end: &End) -> Verdict {
+fn replay(end: &Completion) -> Verdict {
     match end {
-        End::Ran(answer) => Verdict::Replay(answer.clone()),
-        End::Unknown => Verdict::Refuse(Kind::UpstreamBroken.into()),
-        End::Void => Verdict::Refuse(Kind::KeyClosed.into()),
+        Completion::Ran(answer) => Verdict::Replay(answer.clone()),
+        Completion::Unknown => Verdict::Refuse(Kind::UpstreamBroken.into()),
+        Completion::Void => Verdict::Refuse(Kind::KeyClosed.into()),
     }
 }
--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use crate::at_most_once::{End, Key, Verdict};
+use crate::at_most_once::{Completion, Key, Verdict};
 use crate::config::view::View;
 use crate::dispatch::{Assignment, Outcome, Policy, Submission};
 use crate::error::Refusal;
@@ -78,7 +78,7 @@
         /// A copy of an at-most-once call came.
         Begin { call: Call, customer: String, once: String, body: u64 },
         /// An at-most-once call ended.
-        End { key: Key, end: End },
+        End { key: Key, end: Completion },
         /// The owner of a call cannot be reached.
         Away { call: Call, owner: Incarnation, key: Key },
         /// A call seeks a runner.
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
-use radishstair_core::at_most_once::{End, Verdict};
+use radishstair_core::at_most_once::{Completion, Verdict};
 use radishstair_core::id::Call;
 use radishstair_core::kernel::{Action, Event, Kernel, Reply};
 use radishstair_core::store;
@@ -135,7 +135,10 @@
     fn take_back(&mut self, unheard: Reply) {
         match unheard {
             Reply::Start(start) => self.step(Event::Forget(start.call)),
-            Reply::Verdict(Verdict::Run(key)) => self.step(Event::End { key, end: End::Void }),
+            Reply::Verdict(Verdict::Run(key)) => self.step(Event::End {
+                key,
+                end: Completion::Void,
+            }),
             _ => {}
         }
     }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
 use hyper::{Request, Response};
-use radishstair_core::at_most_once::{End, Key, Verdict};
+use radishstair_core::at_most_once::{Completion, Key, Verdict};
 use radishstair_core::claim;
 use radishstair_core::config::Mode;
 use radishstair_core::config::view::{Route, View};
@@ -235,11 +235,11 @@
         let mut plain = Plain::new(self, job, true);
         match attempts::run(&mut plain).await {
             Ok(answered) => {
-                self.end(key, End::Ran(kept(&answered)));
+                self.end(key, Completion::Ran(kept(&answered)));
                 Ok(self.answered(job, answered))
             }
             Err(refusal) if plain.tries.ran() => {
-                self.end(key, End::Unknown);
+                self.end(key, Completion::Unknown);
                 Err(refusal)
             }
             // Not a byte went out.
@@ -248,11 +248,11 @@
     }
 
     fn void(&self, key: Key, refusal: Refusal) -> Refusal {
-        self.end(key, End::Void);
+        self.end(key, Completion::Void);
         refusal
     }
 
-    fn end(&self, key: Key, end: End) {
+    fn end(&self, key: Key, end: Completion) {
         self.handle.tell(Event::End { key, end });
     }
 
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -11,7 +11,7 @@
 
 use anyhow::Result;
 use argh::FromArgs;
-use radishstair_core::at_most_once::{Answer, End, Records, Verdict};
+use radishstair_core::at_most_once::{Answer, Completion, Records, Verdict};
 use radishstair_core::config::change::{self, Entry, Op, Section};
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Customer, Document, Key, Labels, check};
@@ -264,7 +264,7 @@
         };
         if let Verdict::Run(key) = records.begin_ticket(now, Call(call), &ticket, "customer-0001", call) {
             let body = Some("x".repeat(200));
-            records.end(key, End::Ran(Answer { status: 200, body }));
+            records.end(key, Completion::Ran(Answer { status: 200, body }));
         }
     }
     tell("tickets_with_answers", 20_000);
--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -9,7 +9,7 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use radishstair_core::at_most_once::{Answer, End, Records, Verdict};
+use radishstair_core::at_most_once::{Answer, Completion, Records, Verdict};
 use radishstair_core::error::Kind;
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
@@ -182,7 +182,7 @@
     };
     records.end(
         key,
-        End::Ran(Answer {
+        Completion::Ran(Answer {
             status: 200,
             body: None,
         }),
--- a/tests/suite/calls/postings.rs
+++ b/tests/suite/calls/postings.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use radishstair_core::at_most_once::{Answer, End, Key, Verdict};
+use radishstair_core::at_most_once::{Answer, Completion, Key, Verdict};
 use radishstair_core::error::{Kind, Ran, Refusal, Repeat};
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
@@ -269,14 +269,14 @@
             return;
         }
         let end = match self.world.rng.random_range(0..10) {
-            0 | 1 => End::Void,
+            0 | 1 => Completion::Void,
             2 => {
                 self.runs.push((posting, key.clone()));
-                End::Unknown
+                Completion::Unknown
             }
             _ => {
                 self.runs.push((posting, key.clone()));
-                End::Ran(Answer {
+                Completion::Ran(Answer {
                     status: 200,
                     body: Some(posting.to_string()),
                 })
@@ -288,9 +288,9 @@
         };
         self.world.handle(node, event);
         match end {
-            End::Ran(_) => self.ran(posting),
-            End::Unknown => self.refuse(posting, &key, &Kind::UpstreamBroken.into()),
-            End::Void => self.refuse(posting, &key, &Kind::NoRunner.into()),
+            Completion::Ran(_) => self.ran(posting),
+            Completion::Unknown => self.refuse(posting, &key, &Kind::UpstreamBroken.into()),
+            Completion::Void => self.refuse(posting, &key, &Kind::NoRunner.into()),
         }
     }
 
