--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -36,7 +36,7 @@
 plain! {
     /// Why no further runner gets a request.
     #[derive(Copy, Eq)]
-    pub enum Bar {
+    pub enum Denial {
         /// It may have run, and runs at most once.
         MayHaveRun,
         /// The caller's or the route's time is over.
@@ -50,15 +50,15 @@
     }
 }
 
-impl Bar {
+impl Denial {
     /// Name in the log.
     pub fn name(self) -> &'static str {
         match self {
-            Bar::MayHaveRun => "may-have-run",
-            Bar::TimeOver => "time-over",
-            Bar::AttemptsSpent => "attempts-spent",
-            Bar::BudgetSpent => "budget-spent",
-            Bar::Unreachable => "unreachable",
+            Denial::MayHaveRun => "may-have-run",
+            Denial::TimeOver => "time-over",
+            Denial::AttemptsSpent => "attempts-spent",
+            Denial::BudgetSpent => "budget-spent",
+            Denial::Unreachable => "unreachable",
         }
     }
 }
@@ -105,25 +105,25 @@
         fault: Fault,
         over: bool,
         budget: impl FnOnce() -> bool,
-    ) -> Option<Bar> {
+    ) -> Option<Denial> {
         match fault {
             Fault::Unreachable => {
                 self.unreachable += 1;
-                return (self.unreachable >= rule.unreachable).then_some(Bar::Unreachable);
+                return (self.unreachable >= rule.unreachable).then_some(Denial::Unreachable);
             }
             Fault::NotRun => {}
             Fault::Broken => self.ran = true,
         }
         if self.ran && rule.once {
-            return Some(Bar::MayHaveRun);
+            return Some(Denial::MayHaveRun);
         }
         if over {
-            return Some(Bar::TimeOver);
+            return Some(Denial::TimeOver);
         }
         if self.sent >= rule.attempts {
-            return Some(Bar::AttemptsSpent);
+            return Some(Denial::AttemptsSpent);
         }
-        (!budget()).then_some(Bar::BudgetSpent)
+        (!budget()).then_some(Denial::BudgetSpent)
     }
 
     /// What was sent has not left after all.
--- a/tests/suite/repeat.rs
+++ b/tests/suite/repeat.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{TestResult, quickcheck};
 use radishstair_core::error::{Kind, Ran, Refusal};
-use radishstair_core::retry::{Bar, Fault, Rule, Tries};
+use radishstair_core::retry::{Denial, Fault, Rule, Tries};
 
 const POSTING: Rule = Rule {
     once: true,
@@ -23,7 +23,7 @@
     let untouched = || panic!("the budget is asked for nothing");
     assert_eq!(
         tries.fail(&POSTING, Fault::Broken, false, untouched),
-        Some(Bar::MayHaveRun)
+        Some(Denial::MayHaveRun)
     );
 }
 
@@ -37,7 +37,7 @@
         tries.send();
         ends.push(tries.fail(&POSTING, Fault::NotRun, false, || true));
     }
-    assert_eq!(ends, [None, None, Some(Bar::AttemptsSpent)]);
+    assert_eq!(ends, [None, None, Some(Denial::AttemptsSpent)]);
     assert!(!tries.ran());
 }
 
@@ -53,7 +53,7 @@
     }
     assert_eq!(
         tries.fail(&LOOK_UP, Fault::Unreachable, true, untouched),
-        Some(Bar::Unreachable)
+        Some(Denial::Unreachable)
     );
     assert_eq!((tries.sent(), tries.ran()), (0, false));
 }
@@ -65,8 +65,8 @@
     tries.send();
     let fail =
         |tries: &mut Tries<u32>, over, budget: bool| tries.fail(&LOOK_UP, Fault::Broken, over, || budget);
-    assert_eq!(fail(&mut tries, true, true), Some(Bar::TimeOver));
-    assert_eq!(fail(&mut tries, false, false), Some(Bar::BudgetSpent));
+    assert_eq!(fail(&mut tries, true, true), Some(Denial::TimeOver));
+    assert_eq!(fail(&mut tries, false, false), Some(Denial::BudgetSpent));
     assert_eq!(fail(&mut tries, false, true), None);
 }
 
