--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -65,14 +65,14 @@
 
 /// What one request has tried; `K` names a runner.
 #[derive(Clone, Debug)]
-pub struct Tries<K> {
+pub struct History<K> {
     tried: Vec<K>,
     sent: u32,
     unreachable: u32,
     ran: bool,
 }
 
-impl<K> Default for Tries<K> {
+impl<K> Default for History<K> {
     fn default() -> Self {
         Self {
             tried: Vec::new(),
@@ -83,7 +83,7 @@
     }
 }
 
-impl<K> Tries<K> {
+impl<K> History<K> {
     /// A runner was chosen.
     pub fn choose(&mut self, runner: K) {
         self.tried.push(runner);
--- a/crates/entry/src/front/call/plain.rs
+++ b/crates/entry/src/front/call/plain.rs
@@ -4,7 +4,7 @@
 
 use radishstair_core::dispatch::Assignment;
 use radishstair_core::error::{Kind, Refusal, Repeat};
-use radishstair_core::retry::{Fault, Rule, Tries};
+use radishstair_core::retry::{Fault, History, Rule};
 use radishstair_core::runner;
 
 use super::{Answered, Caller, Job};
@@ -23,7 +23,7 @@
     job: &'a Job,
     rule: Rule,
     /// What it has tried.
-    pub tries: Tries<runner::Key>,
+    pub tries: History<runner::Key>,
     /// How the last attempt ended.
     last: Refusal,
 }
@@ -40,7 +40,7 @@
             caller,
             job,
             rule,
-            tries: Tries::default(),
+            tries: History::default(),
             last: Kind::NoRunner.into(),
         }
     }
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -12,7 +12,7 @@
 use radishstair_core::error::{Kind, Ran, Refusal};
 use radishstair_core::id::Call;
 use radishstair_core::kernel::{Event, Reply};
-use radishstair_core::retry::{Fault, Rule, Tries};
+use radishstair_core::retry::{Fault, History, Rule};
 use radishstair_core::runner;
 use radishstair_core::usage::Record;
 use serde_json::Value;
@@ -73,7 +73,7 @@
     job: &'a Job,
     state: &'a mut Progress,
     pieces: &'a Pieces,
-    tries: Tries<runner::Key>,
+    tries: History<runner::Key>,
     /// How the last attempt ended.
     last: Refusal,
 }
@@ -142,7 +142,7 @@
             job: &self,
             state: &mut state,
             pieces: &pieces,
-            tries: Tries::default(),
+            tries: History::default(),
             last: Kind::NoRunner.into(),
         };
         let outcome = attempts::run(&mut chat).await;
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tries {
     /// Runners, and whether it may have run.
-    pub runs: retry::Tries<Key>,
+    pub runs: retry::History<Key>,
     /// Id of the runner that was chosen last.
     pub last: Option<String>,
     /// Runners that this one was chosen among.
--- a/tests/suite/repeat.rs
+++ b/tests/suite/repeat.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{TestResult, quickcheck};
 use radishstair_core::error::{Kind, Ran, Refusal};
-use radishstair_core::retry::{Denial, Fault, Rule, Tries};
+use radishstair_core::retry::{Denial, Fault, History, Rule};
 
 const POSTING: Rule = Rule {
     once: true,
@@ -18,7 +18,7 @@
 /// and another runner got it: never, whatever budget is left.
 #[test]
 fn what_may_have_run_once_is_not_sent_again() {
-    let mut tries = Tries::<u32>::default();
+    let mut tries = History::<u32>::default();
     tries.send();
     let untouched = || panic!("the budget is asked for nothing");
     assert_eq!(
@@ -31,7 +31,7 @@
 /// one; what was refused by as many runners as the route allows ends there.
 #[test]
 fn what_has_not_run_goes_on_up_to_the_attempts() {
-    let mut tries = Tries::<u32>::default();
+    let mut tries = History::<u32>::default();
     let mut ends = Vec::new();
     for _ in 0..3 {
         tries.send();
@@ -46,7 +46,7 @@
 /// four of them in a row end the search.
 #[test]
 fn unreachable_runners_spend_nothing() {
-    let mut tries = Tries::<u32>::default();
+    let mut tries = History::<u32>::default();
     let untouched = || panic!("nothing was sent");
     for _ in 0..3 {
         assert_eq!(tries.fail(&LOOK_UP, Fault::Unreachable, true, untouched), None);
@@ -61,10 +61,10 @@
 /// A look-up is sent on after its caller's time, or without budget: a retry storm.
 #[test]
 fn repeats_need_time_and_budget() {
-    let mut tries = Tries::<u32>::default();
+    let mut tries = History::<u32>::default();
     tries.send();
     let fail =
-        |tries: &mut Tries<u32>, over, budget: bool| tries.fail(&LOOK_UP, Fault::Broken, over, || budget);
+        |tries: &mut History<u32>, over, budget: bool| tries.fail(&LOOK_UP, Fault::Broken, over, || budget);
     assert_eq!(fail(&mut tries, true, true), Some(Denial::TimeOver));
     assert_eq!(fail(&mut tries, false, false), Some(Denial::BudgetSpent));
     assert_eq!(fail(&mut tries, false, true), None);
@@ -74,7 +74,7 @@
 /// runner broke off, and no second one is to be had: the refusal must leave it open.
 #[test]
 fn a_refusal_after_a_run_leaves_it_open() {
-    let mut tries = Tries::<u32>::default();
+    let mut tries = History::<u32>::default();
     let none = || Refusal::new(Kind::NoRunner);
     assert_eq!(tries.refuse(none()).ran, Ran::NotRun);
     tries.send();
@@ -87,7 +87,7 @@
     /// again after it may have run, and none is sent more often than allowed.
     fn no_order_of_faults_breaks_a_rule(faults: Vec<u8>, once: bool, attempts: u8) -> TestResult {
         let rule = Rule { once, attempts: u32::from(attempts % 4) + 1, unreachable: 4 };
-        let mut tries = Tries::<usize>::default();
+        let mut tries = History::<usize>::default();
         for (at, fault) in faults.iter().enumerate() {
             if (once && tries.ran()) || tries.sent() >= rule.attempts {
                 return TestResult::failed();
