--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -16,7 +16,7 @@
 use crate::member::Me;
 use crate::order::Order;
 use crate::peer::{Card, Collect, Collected, Heartbeat, Pull, Pulled, ZoneSummary};
-use crate::runner::Listed;
+use crate::runner::Listing;
 use crate::store::{self, Token};
 use crate::ticket::Secret;
 use crate::time::Moment;
@@ -102,7 +102,7 @@
         /// A host sent its usage.
         Collected(Collected),
         /// The platform's list.
-        Listed(Vec<Listed>),
+        Listed(Vec<Listing>),
         /// The usage interface answered.
         Reported(bool),
         /// The ordering interface answered.
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -33,7 +33,7 @@
 
 record! {
     /// A runner as the platform lists it.
-    pub struct Listed {
+    pub struct Listing {
         /// Its name.
         pub name: String,
         /// Its pool.
@@ -54,7 +54,7 @@
     /// One runner.
     pub struct Runner {
         /// As listed.
-        pub listed: Listed,
+        pub listed: Listing,
         /// This host's calls on it.
         pub running: u32,
         /// Its peers' calls on it.
@@ -112,7 +112,7 @@
 
 impl Runners {
     /// Takes the platform's list.
-    pub fn list(&mut self, listed: Vec<Listed>) {
+    pub fn list(&mut self, listed: Vec<Listing>) {
         for runner in &mut self.arena {
             runner.gone = true;
         }
@@ -125,7 +125,7 @@
         self.index();
     }
 
-    fn relist(&mut self, key: Key, item: Listed) {
+    fn relist(&mut self, key: Key, item: Listing) {
         let runner = &mut self.arena[key.index()];
         // A new address under an old name is a new process: what was known
         // of the former one no longer counts.
@@ -139,7 +139,7 @@
         runner.gone = false;
     }
 
-    fn add(&mut self, item: Listed) {
+    fn add(&mut self, item: Listing) {
         let key = Key(self.arena.len() as u32);
         let at = self.names.partition_point(|(name, _)| *name < item.name);
         self.names.insert(at, (item.name.clone(), key));
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -17,7 +17,7 @@
 use radishstair_core::config::{Customer, Document, Key, Labels, check};
 use radishstair_core::dispatch::{Dispatcher, Outcome, Policy, Submission};
 use radishstair_core::id::{Call, Incarnation};
-use radishstair_core::runner::Listed;
+use radishstair_core::runner::Listing;
 use radishstair_core::time::Moment;
 use radishstair_core::usage::{Meter, Record};
 
@@ -64,9 +64,9 @@
     Ok(())
 }
 
-fn listed(count: usize, zones: usize) -> Vec<Listed> {
+fn listed(count: usize, zones: usize) -> Vec<Listing> {
     (0..count)
-        .map(|at| Listed {
+        .map(|at| Listing {
             name: format!("runner-{at:04}"),
             pool: format!("pool-{}", at % 9),
             zone: format!("zone-{}", at % zones),
--- a/crates/load/src/deploy.rs
+++ b/crates/load/src/deploy.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context, Result};
 use radishstair_core::record;
-use radishstair_core::runner::Listed;
+use radishstair_core::runner::Listing;
 use serde_json::{Value, json};
 
 record! {
@@ -106,7 +106,7 @@
                         &mut addresses.plain
                     };
                     seen.push(address);
-                    listed.push(Listed {
+                    listed.push(Listing {
                         name: name.clone(),
                         pool: runners.pool.clone(),
                         zone: zone.clone(),
--- a/crates/load/src/play/engine.rs
+++ b/crates/load/src/play/engine.rs
@@ -2,13 +2,13 @@
 
 use std::collections::VecDeque;
 
-use radishstair_core::runner::Listed;
+use radishstair_core::runner::Listing;
 
 use crate::scenario::Scenario;
 
 /// A runner in memory.
 pub struct Engine {
-    pub listed: Listed,
+    pub listed: Listing,
     pub fleet: usize,
     pub running: Vec<usize>,
     pub queue: Vec<usize>,
@@ -31,7 +31,7 @@
         for zone in &scenario.zones {
             for number in 0..plan.each {
                 engines.push(Engine {
-                    listed: Listed {
+                    listed: Listing {
                         name: format!("{}-{zone}-{number}", plan.pool),
                         pool: plan.pool.clone(),
                         zone: zone.clone(),
--- a/crates/load/src/play/faults.rs
+++ b/crates/load/src/play/faults.rs
@@ -2,7 +2,7 @@
 
 use radishstair_core::dispatch::Outcome;
 use radishstair_core::id::Incarnation;
-use radishstair_core::runner::Listed;
+use radishstair_core::runner::Listing;
 
 use super::engine::belongs;
 use super::{Event, MS, Play};
@@ -114,7 +114,7 @@
 
     /// The list, which does not know yet who has just gone.
     pub(super) fn relist(&mut self) {
-        let all: Vec<Listed> = self.engines.iter().map(|engine| engine.listed.clone()).collect();
+        let all: Vec<Listing> = self.engines.iter().map(|engine| engine.listed.clone()).collect();
         for host in &mut self.hosts {
             host.runners.list(all.clone());
         }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -16,7 +16,7 @@
 use oxhttp::model::{Body, Request, Response, StatusCode};
 use radishstair_core::order::Order;
 use radishstair_core::record;
-use radishstair_core::runner::Listed;
+use radishstair_core::runner::Listing;
 use radishstair_core::units::Span;
 use radishstair_wire::platform::{Get, Hosts, Item, Lease, Report};
 use serde_with::serde_as;
@@ -47,10 +47,10 @@
     pub boot: Duration,
     /// Runners that are listed from the start.
     #[serde(default)]
-    pub runners: Vec<Listed>,
+    pub runners: Vec<Listing>,
     /// Runners that an order may add.
     #[serde(default)]
-    pub spares: Vec<Listed>,
+    pub spares: Vec<Listing>,
     /// Pools whose orders are checked for fencing numbers.
     #[serde(default)]
     pub fenced: Vec<String>,
@@ -136,7 +136,7 @@
     stale: Option<BTreeMap<String, Value>>,
     version: u64,
     leases: BTreeMap<u64, (Duration, Instant)>,
-    list: Vec<(Instant, u64, Vec<Listed>)>,
+    list: Vec<(Instant, u64, Vec<Listing>)>,
     revision: u64,
     fences: BTreeMap<(String, String), u64>,
     faults: BTreeMap<usize, Fault>,
@@ -290,7 +290,7 @@
     }
 
     /// A new list, to be seen after a while.
-    fn publish(&self, state: &mut State, runners: Vec<Listed>, after: Duration) {
+    fn publish(&self, state: &mut State, runners: Vec<Listing>, after: Duration) {
         state.revision += 1;
         let revision = state.revision;
         state.list.push((Instant::now() + after, revision, runners));
@@ -334,12 +334,12 @@
 
     /// The list after an order: spares join until the count is met, and the
     /// last of the pool in that zone go.
-    fn ordered(&self, state: &State, order: &Order) -> Vec<Listed> {
+    fn ordered(&self, state: &State, order: &Order) -> Vec<Listing> {
         let mut runners = state
             .list
             .last()
             .map_or(Vec::new(), |(.., runners)| runners.clone());
-        let belongs = |item: &Listed| item.pool == order.pool && item.zone == order.zone;
+        let belongs = |item: &Listing| item.pool == order.pool && item.zone == order.zone;
         let mut have = runners.iter().filter(|item| belongs(item)).count();
         for spare in self.settings.spares.iter().filter(|item| belongs(item)) {
             if have < order.count as usize && !runners.iter().any(|item| item.name == spare.name) {
@@ -347,7 +347,7 @@
                 have += 1;
             }
         }
-        let spare = |item: &Listed| self.settings.spares.iter().any(|spare| spare.name == item.name);
+        let spare = |item: &Listing| self.settings.spares.iter().any(|spare| spare.name == item.name);
         while have > order.count as usize {
             let Some(at) = runners.iter().rposition(|item| belongs(item) && spare(item)) else {
                 break;
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -10,7 +10,7 @@
 
 use anyhow::{Context, Result};
 use radishstair_core::record;
-use radishstair_core::runner::Listed;
+use radishstair_core::runner::Listing;
 use radishstair_core::store::{Answer, Call, Entry};
 use serde::{Serialize, de::DeserializeOwned};
 
@@ -108,7 +108,7 @@
         /// Revision of the list.
         pub revision: u64,
         /// All runners; absent when nothing changed since `after`.
-        pub runners: Option<Vec<Listed>>,
+        pub runners: Option<Vec<Listing>>,
     }
 }
 record! {
--- a/tests/suite/duties.rs
+++ b/tests/suite/duties.rs
@@ -2,7 +2,7 @@
 
 use radishstair_core::dispatch::Submission;
 use radishstair_core::kernel::Event;
-use radishstair_core::runner::Listed;
+use radishstair_core::runner::Listing;
 use rand::RngExt;
 
 use crate::schedule::{all_hold, some_fail};
@@ -39,7 +39,7 @@
 }
 
 fn list(world: &mut World, at: usize) {
-    let runners = ["a", "b"].map(|zone| Listed {
+    let runners = ["a", "b"].map(|zone| Listing {
         name: format!("r-{zone}"),
         pool: "p".into(),
         zone: zone.into(),
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -10,7 +10,7 @@
 use radishstair_core::error::Kind;
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::reservation::Secret;
-use radishstair_core::runner::Listed;
+use radishstair_core::runner::Listing;
 use radishstair_core::time::Moment;
 use radishstair_load::measure::Measure;
 use radishstair_load::play::play;
@@ -136,7 +136,7 @@
 fn dispatch_by(policy: Policy, document: &str, runners: &[(&str, &str, u32)]) -> Dispatcher {
     let mut dispatch = Dispatcher::new("a", 7, policy);
     dispatch.set_view(view(1, document));
-    let listed = |(pool, zone, slots): &(&str, &str, u32)| Listed {
+    let listed = |(pool, zone, slots): &(&str, &str, u32)| Listing {
         name: format!("{pool}-{zone}"),
         pool: pool.to_string(),
         zone: zone.to_string(),
