--- a/crates/core/src/config/view.rs
+++ b/crates/core/src/config/view.rs
@@ -8,7 +8,7 @@
 use super::{Class, Document, Mode, Pool, Selector, Tier};
 use crate::error::{Kind, Refusal};
 
-key! {
+arena_key! {
     /// A customer of the current view.
     CustomerKey(u16)
 }
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -28,7 +28,7 @@
     }
 }
 
-key! {
+arena_key! {
     /// One call in this process, new for each attempt at a decision.
     Call(u64)
 }
--- a/crates/core/src/macros.rs
+++ b/crates/core/src/macros.rs
@@ -28,7 +28,7 @@
 
 /// Declares a small `Copy` key into an arena.
 #[macro_export]
-macro_rules! key {
+macro_rules! arena_key {
     ($(#[$meta:meta])* $name:ident($int:ty)) => {
         $(#[$meta])*
         #[derive(
--- a/crates/core/src/proxy/fleet.rs
+++ b/crates/core/src/proxy/fleet.rs
@@ -13,7 +13,7 @@
 
 pub use runner::{Idle, Listed, Load, Runner, Sign, Silence, Stage};
 
-key! {
+arena_key! {
     /// A runner in the fleet.
     Key(u32)
 }
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -11,7 +11,7 @@
 use crate::peer::Shares;
 use crate::time::Moment;
 
-key! {
+arena_key! {
     /// A runner in the table.
     Key(u32)
 }
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -4,7 +4,7 @@
 //! An answer may be lost after the write took effect: the caller of this
 //! module then reads back and compares the nonce it wrote.
 
-key! {
+arena_key! {
     /// Matches an answer to its call.
     Token(u64)
 }
