--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -17,7 +17,7 @@
 }
 
 /// How long first-hand news outweighs the list.
-pub const NEWS: Duration = Duration::from_secs(90);
+pub const LEAVING_TTL: Duration = Duration::from_secs(90);
 /// First rest of a runner that refused a connection or broke off.
 const REST: Duration = Duration::from_secs(1);
 /// Longest rest.
@@ -79,7 +79,7 @@
 
     /// Whether it leaves, by the list or first-hand.
     pub fn leaving(&self, now: Moment) -> bool {
-        self.listed.leaving || self.news.is_some_and(|news| now.since(news) < NEWS)
+        self.listed.leaving || self.news.is_some_and(|news| now.since(news) < LEAVING_TTL)
     }
 
     /// Share of its slots in use.
@@ -246,7 +246,7 @@
     /// Runners known first-hand to leave, for the peers.
     pub fn news(&self, now: Moment) -> Vec<String> {
         self.iter()
-            .filter(|runner| runner.news.is_some_and(|news| now.since(news) < NEWS / 2))
+            .filter(|runner| runner.news.is_some_and(|news| now.since(news) < LEAVING_TTL / 2))
             .map(|runner| runner.listed.name.clone())
             .collect()
     }
