--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -201,7 +201,7 @@
     }
 
     /// A call seeks a runner.
-    pub fn seek(&mut self, now: Moment, seek: Submission) -> Vec<Decision> {
+    pub fn submit(&mut self, now: Moment, seek: Submission) -> Vec<Decision> {
         self.decay(now);
         let call = seek.call;
         let Some(at) = self.lane(&seek) else {
@@ -285,7 +285,7 @@
     }
 
     /// A waiting call whose caller went away.
-    pub fn forget(&mut self, call: Call) {
+    pub fn cancel(&mut self, call: Call) {
         for lane in &mut self.lanes {
             if lane.remove(call) {
                 self.waiting -= 1;
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -81,7 +81,7 @@
             Event::Seek(seek) => {
                 let at = self.seeking.partition_point(|(call, _)| *call < seek.call);
                 self.seeking.insert(at, (seek.call, seek.clone()));
-                self.inner.seek(now, seek.clone())
+                self.inner.submit(now, seek.clone())
             }
             Event::Release { call, outcome } => match self.take_running(*call) {
                 Some((_, seek, runner)) => self.inner.release(now, &seek, runner, outcome),
@@ -123,7 +123,7 @@
     /// runner's place is given back then, or it would stay taken for ever.
     fn forget(&mut self, now: Moment, call: Call) -> Vec<Decision> {
         self.take_seeking(call);
-        self.inner.forget(call);
+        self.inner.cancel(call);
         match self.take_running(call) {
             Some((_, seek, runner)) => {
                 self.inner
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -136,7 +136,7 @@
         stuck.pools = vec!["full".to_string()].into();
         stuck.tier = "t0".into();
         if waiting > 0 {
-            dispatch.seek(now, stuck);
+            dispatch.submit(now, stuck);
         }
     }
     let rounds = 20_000;
@@ -146,7 +146,7 @@
     for call in 0..rounds {
         now = now + std::time::Duration::from_micros(200);
         let wanted = seek(call);
-        for decision in dispatch.seek(now, wanted.clone()) {
+        for decision in dispatch.submit(now, wanted.clone()) {
             if let radishstair_core::dispatch::Decision::Start(start) = decision {
                 started += 1;
                 running.push_back((wanted.clone(), start.runner));
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -251,7 +251,7 @@
         let host = item.host;
         self.jobs[job].seek = Some(seek.clone());
         let now = self.moment();
-        let decisions = self.hosts[host].seek(now, seek);
+        let decisions = self.hosts[host].submit(now, seek);
         self.decide(decisions);
     }
 
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -185,9 +185,12 @@
     let mut dispatch = dispatch(DOCUMENT, &[("full", "a", 1), ("free", "a", 4)]);
     let now = Moment::at_ms(1_000);
     for call in 0..1_000 {
-        dispatch.seek(now, seek(call, "best", "full"));
+        dispatch.submit(now, seek(call, "best", "full"));
     }
-    assert_eq!(started(&dispatch.seek(now, seek(5_000, "rest", "free"))), [5_000]);
+    assert_eq!(
+        started(&dispatch.submit(now, seek(5_000, "rest", "free"))),
+        [5_000]
+    );
 }
 
 /// A key is withdrawn while its call waits for a runner: it is refused at
@@ -197,11 +200,11 @@
     let mut dispatch = dispatch(DOCUMENT, &[("p", "a", 1)]);
     let now = Moment::at_ms(1_000);
     let first = seek(1, "best", "p");
-    let runner = match &dispatch.seek(now, first.clone())[..] {
+    let runner = match &dispatch.submit(now, first.clone())[..] {
         [Decision::Start(start)] => start.runner,
         other => panic!("{other:?}"),
     };
-    assert!(dispatch.seek(now, seek(2, "best", "p")).is_empty(), "it waits");
+    assert!(dispatch.submit(now, seek(2, "best", "p")).is_empty(), "it waits");
     let withdrawn = DOCUMENT.replace(
         "\"customer\": \"c\",",
         "\"customer\": \"c\", \"withdrawn\": true,",
@@ -225,7 +228,7 @@
     dispatch.runners.leave(now, "p-a");
     dispatch.set_hosts(1, 2, 0);
     for call in 0..3 {
-        let decisions = dispatch.seek(now + Duration::from_millis(call * 10), seek(call, "best", "p"));
+        let decisions = dispatch.submit(now + Duration::from_millis(call * 10), seek(call, "best", "p"));
         for decision in decisions {
             match decision {
                 Decision::Start(start) => assert_eq!(start.name, "p-b"),
@@ -237,7 +240,7 @@
     for name in dispatch.runners.news(now) {
         peer.runners.leave(now, &name);
     }
-    let decisions = peer.seek(now, seek(9, "best", "p"));
+    let decisions = peer.submit(now, seek(9, "best", "p"));
     assert!(
         matches!(&decisions[..], [Decision::Start(start)] if start.name == "p-b"),
         "{decisions:?}"
@@ -252,11 +255,11 @@
     let mut one = dispatch(DOCUMENT, &[("p", "a", 8)]);
     let mut two = dispatch(DOCUMENT, &[("p", "a", 8)]);
     let begun = (0..20)
-        .flat_map(|call| started(&one.seek(now, seek(call, "best", "p"))))
+        .flat_map(|call| started(&one.submit(now, seek(call, "best", "p"))))
         .count();
     two.runners.hear(now, Incarnation(1), &one.runners.shares());
     let more = (0..20)
-        .flat_map(|call| started(&two.seek(now, seek(call, "best", "p"))))
+        .flat_map(|call| started(&two.submit(now, seek(call, "best", "p"))))
         .count();
     assert_eq!((begun, more), (8, 0));
 }
@@ -267,7 +270,7 @@
 fn broken_without_first_hand_news() {
     let now = Moment::at_ms(1_000);
     let mut peer = dispatch(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
-    let decisions = peer.seek(now, seek(9, "best", "p"));
+    let decisions = peer.submit(now, seek(9, "best", "p"));
     assert!(
         matches!(&decisions[..], [Decision::Start(start)] if start.name == "p-a"),
         "without news the runner that leaves is chosen: {decisions:?}"
@@ -359,7 +362,7 @@
         if ms == 0 || ms == 1_000 {
             let at = usize::from(ms == 1_000);
             for call in ms..ms + 60 {
-                decisions.push((at, hosts[at].seek(now, seek(call, "rest", "p"))));
+                decisions.push((at, hosts[at].submit(now, seek(call, "rest", "p"))));
             }
         }
         let (ended, rest) = running.into_iter().partition(|(until, ..)| *until <= ms);
@@ -399,14 +402,17 @@
     };
     let at = |ms: u64| Moment::at_ms(1_000 + ms);
     dispatch.runners.hear(at(0), Incarnation(9), &mates);
-    assert!(dispatch.seek(at(0), seek(1, "best", "p")).is_empty(), "it waits");
     assert!(
-        dispatch.seek(at(300), seek(2, "best", "p")).is_empty(),
+        dispatch.submit(at(0), seek(1, "best", "p")).is_empty(),
+        "it waits"
+    );
+    assert!(
+        dispatch.submit(at(300), seek(2, "best", "p")).is_empty(),
         "too early to tell"
     );
     // All that waits is late by then, and would let new calls go first.
     dispatch.tick(at(1_400));
-    let refused = dispatch.seek(at(1_500), seek(3, "best", "p"));
+    let refused = dispatch.submit(at(1_500), seek(3, "best", "p"));
     let [Decision::Refuse(call, refusal)] = &refused[..] else {
         panic!("{refused:?}");
     };
@@ -417,7 +423,7 @@
     let mut back = seek(4, "best", "p");
     back.promised = true;
     let now = at(1_500) + after;
-    assert!(dispatch.seek(now, back).is_empty(), "it is taken in");
+    assert!(dispatch.submit(now, back).is_empty(), "it is taken in");
     dispatch
         .runners
         .hear(now, Incarnation(9), &radishstair_core::peer::Shares::default());
@@ -441,7 +447,7 @@
         // Calls take 100 ms on each of two slots; one comes every 50 ms, and four more
         // at the beginning.
         for more in 0..if step == 0 { 5 } else { 1 } {
-            let decisions = dispatch.seek(now, seek(step * 10 + more, "best", "p"));
+            let decisions = dispatch.submit(now, seek(step * 10 + more, "best", "p"));
             let refuses = |decision: &&Decision| matches!(decision, Decision::Refuse(..));
             refused += decisions.iter().filter(refuses).count();
             running.extend(started_at(&decisions, now));
