--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -331,7 +331,7 @@
     }
 
     /// Calls that wait, by tier.
-    pub fn queue(&self) -> impl Iterator<Item = (&str, usize)> {
+    pub fn waiting_by_tier(&self) -> impl Iterator<Item = (&str, usize)> {
         self.lanes.iter().map(|lane| (lane.name.as_str(), lane.len()))
     }
 
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -248,7 +248,7 @@
     pub fn describe(&self, now: Moment, status: &mut Status) {
         status.queue = self
             .inner
-            .queue()
+            .waiting_by_tier()
             .map(|(name, len)| (name.to_string(), len))
             .collect();
         let open = self
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -351,7 +351,7 @@
         if ms % 1_000 == 0 {
             for at in 0..2 {
                 let shares = hosts[at].runners.shares();
-                let waits = hosts[at].queue().any(|(_, length)| length > 0);
+                let waits = hosts[at].waiting_by_tier().any(|(_, length)| length > 0);
                 let mate = &mut hosts[1 - at];
                 mate.runners.hear(now, Incarnation(at as u64), &shares);
                 mate.set_waiting_mates(waits.then_some("p").into_iter());
