--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -189,7 +189,7 @@
     }
 
     /// Pools for which calls wait at zone mates; each mate names a pool once.
-    pub fn set_waiting_mates<'a>(&mut self, pools: impl Iterator<Item = &'a str>) {
+    pub fn set_waiting_peers<'a>(&mut self, pools: impl Iterator<Item = &'a str>) {
         let mut mates: Vec<(String, u32)> = Vec::new();
         for pool in pools {
             match mates.iter_mut().find(|(have, _)| have == pool) {
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -164,7 +164,7 @@
         let pools = waiting
             .filter(|waiting| waiting.count > 0)
             .map(|waiting| waiting.pool.as_str());
-        self.inner.set_waiting_mates(pools);
+        self.inner.set_waiting_peers(pools);
     }
 
     fn take_seeking(&mut self, call: Call) -> Option<Submission> {
--- a/crates/load/src/play/faults.rs
+++ b/crates/load/src/play/faults.rs
@@ -143,7 +143,7 @@
             let pools = mates
                 .flat_map(|mate| &waiting[mate])
                 .map(|(pool, _)| pool.as_str());
-            self.hosts[other].set_waiting_mates(pools);
+            self.hosts[other].set_waiting_peers(pools);
         }
     }
 }
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -354,7 +354,7 @@
                 let waits = hosts[at].waiting_by_tier().any(|(_, length)| length > 0);
                 let mate = &mut hosts[1 - at];
                 mate.runners.hear(now, Incarnation(at as u64), &shares);
-                mate.set_waiting_mates(waits.then_some("p").into_iter());
+                mate.set_waiting_peers(waits.then_some("p").into_iter());
             }
         }
         let mut decisions: Vec<(usize, Vec<Decision>)> = Vec::new();
