--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -50,13 +50,13 @@
         /// Pools that may run it.
         pub pools: Arc<[String]>,
         /// Most tokens that it may generate; 1 for plain calls.
-        pub tokens: u32,
+        pub max_tokens: u32,
         /// Hash of the prompt's beginning, for prefix caches.
-        pub prefix: Option<u64>,
+        pub prefix_hash: Option<u64>,
         /// Runners that already failed it.
         pub avoid: Vec<Key>,
         /// It comes back at the time that it was promised.
-        pub promised: bool,
+        pub reserved: bool,
     }
 }
 
--- a/crates/core/src/dispatch/admission.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -27,7 +27,7 @@
     /// Refuses a call that would miss its target, by the rate at which
     /// its lane and those before it have been starting.
     pub(super) fn refuse_early(&mut self, now: Moment, at: usize, seek: &Submission) -> Option<Refusal> {
-        if seek.promised && self.policy.promises() {
+        if seek.reserved && self.policy.promises() {
             return None;
         }
         let tier = self.tier(at);
--- a/crates/core/src/dispatch/placement.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -271,7 +271,7 @@
         all: impl Fn() -> I,
         best: Key,
     ) -> Key {
-        let Some(prefix) = seek.prefix.filter(|_| self.policy.affinity()) else {
+        let Some(prefix) = seek.prefix_hash.filter(|_| self.policy.affinity()) else {
             return best;
         };
         let home = all().max_by_key(|key| id::weight(prefix, u64::from(key.0)));
--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -126,7 +126,7 @@
     /// A call waits.
     pub fn push(&mut self, item: Entry) {
         self.len += 1;
-        if item.seek.promised {
+        if item.seek.reserved {
             self.back.push_back(item);
             return;
         }
@@ -358,7 +358,7 @@
     }
 
     fn expected(&self, seek: &Submission) -> f64 {
-        let most = f64::from(seek.tokens);
+        let most = f64::from(seek.max_tokens);
         let learned = self.lengths.binary_search_by(|(class, _)| class.cmp(&seek.class));
         learned.map_or(most, |at| self.lengths[at].1.min(most))
     }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -350,10 +350,10 @@
             key: job.key.clone(),
             class: job.route.class.clone(),
             pools: job.route.pools.clone(),
-            tokens: 1,
-            prefix: None,
+            max_tokens: 1,
+            prefix_hash: None,
             avoid: avoid.to_vec(),
-            promised: job.promised,
+            reserved: job.promised,
         };
         let waiting = Waiting {
             handle: &self.handle,
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -170,10 +170,10 @@
             key: self.key.clone(),
             class: self.route.class.clone(),
             pools: self.route.pools.clone(),
-            tokens: self.limit.saturating_sub(state.usage.tokens).max(1),
-            prefix: Some(self.prefix),
+            max_tokens: self.limit.saturating_sub(state.usage.tokens).max(1),
+            prefix_hash: Some(self.prefix),
             avoid: avoid.to_vec(),
-            promised: self.promised,
+            reserved: self.promised,
         };
         let reply = self.handle.ask(call, Event::Seek(seek));
         tokio::select! {
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -110,10 +110,10 @@
         key: format!("customer-{:04}-key-0", call % 50),
         class: "class".into(),
         pools: vec![format!("pool-{}", call % 9)].into(),
-        tokens: 200,
-        prefix: Some(call % 97),
+        max_tokens: 200,
+        prefix_hash: Some(call % 97),
         avoid: Vec::new(),
-        promised: false,
+        reserved: false,
     }
 }
 
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -243,10 +243,10 @@
             key: customer.clone(),
             class: traffic.class.clone(),
             pools,
-            tokens: if traffic.tokens == 0.0 { 1 } else { MOST_TOKENS },
-            prefix: (traffic.tokens > 0.0).then_some(item.prefix),
+            max_tokens: if traffic.tokens == 0.0 { 1 } else { MOST_TOKENS },
+            prefix_hash: (traffic.tokens > 0.0).then_some(item.prefix),
             avoid: item.avoid.clone(),
-            promised: item.promised,
+            reserved: item.promised,
         };
         let host = item.host;
         self.jobs[job].seek = Some(seek.clone());
--- a/tests/suite/duties.rs
+++ b/tests/suite/duties.rs
@@ -29,10 +29,10 @@
             key: "k".into(),
             class: "x".into(),
             pools: vec!["p".to_string()].into(),
-            tokens: 10,
-            prefix: None,
+            max_tokens: 10,
+            prefix_hash: None,
             avoid: Vec::new(),
-            promised: false,
+            reserved: false,
         };
         world.handle(at, Event::Seek(seek));
     }
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -163,10 +163,10 @@
         key: "k".into(),
         class: "x".into(),
         pools: vec![pool.to_string()].into(),
-        tokens: 100,
-        prefix: None,
+        max_tokens: 100,
+        prefix_hash: None,
         avoid: Vec::new(),
-        promised: false,
+        reserved: false,
     }
 }
 
@@ -421,7 +421,7 @@
     let after = refusal.after.expect("a time to come back");
     assert!(after <= Duration::from_secs(5), "{after:?}");
     let mut back = seek(4, "best", "p");
-    back.promised = true;
+    back.reserved = true;
     let now = at(1_500) + after;
     assert!(dispatch.submit(now, back).is_empty(), "it is taken in");
     dispatch
