--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -65,18 +65,18 @@
     #[allow(missing_docs)]
     pub enum Outcome {
         /// A whole answer.
-        Whole {
+        Completed {
             /// Generated tokens.
             tokens: u32,
             /// Milliseconds a token.
             pace: f64,
         },
         /// The caller went away; says nothing of the runner.
-        Dropped { tokens: u32 },
+        Cancelled { tokens: u32 },
         /// The connection was refused: no byte went out.
-        Refused,
+        ConnectionRefused,
         /// It broke off or answered wrongly.
-        Broken { tokens: u32 },
+        Failed { tokens: u32 },
     }
 }
 
@@ -263,22 +263,22 @@
         self.runners.finish(runner);
         self.running = self.running.saturating_sub(1);
         let tokens = match outcome {
-            Outcome::Whole { tokens, pace } => {
+            Outcome::Completed { tokens, pace } => {
                 self.runners.record_success(runner, *pace);
                 *tokens
             }
-            Outcome::Dropped { tokens } => *tokens,
-            Outcome::Refused => {
+            Outcome::Cancelled { tokens } => *tokens,
+            Outcome::ConnectionRefused => {
                 self.runners.record_failure(now, runner);
                 0
             }
-            Outcome::Broken { tokens } => {
+            Outcome::Failed { tokens } => {
                 self.runners.record_failure(now, runner);
                 *tokens
             }
         };
         if let Some(at) = self.lane(seek) {
-            let whole = matches!(outcome, Outcome::Whole { .. });
+            let whole = matches!(outcome, Outcome::Completed { .. });
             self.lanes[at].settle(seek, tokens, whole);
         }
         self.place(now)
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -127,7 +127,7 @@
         match self.take_running(call) {
             Some((_, seek, runner)) => {
                 self.inner
-                    .release(now, &seek, runner, &Outcome::Dropped { tokens: 0 })
+                    .release(now, &seek, runner, &Outcome::Cancelled { tokens: 0 })
             }
             None => Vec::new(),
         }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -369,7 +369,7 @@
         let running = Running {
             handle: &self.handle,
             call: start.call,
-            outcome: Outcome::Dropped { tokens: 0 },
+            outcome: Outcome::Cancelled { tokens: 0 },
         };
         let id = format!("call-{}-{}", self.handle.me, start.call.0);
         let outgoing = Outgoing {
@@ -380,9 +380,9 @@
         let exchange = tokio::time::timeout(ANSWER, self.exchange(start, &outgoing, alone)).await;
         let result = exchange.unwrap_or_else(|_| Err((Failure::Broken, Kind::UpstreamTimeout.into())));
         running.finish(match &result {
-            Ok(_) => Outcome::Whole { tokens: 1, pace: 0.0 },
-            Err((Failure::NotSent, _)) => Outcome::Refused,
-            Err((Failure::Broken, _)) => Outcome::Broken { tokens: 0 },
+            Ok(_) => Outcome::Completed { tokens: 1, pace: 0.0 },
+            Err((Failure::NotSent, _)) => Outcome::ConnectionRefused,
+            Err((Failure::Broken, _)) => Outcome::Failed { tokens: 0 },
         });
         result
     }
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -195,15 +195,15 @@
         let attempt = self.stream(start, state, pieces).await;
         let tokens = state.usage.tokens - before;
         let outcome = match &attempt {
-            Ok(()) => Outcome::Whole {
+            Ok(()) => Outcome::Completed {
                 tokens,
                 pace: began.elapsed().as_secs_f64() * 1_000.0 / f64::from(tokens.max(1)),
             },
-            Err(End::CallerGone) => Outcome::Dropped { tokens },
+            Err(End::CallerGone) => Outcome::Cancelled { tokens },
             Err(End::Refused(refusal)) => match refusal.kind {
-                Kind::KeyWithdrawn => Outcome::Dropped { tokens },
-                Kind::NoRunner => Outcome::Refused,
-                _ => Outcome::Broken { tokens },
+                Kind::KeyWithdrawn => Outcome::Cancelled { tokens },
+                Kind::NoRunner => Outcome::ConnectionRefused,
+                _ => Outcome::Failed { tokens },
             },
         };
         self.release(start.call, outcome);
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -155,7 +155,7 @@
         if running.len() > 120
             && let Some((seek, runner)) = running.pop_front()
         {
-            let outcome = Outcome::Whole {
+            let outcome = Outcome::Completed {
                 tokens: 200,
                 pace: 50.0,
             };
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -277,7 +277,7 @@
         self.jobs[job].priority = start.priority;
         self.jobs[job].tries += 1;
         if self.engines[engine].gone {
-            self.release(job, &Outcome::Refused);
+            self.release(job, &Outcome::ConnectionRefused);
             self.again(job);
             return;
         }
@@ -334,7 +334,7 @@
         let pace = self.jobs[job].span as f64 / MS as f64 / f64::from(made.max(1));
         self.vacate(engine, job);
         self.measure.work(&self.engines[engine].listed.pool, made);
-        self.release(job, &Outcome::Whole { tokens: made, pace });
+        self.release(job, &Outcome::Completed { tokens: made, pace });
         let plain = self.scenario.traffic[self.jobs[job].traffic].tokens == 0.0;
         let first = if plain {
             self.now
--- a/crates/load/src/play/faults.rs
+++ b/crates/load/src/play/faults.rs
@@ -103,11 +103,11 @@
             self.jobs[job].done += made.min(left.saturating_sub(1));
             self.measure.work(&pool, made);
             self.measure.broken_by_reclaim += 1;
-            self.release(job, &Outcome::Broken { tokens: made });
+            self.release(job, &Outcome::Failed { tokens: made });
             self.again(job);
         }
         for job in queued {
-            self.release(job, &Outcome::Refused);
+            self.release(job, &Outcome::ConnectionRefused);
             self.again(job);
         }
     }
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -214,7 +214,7 @@
         matches!(&refused[..], [Decision::Refuse(Call(2), refusal)] if refusal.kind == Kind::KeyWithdrawn),
         "{refused:?}"
     );
-    let outcome = Outcome::Whole { tokens: 1, pace: 1.0 };
+    let outcome = Outcome::Completed { tokens: 1, pace: 1.0 };
     assert!(dispatch.release(now, &first, runner, &outcome).is_empty());
 }
 
@@ -368,7 +368,7 @@
         let (ended, rest) = running.into_iter().partition(|(until, ..)| *until <= ms);
         running = rest;
         for (_, at, seek, key) in ended {
-            let whole = Outcome::Whole {
+            let whole = Outcome::Completed {
                 tokens: 10,
                 pace: 50.0,
             };
@@ -457,7 +457,7 @@
             .is_some_and(|(_, _, since)| now.since(*since).as_millis() >= 100)
         {
             let (call, runner, _) = running.pop_front().expect("there is one");
-            let whole = Outcome::Whole {
+            let whole = Outcome::Completed {
                 tokens: 10,
                 pace: 10.0,
             };
