--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -69,7 +69,7 @@
             /// Generated tokens.
             tokens: u32,
             /// Milliseconds a token.
-            pace: f64,
+            ms_per_token: f64,
         },
         /// The caller went away; says nothing of the runner.
         Cancelled { tokens: u32 },
@@ -263,7 +263,10 @@
         self.runners.finish(runner);
         self.running = self.running.saturating_sub(1);
         let tokens = match outcome {
-            Outcome::Completed { tokens, pace } => {
+            Outcome::Completed {
+                tokens,
+                ms_per_token: pace,
+            } => {
                 self.runners.record_success(runner, *pace);
                 *tokens
             }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -380,7 +380,10 @@
         let exchange = tokio::time::timeout(ANSWER, self.exchange(start, &outgoing, alone)).await;
         let result = exchange.unwrap_or_else(|_| Err((Failure::Broken, Kind::UpstreamTimeout.into())));
         running.finish(match &result {
-            Ok(_) => Outcome::Completed { tokens: 1, pace: 0.0 },
+            Ok(_) => Outcome::Completed {
+                tokens: 1,
+                ms_per_token: 0.0,
+            },
             Err((Failure::NotSent, _)) => Outcome::ConnectionRefused,
             Err((Failure::Broken, _)) => Outcome::Failed { tokens: 0 },
         });
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -197,7 +197,7 @@
         let outcome = match &attempt {
             Ok(()) => Outcome::Completed {
                 tokens,
-                pace: began.elapsed().as_secs_f64() * 1_000.0 / f64::from(tokens.max(1)),
+                ms_per_token: began.elapsed().as_secs_f64() * 1_000.0 / f64::from(tokens.max(1)),
             },
             Err(End::CallerGone) => Outcome::Cancelled { tokens },
             Err(End::Refused(refusal)) => match refusal.kind {
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -157,7 +157,7 @@
         {
             let outcome = Outcome::Completed {
                 tokens: 200,
-                pace: 50.0,
+                ms_per_token: 50.0,
             };
             dispatch.release(now, &seek, runner, &outcome);
         }
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -334,7 +334,13 @@
         let pace = self.jobs[job].span as f64 / MS as f64 / f64::from(made.max(1));
         self.vacate(engine, job);
         self.measure.work(&self.engines[engine].listed.pool, made);
-        self.release(job, &Outcome::Completed { tokens: made, pace });
+        self.release(
+            job,
+            &Outcome::Completed {
+                tokens: made,
+                ms_per_token: pace,
+            },
+        );
         let plain = self.scenario.traffic[self.jobs[job].traffic].tokens == 0.0;
         let first = if plain {
             self.now
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -214,7 +214,10 @@
         matches!(&refused[..], [Decision::Refuse(Call(2), refusal)] if refusal.kind == Kind::KeyWithdrawn),
         "{refused:?}"
     );
-    let outcome = Outcome::Completed { tokens: 1, pace: 1.0 };
+    let outcome = Outcome::Completed {
+        tokens: 1,
+        ms_per_token: 1.0,
+    };
     assert!(dispatch.release(now, &first, runner, &outcome).is_empty());
 }
 
@@ -370,7 +373,7 @@
         for (_, at, seek, key) in ended {
             let whole = Outcome::Completed {
                 tokens: 10,
-                pace: 50.0,
+                ms_per_token: 50.0,
             };
             decisions.push((at, hosts[at].release(now, &seek, key, &whole)));
         }
@@ -459,7 +462,7 @@
             let (call, runner, _) = running.pop_front().expect("there is one");
             let whole = Outcome::Completed {
                 tokens: 10,
-                pace: 10.0,
+                ms_per_token: 10.0,
             };
             let decisions = dispatch.release(now, &seek(call, "best", "p"), runner, &whole);
             running.extend(started_at(&decisions, now));
