--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -304,7 +304,7 @@
         let mut out = Vec::new();
         for at in 0..self.lanes.len() {
             self.lanes[at].forget_promises(now);
-            if self.policy.timely() {
+            if self.policy.defers_late() {
                 self.lanes[at].set_aside(now);
             }
             for item in self.lanes[at].expire(now) {
@@ -356,8 +356,13 @@
     /// Lanes under their floor first, then by priority.
     fn next_lane(&self, blocked: &[bool]) -> Option<usize> {
         let open = |at: &usize| !blocked[*at] && !self.lanes[*at].is_empty();
-        let rank = |at: &usize| (!self.starved(*at), self.policy.priority(self.tier(*at).priority));
-        match self.policy.classes() {
+        let rank = |at: &usize| {
+            (
+                !self.starved(*at),
+                self.policy.effective_priority(self.tier(*at).priority),
+            )
+        };
+        match self.policy.uses_tiers() {
             true => (0..self.lanes.len()).filter(open).min_by_key(rank),
             false => (0..self.lanes.len())
                 .filter(open)
@@ -369,7 +374,7 @@
     fn starved(&self, at: usize) -> bool {
         let floor = f64::from(self.tier(at).floor);
         let all: f64 = self.rivals(at).map(|other| self.lanes[other].starts()).sum();
-        self.policy.floors() && self.lanes[at].starts() * 100.0 < floor * all
+        self.policy.enforces_floors() && self.lanes[at].starts() * 100.0 < floor * all
     }
 
     /// Lanes that want the same runners, this one included.
@@ -438,7 +443,7 @@
         // An idle host starts nothing because nobody calls. Counted, the first calls of
         // a burst foretold waits of many seconds and had the rest refused.
         let idle = self.waiting == 0 && self.running == 0;
-        let counted = if idle && self.policy.yields() {
+        let counted = if idle && self.policy.yields_to_peers() {
             0.0
         } else {
             seconds
--- a/crates/core/src/dispatch/admission.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -27,17 +27,17 @@
     /// Refuses a call that would miss its target, by the rate at which
     /// its lane and those before it have been starting.
     pub(super) fn refuse_early(&mut self, now: Moment, at: usize, seek: &Submission) -> Option<Refusal> {
-        if seek.reserved && self.policy.promises() {
+        if seek.reserved && self.policy.reserves_retries() {
             return None;
         }
         let tier = self.tier(at);
         let (patience, protected) = (tier.patience, tier.protected);
-        let limit = match self.policy.by_target() {
-            true => tier.target.mul_f64(self.policy.margin()).min(patience),
+        let limit = match self.policy.rejects_by_target() {
+            true => tier.target.mul_f64(self.policy.target_fraction()).min(patience),
             false => patience,
         };
         let wait = self.expected_wait(now, at, &seek.customer, limit);
-        let hopeless = self.policy.early() && wait.is_some_and(|wait| wait > limit);
+        let hopeless = self.policy.rejects_early() && wait.is_some_and(|wait| wait > limit);
         if !hopeless && (protected || self.waiting < WAITING) {
             return None;
         }
@@ -79,7 +79,7 @@
             self.lanes[at].waiting_of(customer),
             self.lanes[at].starts_of(customer),
         );
-        if self.policy.timely() && queued > 0 && pace >= 1.0 {
+        if self.policy.defers_late() && queued > 0 && pace >= 1.0 {
             wait = wait.max(queued as f64 * self.span / pace);
         }
         Some(Duration::from_secs_f64(wait.min(LONGEST_WAIT)))
@@ -95,7 +95,7 @@
     /// says too little: a host that has just started has two long calls and no pace.
     fn stuck(&self, now: Moment, at: usize) -> Option<Duration> {
         let lane = &self.lanes[at];
-        let hardly = self.policy.yields() && lane.starts() < STARTS_KNOWN;
+        let hardly = self.policy.yields_to_peers() && lane.starts() < STARTS_KNOWN;
         let oldest = lane.oldest().filter(|_| hardly);
         oldest.map(|since| now.since(since))
     }
@@ -108,7 +108,7 @@
     /// nothing is promised.
     fn promise(&mut self, now: Moment, at: usize, customer: &str, least: Duration) -> Option<Duration> {
         let starts = self.lanes[at].starts();
-        if !self.policy.promises() {
+        if !self.policy.reserves_retries() {
             return None;
         }
         let pace = match starts < STARTS_KNOWN {
--- a/crates/core/src/dispatch/placement.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -69,79 +69,79 @@
 
 impl Policy {
     /// Whether tiers matter.
-    pub fn classes(self) -> bool {
+    pub fn uses_tiers(self) -> bool {
         !matches!(self, Policy::Fifo | Policy::LeastLoad | Policy::RoundRobin)
     }
 
     /// Whether customers take turns by tokens.
-    pub fn fair(self) -> bool {
-        self.classes()
+    pub fn is_fair(self) -> bool {
+        self.uses_tiers()
     }
 
     /// Whether floors count.
-    pub fn floors(self) -> bool {
-        self.classes() && self != Policy::NoFloors
+    pub fn enforces_floors(self) -> bool {
+        self.uses_tiers() && self != Policy::NoFloors
     }
 
     /// Whether hopeless calls are refused on arrival.
-    pub fn early(self) -> bool {
-        self.classes() && self != Policy::NoEarly
+    pub fn rejects_early(self) -> bool {
+        self.uses_tiers() && self != Policy::NoEarly
     }
 
     /// Whether room on a runner depends on the tiers that share its pool.
-    pub fn tiered(self) -> bool {
-        self.classes() && self != Policy::First
+    pub fn reserves_per_tier(self) -> bool {
+        self.uses_tiers() && self != Policy::First
     }
 
     /// Whether calls are refused that would miss their target.
-    pub fn by_target(self) -> bool {
-        self.early() && !matches!(self, Policy::First | Policy::Tiered)
+    pub fn rejects_by_target(self) -> bool {
+        self.rejects_early() && !matches!(self, Policy::First | Policy::Tiered)
     }
 
     /// Whether room is kept for callers that were told when to come back.
-    pub fn promises(self) -> bool {
-        matches!(self, Policy::Promising) || self.yields()
+    pub fn reserves_retries(self) -> bool {
+        matches!(self, Policy::Promising) || self.yields_to_peers()
     }
 
     /// Whether a host leaves room to mates that wait.
-    pub fn yields(self) -> bool {
+    pub fn yields_to_peers(self) -> bool {
         matches!(self, Policy::Full | Policy::NoAffinity | Policy::NoFloors)
     }
 
     /// Whether better tiers may queue at the engine.
     pub fn overbooks(self) -> bool {
-        !self.shares_far()
+        !self.shares_remote()
     }
 
     /// Whether runners of other zones are given out in parts.
-    pub fn shares_far(self) -> bool {
-        self.promises() || self == Policy::Shared
+    pub fn shares_remote(self) -> bool {
+        self.reserves_retries() || self == Policy::Shared
     }
 
     /// Whether waits are foretold by customer and late calls go last.
-    pub fn timely(self) -> bool {
-        self.shares_far() || self == Policy::Timely
+    pub fn defers_late(self) -> bool {
+        self.shares_remote() || self == Policy::Timely
     }
 
     /// Part of the target that a foretold wait may take. A queue that is let
     /// grow to the whole target serves everyone just as it passes.
-    pub fn margin(self) -> f64 {
-        if self.timely() { MARGIN } else { 1.0 }
+    pub fn target_fraction(self) -> f64 {
+        if self.defers_late() { MARGIN } else { 1.0 }
     }
 
     /// Whether a reserve is kept for protected tiers.
-    pub fn reserve(self) -> bool {
-        self.classes()
+    pub fn keeps_reserve(self) -> bool {
+        self.uses_tiers()
     }
 
     /// Whether prompts stay with their runners.
-    pub fn affinity(self) -> bool {
-        self.classes() && self != Policy::NoAffinity
+    pub fn uses_affinity(self) -> bool {
+        self.uses_tiers() && self != Policy::NoAffinity
     }
 
     /// Priority of a tier under this policy.
-    pub fn priority(self, tier: u8) -> u8 {
-        if self.classes() { tier } else { 0 }
+    pub fn effective_priority(self, tier: u8) -> u8 {
+        if self.uses_tiers() { tier } else { 0 }
     }
 }
 
@@ -271,7 +271,7 @@
         all: impl Fn() -> I,
         best: Key,
     ) -> Key {
-        let Some(prefix) = seek.prefix_hash.filter(|_| self.policy.affinity()) else {
+        let Some(prefix) = seek.prefix_hash.filter(|_| self.policy.uses_affinity()) else {
             return best;
         };
         let home = all().max_by_key(|key| id::weight(prefix, u64::from(key.0)));
@@ -308,7 +308,7 @@
     }
 
     fn fits(&self, runner: &Runner, reach: Reach) -> bool {
-        let far = self.policy.shares_far();
+        let far = self.policy.shares_remote();
         let room = match reach {
             Reach::Far if far => self.room_far(runner),
             Reach::Alone if far => self.room(runner).min(self.even_share(runner)),
@@ -322,7 +322,7 @@
         let races = far && reach == Reach::Near && !self.protected && self.rivals_at(runner).better;
         let taken = runner.running + runner.others;
         let wins = !races || runner.fresh < self.share_of_free(room, taken, runner.fresh);
-        let yields = self.policy.yields() && reach == Reach::Near && !self.protected;
+        let yields = self.policy.yields_to_peers() && reach == Reach::Near && !self.protected;
         let leaves_room = !yields || runner.running < self.share_beside_mates(runner, room);
         runner.open(self.now) && taken < room && wins && leaves_room
     }
@@ -382,10 +382,10 @@
         let slots = runner.listed.slots;
         let reserved = (slots * (100 - u32::from(self.reserve)) / 100).max(1);
         let overbooked = slots * OVERBOOKED_PERCENT / 100;
-        if !self.policy.reserve() {
+        if !self.policy.keeps_reserve() {
             return slots;
         }
-        if !self.policy.tiered() {
+        if !self.policy.reserves_per_tier() {
             return if self.protected { overbooked } else { reserved };
         }
         match self.rivals_at(runner) {
--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -260,7 +260,7 @@
     /// Customers whose turn it is, the first few.
     fn order(&self, policy: Policy) -> Vec<usize> {
         let since = |at: &usize| self.accounts[*at].queue.front().map(|head| head.since);
-        let compare = |a: &usize, b: &usize| match policy.fair() {
+        let compare = |a: &usize, b: &usize| match policy.is_fair() {
             true => self.accounts[*a].served.total_cmp(&self.accounts[*b].served),
             false => since(a).cmp(&since(b)),
         };
