--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -389,16 +389,16 @@
             zone: &self.zone,
             policy: self.policy,
             protected,
-            reserve: self.view.document.settings.reserve,
-            index: self.index,
-            near_hosts: self.near_hosts,
+            reserve_percent: self.view.document.settings.reserve,
+            host_index: self.index,
+            zone_hosts: self.near_hosts,
             hosts: self.hosts,
-            rivals: self.lanes[at].rivals.clone(),
-            waiting_mates: self.waiting_mates.clone(),
+            contention: self.lanes[at].rivals.clone(),
+            waiting_peers: self.waiting_mates.clone(),
         };
         let runners = &self.runners;
         let rng = &mut self.rng;
-        let (item, runner) = self.lanes[at].take(self.policy, |seek| chooser.choose(runners, rng, seek))?;
+        let (item, runner) = self.lanes[at].take(self.policy, |seek| chooser.pick(runners, rng, seek))?;
         self.waiting -= 1;
         self.running += 1;
         self.runners.start(runner);
--- a/crates/core/src/dispatch/placement.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -156,17 +156,17 @@
     /// Whether the tier is protected.
     pub protected: bool,
     /// Percent of a runner kept for better tiers.
-    pub reserve: u8,
+    pub reserve_percent: u8,
     /// This host's place among all live hosts.
-    pub index: usize,
+    pub host_index: usize,
     /// Entry hosts that are live in this zone.
-    pub near_hosts: usize,
+    pub zone_hosts: usize,
     /// Entry hosts that are live, of all zones.
     pub hosts: usize,
     /// Pools of the call, and who shares them.
-    pub rivals: Arc<[(String, Contention)]>,
+    pub contention: Arc<[(String, Contention)]>,
     /// Zone mates that have calls waiting, by pool.
-    pub waiting_mates: Arc<[(String, u32)]>,
+    pub waiting_peers: Arc<[(String, u32)]>,
 }
 
 /// Where the runners of a choice are.
@@ -191,7 +191,7 @@
 
 impl Picker<'_> {
     /// A runner with room, nearest zone first.
-    pub fn choose(&self, runners: &Runners, rng: &mut ChaCha8Rng, seek: &Submission) -> Option<Key> {
+    pub fn pick(&self, runners: &Runners, rng: &mut ChaCha8Rng, seek: &Submission) -> Option<Key> {
         let pools = || seek.pools.iter().flat_map(|pool| runners.pool(pool));
         let near = pools().filter(|(zone, _)| zone == self.zone);
         let far = pools().filter(|(zone, _)| zone != self.zone);
@@ -314,7 +314,7 @@
             Reach::Alone if far => self.room(runner).min(self.even_share(runner)),
             // A protected tier need not leave that part alone: waiting here
             // beside a free slot would be worse than sharing it.
-            Reach::Near if far && !self.protected && self.hosts > self.near_hosts => {
+            Reach::Near if far && !self.protected && self.hosts > self.zone_hosts => {
                 self.room(runner).saturating_sub(given_out(runner)).max(1)
             }
             Reach::Near | Reach::Far | Reach::Alone => self.room(runner),
@@ -336,7 +336,7 @@
     /// rest, so that no slot stays free for longer than its word takes.
     fn share_beside_mates(&self, runner: &Runner, room: u32) -> u32 {
         let pool = runner.listed.pool.as_str();
-        let mates = self.waiting_mates.iter().find(|(name, _)| name == pool);
+        let mates = self.waiting_peers.iter().find(|(name, _)| name == pool);
         room.div_ceil(mates.map_or(0, |(_, count)| *count) + 1)
     }
 
@@ -349,7 +349,7 @@
     fn room_far(&self, runner: &Runner) -> u32 {
         let hosts = self.hosts.max(1);
         let first = id::digest(runner.listed.name.as_bytes()) as usize % hosts;
-        let turn = (self.index + hosts - first) % hosts;
+        let turn = (self.host_index + hosts - first) % hosts;
         u32::from(turn < given_out(runner) as usize)
     }
 
@@ -358,12 +358,12 @@
     /// and together they would take the reserve of the better tiers as well.
     fn share_of_free(&self, room: u32, taken: u32, fresh: u32) -> u32 {
         let free = room.saturating_sub(taken.saturating_sub(fresh));
-        (free * HOST_SHARE_PERCENT / 100).div_ceil(self.near_hosts.max(1) as u32)
+        (free * HOST_SHARE_PERCENT / 100).div_ceil(self.zone_hosts.max(1) as u32)
     }
 
     fn rivals_at(&self, runner: &Runner) -> Contention {
         let pool = runner.listed.pool.as_str();
-        let rivals = self.rivals.iter().find(|(name, _)| *name == pool);
+        let rivals = self.contention.iter().find(|(name, _)| *name == pool);
         rivals.map_or(Contention::default(), |(_, rivals)| *rivals)
     }
 
@@ -380,7 +380,7 @@
     /// the foretold waits, and makes its whole tier late in a burst.
     fn room(&self, runner: &Runner) -> u32 {
         let slots = runner.listed.slots;
-        let reserved = (slots * (100 - u32::from(self.reserve)) / 100).max(1);
+        let reserved = (slots * (100 - u32::from(self.reserve_percent)) / 100).max(1);
         let overbooked = slots * OVERBOOKED_PERCENT / 100;
         if !self.policy.keeps_reserve() {
             return slots;
