--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -419,8 +419,8 @@
             let found = self.users.binary_search_by(|(have, _)| have.cmp(pool));
             let users = found.map_or(&[][..], |at| &self.users[at].1);
             placement::Contention {
-                better: users.iter().any(|other| *other < priority),
-                worse: users.iter().any(|other| *other > priority),
+                higher_priority: users.iter().any(|other| *other < priority),
+                lower_priority: users.iter().any(|other| *other > priority),
             }
         };
         let pools = self.lanes[at].place().1;
--- a/crates/core/src/dispatch/placement.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -184,9 +184,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Contention {
     /// One with a better priority.
-    pub better: bool,
+    pub higher_priority: bool,
     /// One with a worse priority.
-    pub worse: bool,
+    pub lower_priority: bool,
 }
 
 impl Picker<'_> {
@@ -319,7 +319,7 @@
             }
             Reach::Near | Reach::Far | Reach::Alone => self.room(runner),
         };
-        let races = far && reach == Reach::Near && !self.protected && self.rivals_at(runner).better;
+        let races = far && reach == Reach::Near && !self.protected && self.rivals_at(runner).higher_priority;
         let taken = runner.running + runner.others;
         let wins = !races || runner.fresh < self.share_of_free(room, taken, runner.fresh);
         let yields = self.policy.yields_to_peers() && reach == Reach::Near && !self.protected;
@@ -389,8 +389,13 @@
             return if self.protected { overbooked } else { reserved };
         }
         match self.rivals_at(runner) {
-            Contention { better: true, .. } if !self.protected => reserved,
-            Contention { worse: true, .. } if self.policy.overbooks() => overbooked,
+            Contention {
+                higher_priority: true,
+                ..
+            } if !self.protected => reserved,
+            Contention {
+                lower_priority: true, ..
+            } if self.policy.overbooks() => overbooked,
             _ if self.protected && self.policy.overbooks() => overbooked,
             Contention { .. } => slots,
         }
