--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -169,7 +169,7 @@
                 ),
                 None => (lane.drain_if(|_| true), Kind::NotSelected),
             };
-            let refuse = |item: Entry| Decision::Refuse(item.seek.call, kind.into());
+            let refuse = |item: Entry| Decision::Refuse(item.submission.call, kind.into());
             out.extend(refused.into_iter().map(refuse));
         }
         self.lanes.retain(|lane| lane.tier.is_some());
@@ -220,10 +220,10 @@
         }
         let (target, patience) = (self.tier(at).target, self.tier(at).patience);
         self.lanes[at].push(Entry {
-            seek,
-            since: now,
-            target: now + target,
-            until: now + patience,
+            submission: seek,
+            queued_at: now,
+            late_at: now + target,
+            expires_at: now + patience,
         });
         self.waiting += 1;
         self.place(now)
@@ -310,7 +310,7 @@
             for item in self.lanes[at].expire(now) {
                 self.waiting -= 1;
                 let refusal = Refusal::new(Kind::Late).after(self.back(Duration::from_secs(1)));
-                out.push(Decision::Refuse(item.seek.call, refusal));
+                out.push(Decision::Refuse(item.submission.call, refusal));
             }
         }
         out.extend(self.place(now));
@@ -404,7 +404,7 @@
         self.runners.start(runner);
         let listed = &self.runners.get(runner).listed;
         Some(Assignment {
-            call: item.seek.call,
+            call: item.submission.call,
             runner,
             name: listed.name.clone(),
             address: listed.address.clone(),
--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -25,13 +25,13 @@
     /// A call that waits.
     pub struct Entry {
         /// What it seeks.
-        pub seek: Submission,
+        pub submission: Submission,
         /// Since when.
-        pub since: Moment,
+        pub queued_at: Moment,
         /// Late if it starts past this.
-        pub target: Moment,
+        pub late_at: Moment,
         /// Refused past this.
-        pub until: Moment,
+        pub expires_at: Moment,
     }
 }
 
@@ -119,18 +119,18 @@
         heads
             .chain(late)
             .chain(self.back.front())
-            .map(|head| head.since)
+            .map(|head| head.queued_at)
             .min()
     }
 
     /// A call waits.
     pub fn push(&mut self, item: Entry) {
         self.len += 1;
-        if item.seek.reserved {
+        if item.submission.reserved {
             self.back.push_back(item);
             return;
         }
-        let at = self.account(&item.seek.customer);
+        let at = self.account(&item.submission.customer);
         if self.accounts[at].queue.is_empty() {
             self.accounts[at].served = self.accounts[at].served.max(self.level);
         }
@@ -151,7 +151,11 @@
     /// make the next ones late as well.
     pub fn set_aside(&mut self, now: Moment) {
         for account in &mut self.accounts {
-            while account.queue.front().is_some_and(|head| now.reached(head.target)) {
+            while account
+                .queue
+                .front()
+                .is_some_and(|head| now.reached(head.late_at))
+            {
                 account.late.extend(account.queue.pop_front());
             }
         }
@@ -211,10 +215,10 @@
             let Some(head) = self.accounts[at].queue.front() else {
                 continue;
             };
-            let Some(runner) = choose(&head.seek) else {
+            let Some(runner) = choose(&head.submission) else {
                 // All heads want the same pools: without a runner for one
                 // there is none for the others, unless it avoids some.
-                if head.seek.avoid.is_empty() {
+                if head.submission.avoid.is_empty() {
                     return None;
                 }
                 continue;
@@ -224,7 +228,7 @@
             self.starts += 1.0;
             self.accounts[at].starts += 1.0;
             self.level = self.level.max(self.accounts[at].served);
-            self.accounts[at].served += self.expected(&item.seek);
+            self.accounts[at].served += self.expected(&item.submission);
             return Some((item, runner));
         }
         None
@@ -232,24 +236,24 @@
 
     /// Takes a call that came back as promised.
     fn take_back(&mut self, choose: &mut impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
-        let runner = choose(&self.back.front()?.seek)?;
+        let runner = choose(&self.back.front()?.submission)?;
         let item = self.back.pop_front()?;
         self.len -= 1;
         self.starts += 1.0;
-        let at = self.account(&item.seek.customer);
+        let at = self.account(&item.submission.customer);
         self.accounts[at].starts += 1.0;
-        self.accounts[at].served += self.expected(&item.seek);
+        self.accounts[at].served += self.expected(&item.submission);
         Some((item, runner))
     }
 
     /// Takes the call that has been late for the longest; nothing that can be
     /// in time waits.
     fn take_late(&mut self, mut choose: impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
-        let late = |at: &usize| self.accounts[*at].late.front().map(|head| head.since);
+        let late = |at: &usize| self.accounts[*at].late.front().map(|head| head.queued_at);
         let at = (0..self.accounts.len())
             .filter(|at| late(at).is_some())
             .min_by_key(late)?;
-        let runner = choose(&self.accounts[at].late.front()?.seek)?;
+        let runner = choose(&self.accounts[at].late.front()?.submission)?;
         let item = self.accounts[at].late.pop_front()?;
         self.len -= 1;
         self.starts += 1.0;
@@ -259,7 +263,7 @@
 
     /// Customers whose turn it is, the first few.
     fn order(&self, policy: Policy) -> Vec<usize> {
-        let since = |at: &usize| self.accounts[*at].queue.front().map(|head| head.since);
+        let since = |at: &usize| self.accounts[*at].queue.front().map(|head| head.queued_at);
         let compare = |a: &usize, b: &usize| match policy.is_fair() {
             true => self.accounts[*a].served.total_cmp(&self.accounts[*b].served),
             false => since(a).cmp(&since(b)),
@@ -305,12 +309,12 @@
     /// Takes out the calls that waited too long.
     pub fn expire(&mut self, now: Moment) -> Vec<Entry> {
         let mut out = Vec::new();
-        while self.back.front().is_some_and(|head| now.reached(head.until)) {
+        while self.back.front().is_some_and(|head| now.reached(head.expires_at)) {
             out.extend(self.back.pop_front());
         }
         for account in &mut self.accounts {
             for queue in [&mut account.late, &mut account.queue] {
-                while queue.front().is_some_and(|head| now.reached(head.until)) {
+                while queue.front().is_some_and(|head| now.reached(head.expires_at)) {
                     out.extend(queue.pop_front());
                 }
             }
@@ -321,14 +325,14 @@
 
     /// Takes a call out by name.
     pub fn remove(&mut self, call: Call) -> bool {
-        if let Some(at) = self.back.iter().position(|item| item.seek.call == call) {
+        if let Some(at) = self.back.iter().position(|item| item.submission.call == call) {
             self.back.remove(at);
             self.len -= 1;
             return true;
         }
         for account in &mut self.accounts {
             for queue in [&mut account.late, &mut account.queue] {
-                if let Some(at) = queue.iter().position(|item| item.seek.call == call) {
+                if let Some(at) = queue.iter().position(|item| item.submission.call == call) {
                     queue.remove(at);
                     self.len -= 1;
                     return true;
@@ -342,13 +346,13 @@
     pub fn drain_if(&mut self, leaves: impl Fn(&Submission) -> bool) -> Vec<Entry> {
         let (mut out, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.back)
             .into_iter()
-            .partition(|item| leaves(&item.seek));
+            .partition(|item| leaves(&item.submission));
         self.back = rest.into();
         for account in &mut self.accounts {
             for queue in [&mut account.late, &mut account.queue] {
                 let (gone, rest): (Vec<_>, Vec<_>) = std::mem::take(queue)
                     .into_iter()
-                    .partition(|item| leaves(&item.seek));
+                    .partition(|item| leaves(&item.submission));
                 out.extend(gone);
                 *queue = rest.into();
             }
