--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -174,7 +174,7 @@
         }
         self.lanes.retain(|lane| lane.tier.is_some());
         for at in 0..self.lanes.len() {
-            self.lanes[at].rivals = self.pool_rivals(at);
+            self.lanes[at].contention = self.pool_rivals(at);
         }
         self.waiting -= out.len();
         out
@@ -207,7 +207,7 @@
         let Some(at) = self.lane(&seek) else {
             return vec![Decision::Refuse(call, Kind::NotSelected.into())];
         };
-        if !seek.avoid.is_empty() && !self.lanes[at].spend_retry() {
+        if !seek.avoid.is_empty() && !self.lanes[at].take_retry() {
             let refusal = Refusal::new(Kind::Overloaded).after(self.back(Duration::from_secs(1)));
             return vec![Decision::Refuse(call, refusal)];
         }
@@ -235,11 +235,11 @@
         let tier = self.view.document.tiers.position(&seek.tier)?;
         let place = (seek.tier.as_str(), &seek.pools[..]);
         Some(
-            match self.lanes.binary_search_by(|lane| lane.place().cmp(&place)) {
+            match self.lanes.binary_search_by(|lane| lane.sort_key().cmp(&place)) {
                 Ok(at) => at,
                 Err(at) => {
                     self.lanes.insert(at, Queue::new(seek, tier));
-                    self.lanes[at].rivals = self.pool_rivals(at);
+                    self.lanes[at].contention = self.pool_rivals(at);
                     at
                 }
             },
@@ -282,7 +282,7 @@
         };
         if let Some(at) = self.lane(seek) {
             let whole = matches!(outcome, Outcome::Completed { .. });
-            self.lanes[at].settle(seek, tokens, whole);
+            self.lanes[at].record_usage(seek, tokens, whole);
         }
         self.place(now)
     }
@@ -305,7 +305,7 @@
         for at in 0..self.lanes.len() {
             self.lanes[at].forget_promises(now);
             if self.policy.defers_late() {
-                self.lanes[at].set_aside(now);
+                self.lanes[at].defer_late(now);
             }
             for item in self.lanes[at].expire(now) {
                 self.waiting -= 1;
@@ -321,7 +321,7 @@
     pub fn waiting_by_pool(&self) -> Vec<(String, u32)> {
         let mut all: Vec<(String, u32)> = Vec::new();
         for lane in self.lanes.iter().filter(|lane| !lane.is_empty()) {
-            let Some(pool) = lane.place().1.first() else {
+            let Some(pool) = lane.sort_key().1.first() else {
                 continue;
             };
             let count = lane.len() as u32;
@@ -366,7 +366,7 @@
             true => (0..self.lanes.len()).filter(open).min_by_key(rank),
             false => (0..self.lanes.len())
                 .filter(open)
-                .min_by_key(|at| self.lanes[*at].oldest()),
+                .min_by_key(|at| self.lanes[*at].oldest_since()),
         }
     }
 
@@ -393,7 +393,7 @@
             host_index: self.index,
             zone_hosts: self.near_hosts,
             hosts: self.hosts,
-            contention: self.lanes[at].rivals.clone(),
+            contention: self.lanes[at].contention.clone(),
             waiting_peers: self.waiting_mates.clone(),
         };
         let runners = &self.runners;
@@ -423,7 +423,7 @@
                 lower_priority: users.iter().any(|other| *other > priority),
             }
         };
-        let pools = self.lanes[at].place().1;
+        let pools = self.lanes[at].sort_key().1;
         pools.iter().map(|pool| (pool.clone(), rivals(pool))).collect()
     }
 
--- a/crates/core/src/dispatch/admission.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -57,7 +57,7 @@
             .map(|other| self.lanes[other].len())
             .sum();
         let due = self.lanes[at].promised_until(now + limit);
-        let own = self.lanes[at].ahead(customer) + due;
+        let own = self.lanes[at].calls_ahead(customer) + due;
         let starts: f64 = self
             .rivals(at)
             .filter(|other| self.tier(*other).priority <= priority)
@@ -76,8 +76,8 @@
         // Customers with short queues overtake one with a long queue for as
         // long as they keep coming: its own pace tells what that comes to.
         let (queued, pace) = (
-            self.lanes[at].waiting_of(customer),
-            self.lanes[at].starts_of(customer),
+            self.lanes[at].waiting_for(customer),
+            self.lanes[at].starts_for(customer),
         );
         if self.policy.defers_late() && queued > 0 && pace >= 1.0 {
             wait = wait.max(queued as f64 * self.span / pace);
@@ -96,7 +96,7 @@
     fn stuck(&self, now: Moment, at: usize) -> Option<Duration> {
         let lane = &self.lanes[at];
         let hardly = self.policy.yields_to_peers() && lane.starts() < STARTS_KNOWN;
-        let oldest = lane.oldest().filter(|_| hardly);
+        let oldest = lane.oldest_since().filter(|_| hardly);
         oldest.map(|since| now.since(since))
     }
 
--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -54,7 +54,7 @@
     /// Tier's place in the current view.
     pub tier: Option<usize>,
     /// Who else uses its pools.
-    pub rivals: Arc<[(String, Contention)]>,
+    pub contention: Arc<[(String, Contention)]>,
     pools: Arc<[String]>,
     accounts: Vec<Flow>,
     /// Calls that came back as promised.
@@ -74,7 +74,7 @@
         Self {
             name: seek.tier.clone(),
             tier: Some(tier),
-            rivals: Arc::from([]),
+            contention: Arc::from([]),
             pools: seek.pools.clone(),
             accounts: Vec::new(),
             back: VecDeque::new(),
@@ -88,7 +88,7 @@
     }
 
     /// What lanes are sorted by.
-    pub fn place(&self) -> (&str, &[String]) {
+    pub fn sort_key(&self) -> (&str, &[String]) {
         (&self.name, &self.pools)
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// When the longest waiting call came.
-    pub fn oldest(&self) -> Option<Moment> {
+    pub fn oldest_since(&self) -> Option<Moment> {
         let late = self.accounts.iter().filter_map(|account| account.late.front());
         let heads = self.heads().map(|(_, head)| head);
         heads
@@ -138,18 +138,18 @@
     }
 
     /// Starts of a customer, decayed.
-    pub fn starts_of(&self, customer: &str) -> f64 {
+    pub fn starts_for(&self, customer: &str) -> f64 {
         self.find(customer).map_or(0.0, |at| self.accounts[at].starts)
     }
 
     /// Calls of a customer that wait and can be in time.
-    pub fn waiting_of(&self, customer: &str) -> usize {
+    pub fn waiting_for(&self, customer: &str) -> usize {
         self.find(customer).map_or(0, |at| self.accounts[at].queue.len())
     }
 
     /// Sets calls aside that can no longer be in time, so that they do not
     /// make the next ones late as well.
-    pub fn set_aside(&mut self, now: Moment) {
+    pub fn defer_late(&mut self, now: Moment) {
         for account in &mut self.accounts {
             while account
                 .queue
@@ -188,7 +188,7 @@
     }
 
     /// Calls that would start before one more of this customer.
-    pub fn ahead(&self, customer: &str) -> usize {
+    pub fn calls_ahead(&self, customer: &str) -> usize {
         let own = self.find(customer).map_or(0, |at| self.accounts[at].queue.len());
         let others = self
             .accounts
@@ -278,7 +278,7 @@
     }
 
     /// Corrects what a call was expected to cost, and learns its length.
-    pub fn settle(&mut self, seek: &Submission, tokens: u32, whole: bool) {
+    pub fn record_usage(&mut self, seek: &Submission, tokens: u32, whole: bool) {
         let expected = self.expected(seek);
         let at = self.account(&seek.customer);
         self.accounts[at].served += f64::from(tokens) - expected;
@@ -288,7 +288,7 @@
     }
 
     /// Takes a retry from the budget, if there is one left.
-    pub fn spend_retry(&mut self) -> bool {
+    pub fn take_retry(&mut self) -> bool {
         let left = self.retries >= 1.0;
         if left {
             self.retries -= 1.0;
