--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -303,7 +303,7 @@
         self.runners.age(now);
         let mut out = Vec::new();
         for at in 0..self.lanes.len() {
-            self.lanes[at].forget_promises(now);
+            self.lanes[at].expire_reservations(now);
             if self.policy.defers_late() {
                 self.lanes[at].defer_late(now);
             }
--- a/crates/core/src/dispatch/admission.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -56,7 +56,7 @@
             .filter(before)
             .map(|other| self.lanes[other].len())
             .sum();
-        let due = self.lanes[at].promised_until(now + limit);
+        let due = self.lanes[at].reserved_until(now + limit);
         let own = self.lanes[at].calls_ahead(customer) + due;
         let starts: f64 = self
             .rivals(at)
@@ -117,7 +117,7 @@
         };
         let pace = pace * PROMISED_PART;
         let least = least.clamp(BACK_LEAST, BACK_MOST);
-        let due = self.lanes[at].promise(now + least, customer, pace);
+        let due = self.lanes[at].reserve(now + least, customer, pace);
         let after = now.until(due);
         (after <= PROMISED_MOST).then_some(after)
     }
--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -164,7 +164,7 @@
     /// Promises a time to a customer, not before `least`. Each active customer
     /// has an even part of the pace, in calls a second, whether it asks for it
     /// or not: one that floods would else take the others' part as well.
-    pub fn promise(&mut self, least: Moment, customer: &str, pace: f64) -> Moment {
+    pub fn reserve(&mut self, least: Moment, customer: &str, pace: f64) -> Moment {
         let active = self.accounts.iter().filter(|account| account.starts >= ACTIVE);
         let parts = active.count().max(1) as f64;
         let at = self.account(customer);
@@ -177,13 +177,13 @@
     }
 
     /// Calls that were told to come back by then.
-    pub fn promised_until(&self, then: Moment) -> usize {
+    pub fn reserved_until(&self, then: Moment) -> usize {
         self.promises.partition_point(|due| *due <= then)
     }
 
     /// Drops promises whose time has passed.
-    pub fn forget_promises(&mut self, now: Moment) {
-        let passed = self.promised_until(now);
+    pub fn expire_reservations(&mut self, now: Moment) {
+        let passed = self.reserved_until(now);
         self.promises.drain(..passed);
     }
 
