--- a/crates/core/src/config/view.rs
+++ b/crates/core/src/config/view.rs
@@ -116,7 +116,7 @@
     }
 
     /// Whether a key by name may still be used.
-    pub fn key_stands(&self, name: &str) -> bool {
+    pub fn is_key_valid(&self, name: &str) -> bool {
         self.document.keys.get(name).is_some_and(|key| !key.withdrawn)
     }
 
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -164,7 +164,7 @@
             lane.tier = view.document.tiers.position(&lane.name);
             let (refused, kind) = match lane.tier {
                 Some(_) => (
-                    lane.drain_if(|seek| !view.key_stands(&seek.key)),
+                    lane.drain_if(|seek| !view.is_key_valid(&seek.key)),
                     Kind::KeyWithdrawn,
                 ),
                 None => (lane.drain_if(|_| true), Kind::NotSelected),
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -317,7 +317,7 @@
         if !self.handle.trusted.load(Ordering::SeqCst) {
             return Err(Kind::Stale.into());
         }
-        if view.version >= forward.version && !view.key_stands(&forward.key) {
+        if view.version >= forward.version && !view.is_key_valid(&forward.key) {
             return Err(Kind::KeyWithdrawn.into());
         }
         let caller = view.caller_by_name(&forward.key).ok_or(Kind::OwnerAway)?;
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -282,7 +282,7 @@
                     return Err(Kind::UpstreamCrossed.into());
                 };
                 finished |= chunk.finished;
-                if !self.handle.view.load().key_stands(&self.key) {
+                if !self.handle.view.load().is_key_valid(&self.key) {
                     return Err(Kind::KeyWithdrawn.into());
                 }
                 state.advance(self, start, &chunk);
