--- a/crates/core/src/config/view.rs
+++ b/crates/core/src/config/view.rs
@@ -77,7 +77,7 @@
     /// The presented key is hashed first, so the search compares hashes only
     /// and its timing tells nothing about a key; the last comparison is in
     /// constant time all the same.
-    pub fn caller(&self, presented: &str) -> Result<Caller, Refusal> {
+    pub fn authenticate(&self, presented: &str) -> Result<Caller, Refusal> {
         let hash: [u8; 32] = Sha256::digest(presented.as_bytes()).into();
         let at = self
             .hashes
@@ -121,7 +121,7 @@
     }
 
     /// The plain class that serves a path.
-    pub fn class_of_path(&self, path: &str) -> Option<&Class> {
+    pub fn class_for_path(&self, path: &str) -> Option<&Class> {
         self.document
             .classes
             .iter()
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -208,7 +208,7 @@
     if !handle.trusted.load(std::sync::atomic::Ordering::SeqCst) {
         return Err(Refusal::new(Kind::Stale).after(Duration::from_secs(5)));
     }
-    view.caller(key.trim())
+    view.authenticate(key.trim())
 }
 
 /// Value of a header as text.
