--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -150,7 +150,7 @@
 
 impl Selector {
     /// Whether it gives a pool, by the pool's labels.
-    pub fn reaches(&self, pool: &Pool) -> bool {
+    pub fn matches_pool(&self, pool: &Pool) -> bool {
         self.pools
             .iter()
             .all(|(name, value)| pool.labels.get(name) == Some(value))
--- a/crates/core/src/config/view.rs
+++ b/crates/core/src/config/view.rs
@@ -162,7 +162,7 @@
             .pools
             .iter()
             .filter(|pool| tier.reclaimable || !pool.reclaimable)
-            .filter(|pool| selector.reaches(pool))
+            .filter(|pool| selector.matches_pool(pool))
             .filter(|pool| model.is_none_or(|model| serves(pool, model)))
             .map(|pool| pool.name.clone())
             .collect()
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -462,7 +462,7 @@
         let reach = document
             .selectors
             .iter()
-            .filter(|selector| selector.reaches(pool));
+            .filter(|selector| selector.matches_pool(pool));
         let tiers = reach.filter_map(|selector| document.tiers.get(&selector.tier));
         let may_use = tiers.filter(|tier| tier.reclaimable || !pool.reclaimable);
         may_use.map(|tier| tier.priority).collect()
