--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -138,7 +138,7 @@
     }
 
     /// The store's answer; tells whether the view changed.
-    pub fn answer(&mut self, now: Moment, answer: &Answer) -> (bool, Option<Call>) {
+    pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> (bool, Option<Call>) {
         let step = std::mem::replace(&mut self.step, Step::Idle);
         match (step, answer) {
             (Step::Snapshot, Answer::Found(entries)) => {
@@ -176,7 +176,7 @@
     }
 
     /// A peer's beat: where it is ahead, its address is worth a pull.
-    pub fn hear(&mut self, now: Moment, beat: &Heartbeat) -> Option<Pull> {
+    pub fn on_heartbeat(&mut self, now: Moment, beat: &Heartbeat) -> Option<Pull> {
         self.heard = self.heard.max(beat.version);
         if beat.version == self.view.version && beat.version > 0 {
             self.freshen(now, beat.age);
@@ -192,7 +192,7 @@
     }
 
     /// Answers a peer that lags.
-    pub fn pull(&self, pull: &Pull) -> Pulled {
+    pub fn on_pull(&self, pull: &Pull) -> Pulled {
         let from = self.tail.partition_point(|entry| entry.version <= pull.have);
         let entries = &self.tail[from..];
         let follows = entries
@@ -221,7 +221,7 @@
     }
 
     /// Takes a peer's answer in; tells whether the view changed.
-    pub fn pulled(&mut self, pulled: &Pulled) -> bool {
+    pub fn on_pulled(&mut self, pulled: &Pulled) -> bool {
         let snapshot = serde_json::from_str::<Snapshot>(&pulled.snapshot);
         let mut changed = snapshot.is_ok_and(|snapshot| self.replace(snapshot));
         for text in &pulled.entries {
--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -27,18 +27,18 @@
             }
             Event::Standing(standing) => self.watcher = standing.watcher,
             Event::Stored(token, answer) if self.request.takes(*token) => {
-                let (_, call) = self.inner.answer(now, answer);
+                let (_, call) = self.inner.on_answer(now, answer);
                 self.request.ask(CONFIG, call, out);
                 self.publish(now, out);
             }
             Event::Hear(beat) => {
-                if let Some(pull) = self.inner.hear(now, beat) {
+                if let Some(pull) = self.inner.on_heartbeat(now, beat) {
                     out.act(Action::Pull(beat.card.address.clone(), pull));
                 }
             }
-            Event::Pull(call, pull) => out.reply(*call, Reply::Pulled(self.inner.pull(pull))),
+            Event::Pull(call, pull) => out.reply(*call, Reply::Pulled(self.inner.on_pull(pull))),
             Event::Pulled(pulled) => {
-                self.inner.pulled(pulled);
+                self.inner.on_pulled(pulled);
                 self.publish(now, out);
             }
             _ => {}
