--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -74,7 +74,7 @@
             Event::Standing(standing) => {
                 self.standing = standing.clone();
                 self.meter
-                    .retain_keepers(|keeper| standing.live.iter().any(|(live, _)| *live == keeper));
+                    .retain_replicas(|keeper| standing.live.iter().any(|(live, _)| *live == keeper));
             }
             Event::View(view) => {
                 self.length = view.document.settings.usage_window;
@@ -194,10 +194,11 @@
 
     fn hear(&mut self, beat: &Heartbeat) {
         for chunk in &beat.chunks {
-            self.meter.keep(chunk.clone());
+            self.meter.insert(chunk.clone());
         }
         if beat.kept > 0 {
-            self.meter.confirm(Incarnation(beat.card.incarnation), beat.kept);
+            self.meter
+                .acknowledge(Incarnation(beat.card.incarnation), beat.kept);
         }
     }
 
@@ -206,15 +207,15 @@
         let Some((peer, _)) = self.standing.live.iter().find(|(_, have)| have == address) else {
             return;
         };
-        beat.kept = self.meter.kept(*peer);
+        beat.kept = self.meter.contiguous_until(*peer);
         if self.standing.keepers.contains(peer) {
-            beat.chunks = self.meter.offer(*peer);
+            beat.chunks = self.meter.unacknowledged(*peer);
         }
     }
 
     /// Adds to the status.
     pub fn describe(&self, now: Moment, status: &mut Status) {
-        status.chunks = self.meter.size();
+        status.chunks = self.meter.chunk_count();
         if let Some(grant) = self.lease.grant(now) {
             status.duties.push((USAGE.into(), grant.fence));
         }
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -136,14 +136,14 @@
                 window: self.window,
                 rows: std::mem::take(&mut self.open),
             };
-            self.keep(chunk);
+            self.insert(chunk);
         }
         self.opened = now;
         self.window = window_start(now, self.length).max(self.window);
     }
 
     /// Chunks that a keeper has not confirmed yet.
-    pub fn offer(&self, keeper: Incarnation) -> Vec<Chunk> {
+    pub fn unacknowledged(&self, keeper: Incarnation) -> Vec<Chunk> {
         let acked = self.acked(keeper);
         self.own()
             .filter(|chunk| chunk.number > acked)
@@ -153,7 +153,7 @@
     }
 
     /// A keeper confirms.
-    pub fn confirm(&mut self, keeper: Incarnation, number: u64) {
+    pub fn acknowledge(&mut self, keeper: Incarnation, number: u64) {
         match self.acked.binary_search_by(|(have, _)| have.cmp(&keeper)) {
             Ok(at) => self.acked[at].1 = self.acked[at].1.max(number),
             Err(at) => self.acked.insert(at, (keeper, number)),
@@ -161,18 +161,18 @@
     }
 
     /// Forgets keepers that are gone.
-    pub fn retain_keepers(&mut self, live: impl Fn(Incarnation) -> bool) {
+    pub fn retain_replicas(&mut self, live: impl Fn(Incarnation) -> bool) {
         self.acked.retain(|(keeper, _)| live(*keeper));
     }
 
     /// Whether some keeper has all closed chunks.
-    pub fn safe(&self) -> bool {
+    pub fn is_replicated(&self) -> bool {
         let last = self.own().last().map_or(0, |chunk| chunk.number);
         self.open.is_empty() && (last == 0 || self.acked.iter().any(|(_, number)| *number >= last))
     }
 
     /// Takes a chunk in for safe keeping; a second copy changes nothing.
-    pub fn keep(&mut self, chunk: Chunk) {
+    pub fn insert(&mut self, chunk: Chunk) {
         if self.chunks.len() >= KEPT {
             return;
         }
@@ -186,7 +186,7 @@
     }
 
     /// Highest chunk kept of a source, without gaps from the lowest kept.
-    pub fn kept(&self, source: Incarnation) -> u64 {
+    pub fn contiguous_until(&self, source: Incarnation) -> u64 {
         let mut last = 0;
         for chunk in self.of(source.0) {
             if last != 0 && chunk.number != last + 1 {
@@ -231,7 +231,7 @@
     }
 
     /// Chunks kept, own and others'.
-    pub fn size(&self) -> usize {
+    pub fn chunk_count(&self) -> usize {
         self.chunks.len()
     }
 
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -277,7 +277,7 @@
     for at in 0..3_600 {
         meter.count(Moment::at_ms(1_000_000 + at * 83), &item(at));
     }
-    tell("usage_chunks", meter.size());
+    tell("usage_chunks", meter.chunk_count());
 }
 
 fn resident() -> usize {
