--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -165,7 +165,7 @@
     }
 
     fn finish_gathers(&mut self, now: Moment, out: &mut Outbox) {
-        while self.gathers.first().is_some_and(|gather| gather.is_over(now)) {
+        while self.gathers.first().is_some_and(|gather| gather.is_due(now)) {
             let gather = self.gathers.remove(0);
             let call = gather.call;
             let bundle = gather.bundle(&self.zone);
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -50,7 +50,7 @@
     }
 
     /// Whether the mates had their time.
-    pub fn is_over(&self, now: Moment) -> bool {
+    pub fn is_due(&self, now: Moment) -> bool {
         now.since(self.since) >= GATHER_TIMEOUT
     }
 
