--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -68,7 +68,7 @@
             Event::Collected(answer) => self.collected(answer),
             Event::Stored(token, answer) => self.stored(now, *token, answer, out),
             Event::Reported(accepted) => {
-                let call = self.reporter.reported(now, *accepted);
+                let call = self.reporter.on_reported(now, *accepted);
                 self.report_request.ask(USAGE, call, out);
             }
             Event::Standing(standing) => {
@@ -154,7 +154,7 @@
         match &answer.bundle {
             Some(bundle) => {
                 self.answered.push(bundle.zone.clone());
-                self.reporter.collected(bundle);
+                self.reporter.on_collected(bundle);
             }
             // Whichever collection a mate answers, a sum says what is in it.
             None => self
@@ -170,7 +170,7 @@
             let call = gather.call;
             let bundle = gather.bundle(&self.zone);
             match call {
-                None => self.reporter.collected(&bundle),
+                None => self.reporter.on_collected(&bundle),
                 Some(call) => {
                     let answer = Collected {
                         sums: Vec::new(),
@@ -187,7 +187,7 @@
             let call = self.lease.answer(now, answer);
             self.lease_request.ask(USAGE, call, out);
         } else if self.report_request.takes(token) {
-            let call = self.reporter.answer(now, answer);
+            let call = self.reporter.on_answer(now, answer);
             self.report_request.ask(USAGE, call, out);
         }
     }
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -213,7 +213,7 @@
     }
 
     /// A zone's answer to the collection; taken whole or not at all.
-    pub fn collected(&mut self, answer: &Bundle) {
+    pub fn on_collected(&mut self, answer: &Bundle) {
         let cursors = self.cursors();
         let State::Collecting { bundle, .. } = &mut self.state else {
             return;
@@ -242,7 +242,7 @@
     }
 
     /// The store's answer.
-    pub fn answer(&mut self, now: Moment, answer: &Answer) -> Option<Call> {
+    pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> Option<Call> {
         if let Some(outcome) = self.writer.answer(now, answer) {
             return self.sealed(now, outcome);
         }
@@ -299,7 +299,7 @@
     }
 
     /// The usage interface's answer; only a clear yes moves on.
-    pub fn reported(&mut self, now: Moment, accepted: bool) -> Option<Call> {
+    pub fn on_reported(&mut self, now: Moment, accepted: bool) -> Option<Call> {
         let State::Reporting { .. } = self.state else {
             return None;
         };
