--- a/crates/core/src/proxy/report.rs
+++ b/crates/core/src/proxy/report.rs
@@ -153,9 +153,9 @@
 
     /// The store's answer.
     pub fn answer(&mut self, now: Moment, answer: &Answer) -> Option<Step> {
-        match self.writer.answer(now, answer) {
-            Some(Outcome::Ask(call)) => return Some(Step::Store(call)),
-            Some(Outcome::Stands(window, version)) => self.keep(window, version),
+        match self.writer.on_answer(now, answer) {
+            Some(Outcome::Pending(call)) => return Some(Step::Store(call)),
+            Some(Outcome::Stored(window, version)) => self.keep(window, version),
             Some(Outcome::Missing | Outcome::Failed) => self.next = now + PAUSE,
             // The removal of an old window, which is not repeated.
             None => self.state = State::Idle,
@@ -209,7 +209,7 @@
     }
 
     fn give_up(&mut self, now: Moment) {
-        self.writer.give_up(now, PATIENCE);
+        self.writer.time_out(now, PATIENCE);
         let since = match &self.state {
             State::Idle => return,
             State::Reporting { since, .. } | State::Removing { since } => *since,
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -243,7 +243,7 @@
 
     /// The store's answer.
     pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> Option<Call> {
-        if let Some(outcome) = self.writer.answer(now, answer) {
+        if let Some(outcome) = self.writer.on_answer(now, answer) {
             return self.sealed(now, outcome);
         }
         match (std::mem::replace(&mut self.state, State::Idle), answer) {
@@ -283,8 +283,8 @@
     /// What came of sealing a window.
     fn sealed(&mut self, now: Moment, outcome: Outcome<SealedWindow>) -> Option<Call> {
         match outcome {
-            Outcome::Ask(call) => return Some(call),
-            Outcome::Stands(seal, _) => self.adopt(seal),
+            Outcome::Pending(call) => return Some(call),
+            Outcome::Stored(seal, _) => self.adopt(seal),
             Outcome::Missing => self.state = State::Ready,
             Outcome::Failed => self.restart(now),
         }
@@ -366,7 +366,7 @@
     }
 
     fn give_up(&mut self, now: Moment) {
-        if self.writer.give_up(now, PATIENCE) {
+        if self.writer.time_out(now, PATIENCE) {
             *self = Self::default();
         }
         let since = match &self.state {
--- a/crates/core/src/write_once.rs
+++ b/crates/core/src/write_once.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome<V> {
     /// The store is to be asked once more.
-    Ask(Call),
+    Pending(Call),
     /// This stands, in this version, whoever wrote it.
-    Stands(V, u64),
+    Stored(V, u64),
     /// Nothing stands that can be read.
     Missing,
     /// The store was of no help; what stands is not known.
@@ -63,7 +63,7 @@
     }
 
     /// Gives up a wait that has lasted for `patience`; whether it did.
-    pub fn give_up(&mut self, now: Moment, patience: Duration) -> bool {
+    pub fn time_out(&mut self, now: Moment, patience: Duration) -> bool {
         let late = self
             .step
             .as_ref()
@@ -75,14 +75,14 @@
     }
 
     /// Takes the store's answer; none if nothing was asked.
-    pub fn answer(&mut self, now: Moment, answer: &Answer) -> Option<Outcome<V>> {
+    pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> Option<Outcome<V>> {
         let (_, step) = self.step.take()?;
         Some(match (step, answer) {
-            (Step::Writing { value, .. }, Answer::Written(version)) => Outcome::Stands(value, *version),
+            (Step::Writing { value, .. }, Answer::Written(version)) => Outcome::Stored(value, *version),
             (Step::Writing { .. }, Answer::Conflict(entry)) => standing(Some(entry)),
             (Step::Writing { key, .. }, Answer::Lost) => {
                 self.step = Some((now, Step::Reading));
-                Outcome::Ask(Call::Get { key })
+                Outcome::Pending(Call::Get { key })
             }
             (Step::Reading, Answer::Found(entries)) => standing(entries.first()),
             _ => Outcome::Failed,
@@ -94,7 +94,7 @@
     let entry = entry.filter(|entry| entry.version > 0);
     let stands = entry.and_then(|entry| Some((serde_json::from_str(&entry.value).ok()?, entry.version)));
     match stands {
-        Some((value, version)) => Outcome::Stands(value, version),
+        Some((value, version)) => Outcome::Stored(value, version),
         None => Outcome::Missing,
     }
 }
--- a/tests/suite/seal.rs
+++ b/tests/suite/seal.rs
@@ -37,9 +37,12 @@
 fn a_lost_write_is_read_back() {
     let mut writer = writing();
     let get = Call::Get { key: "k".into() };
-    assert_eq!(writer.answer(at(1), &Answer::Lost), Some(Outcome::Ask(get)));
+    assert_eq!(
+        writer.on_answer(at(1), &Answer::Lost),
+        Some(Outcome::Pending(get))
+    );
     let found = Answer::Found(vec![entry(4, "9")]);
-    assert_eq!(writer.answer(at(2), &found), Some(Outcome::Stands(9, 4)));
+    assert_eq!(writer.on_answer(at(2), &found), Some(Outcome::Stored(9, 4)));
 }
 
 /// The same with two holders in turn: the second one finds the first one's figure in its
@@ -47,19 +50,22 @@
 #[test]
 fn what_another_wrote_is_adopted() {
     let conflict = Answer::Conflict(entry(3, "5"));
-    assert_eq!(writing().answer(at(1), &conflict), Some(Outcome::Stands(5, 3)));
+    assert_eq!(writing().on_answer(at(1), &conflict), Some(Outcome::Stored(5, 3)));
 }
 
 /// A figure is reported that no successor would find: the write was refused, or nothing
 /// stands after it was lost. Neither counts as written.
 #[test]
 fn what_does_not_stand_is_not_reported() {
-    assert_eq!(writing().answer(at(1), &Answer::Refused), Some(Outcome::Failed));
+    assert_eq!(
+        writing().on_answer(at(1), &Answer::Refused),
+        Some(Outcome::Failed)
+    );
     let mut lost = writing();
-    lost.answer(at(1), &Answer::Lost);
+    lost.on_answer(at(1), &Answer::Lost);
     let none = Answer::Found(vec![entry(0, "")]);
-    assert_eq!(lost.answer(at(2), &none), Some(Outcome::Missing));
-    assert_eq!(lost.answer(at(3), &none), None, "nothing was asked");
+    assert_eq!(lost.on_answer(at(2), &none), Some(Outcome::Missing));
+    assert_eq!(lost.on_answer(at(3), &none), None, "nothing was asked");
 }
 
 /// The duty stands still for ever. The answer to a write is lost on its way inside the
@@ -68,8 +74,8 @@
 fn a_wait_ends() {
     let mut writer = writing();
     let patience = Duration::from_secs(3);
-    assert!(!writer.give_up(at(2_900), patience) && writer.is_busy());
-    assert!(writer.give_up(at(3_000), patience) && !writer.is_busy());
+    assert!(!writer.time_out(at(2_900), patience) && writer.is_busy());
+    assert!(writer.time_out(at(3_000), patience) && !writer.is_busy());
 }
 
 /// Runners are paid for that nobody wants. An order whose answer was lost is carried out
