--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -168,7 +168,7 @@
 
     /// Takes the store's answer: a verdict for the call, or one more question.
     /// A further question goes out under the token `again`.
-    pub fn answer(
+    pub fn on_answer(
         &mut self,
         now: Moment,
         records: &mut Records,
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -131,7 +131,9 @@
         // The kernel hands each token out once; a second question of one
         // claim goes out under a new one.
         let again = out.token(CALLS);
-        let step = self.registry.answer(now, &mut self.records, token, again, answer);
+        let step = self
+            .registry
+            .on_answer(now, &mut self.records, token, again, answer);
         if let Some((_, Err(ask))) = step {
             out.act(Action::Store(again, ask));
             return;
