--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -209,13 +209,13 @@
     }
 
     /// Whether a claim was decided here.
-    pub fn knows(&self, claim: &Claim) -> bool {
+    pub fn contains(&self, claim: &Claim) -> bool {
         let recorded = self.claims.binary_search_by(|(have, _)| have.cmp(claim)).is_ok();
         recorded || self.spent.binary_search(claim).is_ok()
     }
 
     /// Whether another claim can be recorded.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         !self.closing && self.claims.len() < MAX_CLAIM_RECORDS && self.spent.len() < MAX_SPENT_CLAIMS
     }
 
@@ -255,7 +255,7 @@
     }
 
     /// No further ticket or claim; what runs goes on.
-    pub fn close(&mut self) {
+    pub fn stop_issuing(&mut self) {
         self.closing = true;
     }
 
@@ -298,7 +298,7 @@
     }
 
     /// Counts of records: tickets and claims.
-    pub fn size(&self) -> (usize, usize) {
+    pub fn counts(&self) -> (usize, usize) {
         (self.tickets.len(), self.claims.len())
     }
 
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -136,10 +136,10 @@
         (customer, body): (&str, u64),
     ) -> Result<Verdict, Ask> {
         let claim = digest(customer, key);
-        if records.knows(&claim) {
+        if records.contains(&claim) {
             return Ok(records.begin_claim(now, call, claim, customer, body));
         }
-        if !records.has_room() || self.pending.len() >= IN_AIR {
+        if !records.has_capacity() || self.pending.len() >= IN_AIR {
             let refusal = Refusal::new(Kind::ClaimUnsettled).after(Duration::from_secs(1));
             return Ok(Verdict::Refuse(refusal));
         }
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -75,7 +75,7 @@
                 self.inquiries.push((token, *call, *key));
             }
             Event::Stored(token, answer) => self.stored(now, *token, answer, out),
-            Event::Stop => self.records.close(),
+            Event::Stop => self.records.stop_issuing(),
             Event::Drained => self.write_tombstone(out),
             _ => {}
         }
@@ -157,7 +157,7 @@
         self.drained = true;
         let tombstone = self.records.seal();
         let value = serde_json::to_string(&tombstone).unwrap_or_default();
-        if self.records.size() == (0, 0) || value.len() > TOMBSTONE_BYTES {
+        if self.records.counts() == (0, 0) || value.len() > TOMBSTONE_BYTES {
             return;
         }
         let call = store::Call::Swap {
@@ -173,7 +173,7 @@
 
     /// Adds to the status.
     pub fn describe(&self, _now: Moment, status: &mut Status) {
-        status.records = self.records.size();
+        status.records = self.records.counts();
     }
 }
 
--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -195,5 +195,5 @@
             "ran again after {minutes} minutes"
         );
     }
-    assert_eq!(records.size(), (0, 0), "the record itself is gone");
+    assert_eq!(records.counts(), (0, 0), "the record itself is gone");
 }
