--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -63,7 +63,7 @@
         /// Bytes went out and no whole answer came back.
         Unknown,
         /// No byte reached a runner; the key is closed.
-        Void,
+        NotRun,
     }
 }
 
@@ -79,7 +79,7 @@
         /// Refused.
         Refuse(Refusal),
         /// Another process decides.
-        Elsewhere(Incarnation),
+        Forward(Incarnation),
     }
 }
 
@@ -162,7 +162,7 @@
         body: u64,
     ) -> Verdict {
         if ticket.owner != self.me {
-            return Verdict::Elsewhere(ticket.owner);
+            return Verdict::Forward(ticket.owner);
         }
         if !ticket.verify(&self.secret, customer) {
             return Verdict::Refuse(Kind::BadIdempotencyKey.into());
@@ -271,7 +271,7 @@
                 record.state,
                 State::Open
                     | State::Ended {
-                        end: Completion::Void,
+                        end: Completion::NotRun,
                         ..
                     }
             )
@@ -362,7 +362,7 @@
 
 impl Tombstone {
     /// What a peer may say about a key of the process that left.
-    pub fn judge(&self, key: Key) -> Refusal {
+    pub fn resolve(&self, key: Key) -> Refusal {
         let used = match key {
             Key::Ticket(number) => number < self.base || self.used.binary_search(&number).is_ok(),
             Key::Claim(claim) => self.claims.binary_search(&hex::encode(claim)).is_ok(),
@@ -381,7 +381,7 @@
         {
             record.state = State::Ended {
                 body,
-                end: Completion::Void,
+                end: Completion::NotRun,
             };
             Verdict::Refuse(Kind::KeyClosed.into())
         }
@@ -409,6 +409,6 @@
     match end {
         Completion::Ran(answer) => Verdict::Replay(answer.clone()),
         Completion::Unknown => Verdict::Refuse(Kind::UpstreamBroken.into()),
-        Completion::Void => Verdict::Refuse(Kind::KeyClosed.into()),
+        Completion::NotRun => Verdict::Refuse(Kind::KeyClosed.into()),
     }
 }
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -206,7 +206,7 @@
             // was lost in an earlier try: nobody else can have run it, and
             // the records tell whether I have.
             Ok(record) if record.owner == self.me => self.own(now, records, pending),
-            Ok(record) => Verdict::Elsewhere(record.owner),
+            Ok(record) => Verdict::Forward(record.owner),
             Err(_) => unsettled(),
         }
     }
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -186,5 +186,5 @@
             .and_then(|entry| serde_json::from_str::<Tombstone>(&entry.value).ok()),
         _ => None,
     };
-    tombstone.map_or(Kind::OwnerAway.into(), |tombstone| tombstone.judge(key))
+    tombstone.map_or(Kind::OwnerAway.into(), |tombstone| tombstone.resolve(key))
 }
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -137,7 +137,7 @@
             Reply::Start(start) => self.step(Event::Forget(start.call)),
             Reply::Verdict(Verdict::Run(key)) => self.step(Event::End {
                 key,
-                end: Completion::Void,
+                end: Completion::NotRun,
             }),
             _ => {}
         }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -167,7 +167,7 @@
     async fn once(&self, job: Job, once: String) -> Result<Response<Body>, Refusal> {
         let customer = job.customer.clone();
         let answer = match self.begin(&job, &once).await {
-            Verdict::Elsewhere(owner) => self.pass_on(&job, once, owner).await,
+            Verdict::Forward(owner) => self.pass_on(&job, once, owner).await,
             verdict => self.settle(&job, verdict).await,
         };
         match answer {
@@ -226,7 +226,7 @@
             Verdict::Run(key) => self.run_once(job, key).await,
             Verdict::Replay(answer) => replay(answer),
             Verdict::Refuse(refusal) => Err(refusal),
-            Verdict::Wait | Verdict::Elsewhere(_) => Err(Kind::InProgress.into()),
+            Verdict::Wait | Verdict::Forward(_) => Err(Kind::InProgress.into()),
         }
     }
 
@@ -248,7 +248,7 @@
     }
 
     fn void(&self, key: Key, refusal: Refusal) -> Refusal {
-        self.end(key, Completion::Void);
+        self.end(key, Completion::NotRun);
         refusal
     }
 
--- a/tests/suite/calls/postings.rs
+++ b/tests/suite/calls/postings.rs
@@ -229,7 +229,7 @@
         verdict: Verdict,
     ) {
         let verdict = match (self.world.broken, verdict) {
-            (Broken::Claims, Verdict::Replay(_) | Verdict::Elsewhere(_)) => {
+            (Broken::Claims, Verdict::Replay(_) | Verdict::Forward(_)) => {
                 self.runs.push((posting, key));
                 return;
             }
@@ -239,7 +239,7 @@
             Verdict::Run(record) => self.start(node, call, posting, key, record),
             Verdict::Replay(_) => self.ran(posting),
             Verdict::Refuse(refusal) => self.refuse(posting, &key, &refusal),
-            Verdict::Elsewhere(owner) => self.pass_on(node, posting, key, owner, origin),
+            Verdict::Forward(owner) => self.pass_on(node, posting, key, owner, origin),
             Verdict::Wait => {}
         }
     }
@@ -269,7 +269,7 @@
             return;
         }
         let end = match self.world.rng.random_range(0..10) {
-            0 | 1 => Completion::Void,
+            0 | 1 => Completion::NotRun,
             2 => {
                 self.runs.push((posting, key.clone()));
                 Completion::Unknown
@@ -290,7 +290,7 @@
         match end {
             Completion::Ran(_) => self.ran(posting),
             Completion::Unknown => self.refuse(posting, &key, &Kind::UpstreamBroken.into()),
-            Completion::Void => self.refuse(posting, &key, &Kind::NoRunner.into()),
+            Completion::NotRun => self.refuse(posting, &key, &Kind::NoRunner.into()),
         }
     }
 
@@ -372,7 +372,7 @@
         let op = match verdict {
             None => None,
             Some(Verdict::Run(_)) => Some(ClaimOp::Won(me)),
-            Some(Verdict::Elsewhere(owner)) => Some(ClaimOp::Lost(owner.0)),
+            Some(Verdict::Forward(owner)) => Some(ClaimOp::Lost(owner.0)),
             // Anything else leaves open whether, and when, it claimed.
             Some(_) => return,
         };
