--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -85,12 +85,12 @@
 
 impl<K> History<K> {
     /// A runner was chosen.
-    pub fn choose(&mut self, runner: K) {
+    pub fn record_choice(&mut self, runner: K) {
         self.tried.push(runner);
     }
 
     /// Bytes of the request may leave from now on.
-    pub fn send(&mut self) {
+    pub fn record_send(&mut self) {
         self.sent += 1;
     }
 
@@ -99,7 +99,7 @@
     ///
     /// `over` tells whether its time is over; `budget` takes a repeat from the budget
     /// and is asked last, as what it gives is spent.
-    pub fn fail(
+    pub fn record_failure(
         &mut self,
         rule: &Rule,
         fault: Fault,
@@ -127,18 +127,18 @@
     }
 
     /// What was sent has not left after all.
-    pub fn unsend(&mut self) {
+    pub fn revert_send(&mut self) {
         self.sent -= 1;
     }
 
     /// The time is over while a runner may be at work.
-    pub fn run_out(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.ran = true;
     }
 
     /// A refusal that says "not run" only if that is so: an earlier attempt may have
     /// run, also where no further runner is to be had.
-    pub fn refuse(&self, refusal: Refusal) -> Refusal {
+    pub fn adjust_refusal(&self, refusal: Refusal) -> Refusal {
         match self.ran {
             true => Refusal {
                 ran: Ran::Unknown,
@@ -154,12 +154,12 @@
     }
 
     /// Runners that it was sent to.
-    pub fn sent(&self) -> u32 {
+    pub fn sends(&self) -> u32 {
         self.sent
     }
 
     /// Whether it may have run.
-    pub fn ran(&self) -> bool {
+    pub fn may_have_run(&self) -> bool {
         self.ran
     }
 }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -238,7 +238,7 @@
                 self.end(key, Completion::Ran(kept(&answered)));
                 Ok(self.answered(job, answered))
             }
-            Err(refusal) if plain.tries.ran() => {
+            Err(refusal) if plain.tries.may_have_run() => {
                 self.end(key, Completion::Unknown);
                 Err(refusal)
             }
--- a/crates/entry/src/front/call/plain.rs
+++ b/crates/entry/src/front/call/plain.rs
@@ -53,18 +53,18 @@
 
     async fn place(&mut self) -> Result<Assignment, Refusal> {
         let start = self.caller.seek(self.job, self.tries.tried()).await;
-        let start = start.map_err(|refusal| self.tries.refuse(refusal))?;
-        self.tries.choose(start.runner);
+        let start = start.map_err(|refusal| self.tries.adjust_refusal(refusal))?;
+        self.tries.record_choice(start.runner);
         Ok(start)
     }
 
     async fn attempt(&mut self, start: Assignment) -> Result<Answered, Stop<Refusal>> {
-        self.tries.send();
+        self.tries.record_send();
         let answered = self.caller.run(self.job, &start, self.rule.once).await;
         answered.map_err(|(failure, refusal)| {
             self.last = refusal;
             if failure == Failure::NotSent {
-                self.tries.unsend();
+                self.tries.revert_send();
                 self.last.after = Some(NO_RUNNER);
             }
             Stop::Failed(failure.into())
@@ -72,7 +72,7 @@
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        let bar = self.tries.fail(&self.rule, fault, false, || true)?;
+        let bar = self.tries.record_failure(&self.rule, fault, false, || true)?;
         tracing::info!(
             event = "not-repeated",
             class = self.job.route.class,
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -96,18 +96,18 @@
         let start = self.job.seek(self.state, self.pieces, self.tries.tried()).await;
         let start = start.map_err(|end| match end {
             End::CallerGone => End::CallerGone,
-            End::Refused(refusal) => End::Refused(self.tries.refuse(refusal)),
+            End::Refused(refusal) => End::Refused(self.tries.adjust_refusal(refusal)),
         })?;
         if !self.tries.tried().is_empty() && self.state.usage.tokens > 0 {
             let class = self.job.class();
             self.job.handle.metrics.resumed.get_or_create(&class).inc();
         }
-        self.tries.choose(start.runner);
+        self.tries.record_choice(start.runner);
         Ok(start)
     }
 
     async fn attempt(&mut self, start: Assignment) -> Result<(), Stop<End>> {
-        self.tries.send();
+        self.tries.record_send();
         let refusal = match self.job.attempt(&start, self.state, self.pieces).await {
             Ok(()) => return Ok(()),
             Err(End::Refused(refusal)) if refusal.kind != Kind::KeyWithdrawn => refusal,
@@ -115,7 +115,7 @@
         };
         let fault = match refusal.kind {
             Kind::NoRunner => {
-                self.tries.unsend();
+                self.tries.revert_send();
                 Fault::Unreachable
             }
             _ => Fault::Broken,
@@ -125,7 +125,7 @@
     }
 
     fn fail(&mut self, fault: Fault) -> Option<End> {
-        let bar = self.tries.fail(&Self::RULE, fault, false, || true)?;
+        let bar = self.tries.record_failure(&Self::RULE, fault, false, || true)?;
         tracing::info!(event = "not-repeated", id = self.job.id, reason = bar.name());
         Some(End::Refused(self.last.clone()))
     }
--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -163,7 +163,7 @@
         version = job.admission.version,
         outcome,
         status,
-        sent = tries.runs.sent(),
+        sent = tries.runs.sends(),
         runner = tries.last,
         after_ms,
         proof_ms,
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -79,7 +79,7 @@
             tries.among = 0;
             return Err(self.refusal(job, tries, Kind::NoRunner));
         };
-        tries.runs.choose(slot.key);
+        tries.runs.record_choice(slot.key);
         tries.last = Some(slot.id.clone());
         tries.among = among;
         Ok(slot)
@@ -89,13 +89,15 @@
     pub fn fail(&self, job: &Job, tries: &mut Tries, fault: Fault) -> Option<Refusal> {
         let now = self.shared.now();
         let budget = || self.shared.state().may_repeat(now, &job.admission.service);
-        let bar = tries.runs.fail(&job.rule(), fault, job.is_over(now), budget)?;
+        let bar = tries
+            .runs
+            .record_failure(&job.rule(), fault, job.is_over(now), budget)?;
         tracing::info!(
             event = "not-repeated",
             request = job.head.id,
             reason = bar.name(),
-            sent = tries.runs.sent(),
-            ran = tries.runs.ran()
+            sent = tries.runs.sends(),
+            ran = tries.runs.may_have_run()
         );
         Some(match fault {
             Fault::Unreachable => self.refusal(job, tries, Kind::NoRunner),
@@ -148,7 +150,7 @@
         self.look(now, job, &slot, tries)?;
         let request = self.request(now, job, after, &slot);
         slot.sent = Some(now);
-        tries.runs.send();
+        tries.runs.record_send();
         let exchange = upstream::exchange(line, slot.address, request);
         let answer = async {
             tokio::select! {
@@ -164,7 +166,7 @@
         match sent {
             Ok(Ok(exchange)) => self.judge(job, slot, exchange).await,
             Ok(Err(Failure::NotSent)) => {
-                tries.runs.unsend();
+                tries.runs.revert_send();
                 Err(Halt::Failed(Fault::Unreachable))
             }
             Ok(Err(Failure::Broken)) => {
@@ -178,7 +180,7 @@
             }
             Err(_) => {
                 slot.sign(Sign::Broken);
-                tries.runs.run_out();
+                tries.runs.record_timeout();
                 Err(Halt::Over(self.over(job, tries)))
             }
         }
@@ -241,7 +243,7 @@
         }
         let allowed = self.shared.state().may_send(now, &job.admission, &job.ask());
         if let Err(refusal) = allowed {
-            return Err(Halt::Over(match tries.runs.ran() {
+            return Err(Halt::Over(match tries.runs.may_have_run() {
                 true => self.failed(job),
                 false => self.timed(job, refusal),
             }));
@@ -361,7 +363,7 @@
 
     /// The time is over.
     fn over(&self, job: &Job, tries: &Tries) -> Refusal {
-        match tries.runs.ran() {
+        match tries.runs.may_have_run() {
             true => Refusal::new(Kind::UpstreamTimeout),
             false => self.refusal(job, tries, Kind::Late),
         }
@@ -376,7 +378,7 @@
 
     /// A refusal that says "not run" if that is so.
     fn refusal(&self, job: &Job, tries: &Tries, kind: Kind) -> Refusal {
-        if tries.runs.ran() {
+        if tries.runs.may_have_run() {
             return self.failed(job);
         }
         self.timed(job, Refusal::new(kind))
--- a/tests/suite/repeat.rs
+++ b/tests/suite/repeat.rs
@@ -19,10 +19,10 @@
 #[test]
 fn what_may_have_run_once_is_not_sent_again() {
     let mut tries = History::<u32>::default();
-    tries.send();
+    tries.record_send();
     let untouched = || panic!("the budget is asked for nothing");
     assert_eq!(
-        tries.fail(&POSTING, Fault::Broken, false, untouched),
+        tries.record_failure(&POSTING, Fault::Broken, false, untouched),
         Some(Denial::MayHaveRun)
     );
 }
@@ -34,11 +34,11 @@
     let mut tries = History::<u32>::default();
     let mut ends = Vec::new();
     for _ in 0..3 {
-        tries.send();
-        ends.push(tries.fail(&POSTING, Fault::NotRun, false, || true));
+        tries.record_send();
+        ends.push(tries.record_failure(&POSTING, Fault::NotRun, false, || true));
     }
     assert_eq!(ends, [None, None, Some(Denial::AttemptsSpent)]);
-    assert!(!tries.ran());
+    assert!(!tries.may_have_run());
 }
 
 /// A zone is cut off, and the shared budget of repeats is spent on requests that never
@@ -49,22 +49,26 @@
     let mut tries = History::<u32>::default();
     let untouched = || panic!("nothing was sent");
     for _ in 0..3 {
-        assert_eq!(tries.fail(&LOOK_UP, Fault::Unreachable, true, untouched), None);
+        assert_eq!(
+            tries.record_failure(&LOOK_UP, Fault::Unreachable, true, untouched),
+            None
+        );
     }
     assert_eq!(
-        tries.fail(&LOOK_UP, Fault::Unreachable, true, untouched),
+        tries.record_failure(&LOOK_UP, Fault::Unreachable, true, untouched),
         Some(Denial::Unreachable)
     );
-    assert_eq!((tries.sent(), tries.ran()), (0, false));
+    assert_eq!((tries.sends(), tries.may_have_run()), (0, false));
 }
 
 /// A look-up is sent on after its caller's time, or without budget: a retry storm.
 #[test]
 fn repeats_need_time_and_budget() {
     let mut tries = History::<u32>::default();
-    tries.send();
-    let fail =
-        |tries: &mut History<u32>, over, budget: bool| tries.fail(&LOOK_UP, Fault::Broken, over, || budget);
+    tries.record_send();
+    let fail = |tries: &mut History<u32>, over, budget: bool| {
+        tries.record_failure(&LOOK_UP, Fault::Broken, over, || budget)
+    };
     assert_eq!(fail(&mut tries, true, true), Some(Denial::TimeOver));
     assert_eq!(fail(&mut tries, false, false), Some(Denial::BudgetSpent));
     assert_eq!(fail(&mut tries, false, true), None);
@@ -76,10 +80,10 @@
 fn a_refusal_after_a_run_leaves_it_open() {
     let mut tries = History::<u32>::default();
     let none = || Refusal::new(Kind::NoRunner);
-    assert_eq!(tries.refuse(none()).ran, Ran::NotRun);
-    tries.send();
-    tries.fail(&LOOK_UP, Fault::Broken, false, || true);
-    assert_eq!(tries.refuse(none()).ran, Ran::Unknown);
+    assert_eq!(tries.adjust_refusal(none()).ran, Ran::NotRun);
+    tries.record_send();
+    tries.record_failure(&LOOK_UP, Fault::Broken, false, || true);
+    assert_eq!(tries.adjust_refusal(none()).ran, Ran::Unknown);
 }
 
 quickcheck! {
@@ -89,19 +93,19 @@
         let rule = Rule { once, attempts: u32::from(attempts % 4) + 1, unreachable: 4 };
         let mut tries = History::<usize>::default();
         for (at, fault) in faults.iter().enumerate() {
-            if (once && tries.ran()) || tries.sent() >= rule.attempts {
+            if (once && tries.may_have_run()) || tries.sends() >= rule.attempts {
                 return TestResult::failed();
             }
-            tries.choose(at);
+            tries.record_choice(at);
             let fault = match fault % 3 {
                 0 => Fault::Unreachable,
                 1 => Fault::NotRun,
                 _ => Fault::Broken,
             };
             if fault != Fault::Unreachable {
-                tries.send();
+                tries.record_send();
             }
-            if tries.fail(&rule, fault, false, || true).is_some() {
+            if tries.record_failure(&rule, fault, false, || true).is_some() {
                 break;
             }
         }
