--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -25,11 +25,11 @@
     #[derive(Copy, Eq)]
     pub struct Rule {
         /// Whether it may run at most once.
-        pub once: bool,
+        pub at_most_once: bool,
         /// Runners that it may be sent to.
-        pub attempts: u32,
+        pub max_attempts: u32,
         /// Runners that may turn out unreachable before its caller is told so.
-        pub unreachable: u32,
+        pub max_unreachable: u32,
     }
 }
 
@@ -42,9 +42,9 @@
         /// The caller's or the route's time is over.
         TimeOver,
         /// It was sent to as many runners as it may be.
-        AttemptsSpent,
+        AttemptsExhausted,
         /// The budget of repeats is spent.
-        BudgetSpent,
+        BudgetExhausted,
         /// None of the runners that were chosen could be reached.
         Unreachable,
     }
@@ -56,8 +56,8 @@
         match self {
             Denial::MayHaveRun => "may-have-run",
             Denial::TimeOver => "time-over",
-            Denial::AttemptsSpent => "attempts-spent",
-            Denial::BudgetSpent => "budget-spent",
+            Denial::AttemptsExhausted => "attempts-spent",
+            Denial::BudgetExhausted => "budget-spent",
             Denial::Unreachable => "unreachable",
         }
     }
@@ -109,21 +109,21 @@
         match fault {
             Fault::Unreachable => {
                 self.unreachable += 1;
-                return (self.unreachable >= rule.unreachable).then_some(Denial::Unreachable);
+                return (self.unreachable >= rule.max_unreachable).then_some(Denial::Unreachable);
             }
             Fault::NotRun => {}
             Fault::Broken => self.ran = true,
         }
-        if self.ran && rule.once {
+        if self.ran && rule.at_most_once {
             return Some(Denial::MayHaveRun);
         }
         if over {
             return Some(Denial::TimeOver);
         }
-        if self.sent >= rule.attempts {
-            return Some(Denial::AttemptsSpent);
+        if self.sent >= rule.max_attempts {
+            return Some(Denial::AttemptsExhausted);
         }
-        (!budget()).then_some(Denial::BudgetSpent)
+        (!budget()).then_some(Denial::BudgetExhausted)
     }
 
     /// What was sent has not left after all.
--- a/crates/entry/src/front/call/plain.rs
+++ b/crates/entry/src/front/call/plain.rs
@@ -32,9 +32,9 @@
     /// A call that has tried nothing yet; `once` if it may run at most once.
     pub fn new(caller: &'a Caller, job: &'a Job, once: bool) -> Self {
         let rule = Rule {
-            once,
-            attempts: TRIES,
-            unreachable: TRIES,
+            at_most_once: once,
+            max_attempts: TRIES,
+            max_unreachable: TRIES,
         };
         Self {
             caller,
@@ -60,7 +60,7 @@
 
     async fn attempt(&mut self, start: Assignment) -> Result<Answered, Stop<Refusal>> {
         self.tries.record_send();
-        let answered = self.caller.run(self.job, &start, self.rule.once).await;
+        let answered = self.caller.run(self.job, &start, self.rule.at_most_once).await;
         answered.map_err(|(failure, refusal)| {
             self.last = refusal;
             if failure == Failure::NotSent {
@@ -78,7 +78,7 @@
             class = self.job.route.class,
             reason = bar.name()
         );
-        Some(match self.rule.once {
+        Some(match self.rule.at_most_once {
             true => self.last.clone(),
             // Idempotent: whatever reached a runner may be repeated.
             false => Refusal {
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -81,9 +81,9 @@
 impl Chat<'_> {
     /// Generating may be repeated.
     const RULE: Rule = Rule {
-        once: false,
-        attempts: TRIES,
-        unreachable: TRIES,
+        at_most_once: false,
+        max_attempts: TRIES,
+        max_unreachable: TRIES,
     };
 }
 
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -58,9 +58,9 @@
     /// How often it may be sent.
     pub fn rule(&self) -> Rule {
         Rule {
-            once: self.once(),
-            attempts: self.admission.route.attempts,
-            unreachable: UNREACHABLE,
+            at_most_once: self.once(),
+            max_attempts: self.admission.route.attempts,
+            max_unreachable: UNREACHABLE,
         }
     }
 
--- a/tests/suite/repeat.rs
+++ b/tests/suite/repeat.rs
@@ -5,12 +5,12 @@
 use radishstair_core::retry::{Denial, Fault, History, Rule};
 
 const POSTING: Rule = Rule {
-    once: true,
-    attempts: 3,
-    unreachable: 4,
+    at_most_once: true,
+    max_attempts: 3,
+    max_unreachable: 4,
 };
 const LOOK_UP: Rule = Rule {
-    once: false,
+    at_most_once: false,
     ..POSTING
 };
 
@@ -37,7 +37,7 @@
         tries.record_send();
         ends.push(tries.record_failure(&POSTING, Fault::NotRun, false, || true));
     }
-    assert_eq!(ends, [None, None, Some(Denial::AttemptsSpent)]);
+    assert_eq!(ends, [None, None, Some(Denial::AttemptsExhausted)]);
     assert!(!tries.may_have_run());
 }
 
@@ -70,7 +70,7 @@
         tries.record_failure(&LOOK_UP, Fault::Broken, over, || budget)
     };
     assert_eq!(fail(&mut tries, true, true), Some(Denial::TimeOver));
-    assert_eq!(fail(&mut tries, false, false), Some(Denial::BudgetSpent));
+    assert_eq!(fail(&mut tries, false, false), Some(Denial::BudgetExhausted));
     assert_eq!(fail(&mut tries, false, true), None);
 }
 
@@ -90,10 +90,10 @@
     /// Whatever happens in whatever order: a request that runs at most once is not sent
     /// again after it may have run, and none is sent more often than allowed.
     fn no_order_of_faults_breaks_a_rule(faults: Vec<u8>, once: bool, attempts: u8) -> TestResult {
-        let rule = Rule { once, attempts: u32::from(attempts % 4) + 1, unreachable: 4 };
+        let rule = Rule { at_most_once: once, max_attempts: u32::from(attempts % 4) + 1, max_unreachable: 4 };
         let mut tries = History::<usize>::default();
         for (at, fault) in faults.iter().enumerate() {
-            if (once && tries.may_have_run()) || tries.sends() >= rule.attempts {
+            if (once && tries.may_have_run()) || tries.sends() >= rule.max_attempts {
                 return TestResult::failed();
             }
             tries.record_choice(at);
