--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -402,7 +402,7 @@
         self.waiting -= 1;
         self.running += 1;
         self.runners.start(runner);
-        let listed = &self.runners.get(runner).listed;
+        let listed = &self.runners.get(runner).listing;
         Some(Assignment {
             call: item.submission.call,
             runner,
--- a/crates/core/src/dispatch/placement.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -288,7 +288,7 @@
 
     /// Affinity must not hold on to a straggler.
     fn steady(&self, home: &Runner, best: &Runner) -> bool {
-        home.pace == 0.0 || best.pace == 0.0 || home.pace <= best.pace * 2.0
+        home.ms_per_token == 0.0 || best.ms_per_token == 0.0 || home.ms_per_token <= best.ms_per_token * 2.0
     }
 
     /// Runners to leave out: those that failed the call before, as long as
@@ -320,8 +320,8 @@
             Reach::Near | Reach::Far | Reach::Alone => self.room(runner),
         };
         let races = far && reach == Reach::Near && !self.protected && self.rivals_at(runner).higher_priority;
-        let taken = runner.running + runner.others;
-        let wins = !races || runner.fresh < self.share_of_free(room, taken, runner.fresh);
+        let taken = runner.running + runner.peer_running;
+        let wins = !races || runner.unreported < self.share_of_free(room, taken, runner.unreported);
         let yields = self.policy.yields_to_peers() && reach == Reach::Near && !self.protected;
         let leaves_room = !yields || runner.running < self.share_beside_mates(runner, room);
         runner.open(self.now) && taken < room && wins && leaves_room
@@ -335,7 +335,7 @@
     /// that waits is left an even part; one that has less than it wants leaves the
     /// rest, so that no slot stays free for longer than its word takes.
     fn share_beside_mates(&self, runner: &Runner, room: u32) -> u32 {
-        let pool = runner.listed.pool.as_str();
+        let pool = runner.listing.pool.as_str();
         let mates = self.waiting_peers.iter().find(|(name, _)| name == pool);
         room.div_ceil(mates.map_or(0, |(_, count)| *count) + 1)
     }
@@ -348,7 +348,7 @@
     /// hosts of its own zone leave that part alone.
     fn room_far(&self, runner: &Runner) -> u32 {
         let hosts = self.hosts.max(1);
-        let first = id::digest(runner.listed.name.as_bytes()) as usize % hosts;
+        let first = id::digest(runner.listing.name.as_bytes()) as usize % hosts;
         let turn = (self.host_index + hosts - first) % hosts;
         u32::from(turn < given_out(runner) as usize)
     }
@@ -362,14 +362,14 @@
     }
 
     fn rivals_at(&self, runner: &Runner) -> Contention {
-        let pool = runner.listed.pool.as_str();
+        let pool = runner.listing.pool.as_str();
         let rivals = self.contention.iter().find(|(name, _)| *name == pool);
         rivals.map_or(Contention::default(), |(_, rivals)| *rivals)
     }
 
     /// An even part of a runner, for a host whose zone has none of its own.
     fn even_share(&self, runner: &Runner) -> u32 {
-        (runner.listed.slots / self.hosts.max(1) as u32).max(1)
+        (runner.listing.slots / self.hosts.max(1) as u32).max(1)
     }
 
     /// Calls that a runner may have.
@@ -379,7 +379,7 @@
     /// answer. Nobody queues at the engine: what waits there is not seen by
     /// the foretold waits, and makes its whole tier late in a burst.
     fn room(&self, runner: &Runner) -> u32 {
-        let slots = runner.listed.slots;
+        let slots = runner.listing.slots;
         let reserved = (slots * (100 - u32::from(self.reserve_percent)) / 100).max(1);
         let overbooked = slots * OVERBOOKED_PERCENT / 100;
         if !self.policy.keeps_reserve() {
@@ -402,13 +402,13 @@
     }
 
     fn cost(&self, runner: &Runner) -> f64 {
-        (runner.load() + 0.1) * runner.pace.max(1.0)
+        (runner.load() + 0.1) * runner.ms_per_token.max(1.0)
     }
 }
 
 /// Calls of a runner that hosts of other zones may have.
 fn given_out(runner: &Runner) -> u32 {
-    (runner.listed.slots * FAR_PERCENT / 100).max(1)
+    (runner.listing.slots * FAR_PERCENT / 100).max(1)
 }
 
 fn pick(rng: &mut ChaCha8Rng, groups: &[&[Key]], count: usize) -> Key {
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -197,13 +197,13 @@
             .inner
             .runners
             .iter()
-            .filter(|runner| runner.listed.zone == self.zone);
+            .filter(|runner| runner.listing.zone == self.zone);
         for runner in mine {
-            let demand = demand(&mut demands, &runner.listed.pool);
-            demand.busy += runner.running + runner.others;
+            let demand = demand(&mut demands, &runner.listing.pool);
+            demand.busy += runner.running + runner.peer_running;
             if !runner.leaving(now) {
                 demand.runners += 1;
-                demand.slots += runner.listed.slots;
+                demand.slots += runner.listing.slots;
             }
         }
         let others = self
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -54,16 +54,16 @@
     /// One runner.
     pub struct Runner {
         /// As listed.
-        pub listed: Listing,
+        pub listing: Listing,
         /// This host's calls on it.
         pub running: u32,
         /// Its peers' calls on it.
-        pub others: u32,
+        pub peer_running: u32,
         /// This host's calls of the last round, of which its peers may not
         /// have heard.
-        pub fresh: u32,
+        pub unreported: u32,
         /// Milliseconds a token, as this host saw them; 0 before the first.
-        pub pace: f64,
+        pub ms_per_token: f64,
         gone: bool,
         news: Option<Moment>,
         failures: u32,
@@ -79,12 +79,12 @@
 
     /// Whether it leaves, by the list or first-hand.
     pub fn leaving(&self, now: Moment) -> bool {
-        self.listed.leaving || self.news.is_some_and(|news| now.since(news) < LEAVING_TTL)
+        self.listing.leaving || self.news.is_some_and(|news| now.since(news) < LEAVING_TTL)
     }
 
     /// Share of its slots in use.
     pub fn load(&self) -> f64 {
-        f64::from(self.running + self.others) / f64::from(self.listed.slots.max(1))
+        f64::from(self.running + self.peer_running) / f64::from(self.listing.slots.max(1))
     }
 }
 
@@ -129,13 +129,13 @@
         let runner = &mut self.arena[key.index()];
         // A new address under an old name is a new process: what was known
         // of the former one no longer counts.
-        if runner.listed.address != item.address {
+        if runner.listing.address != item.address {
             runner.news = None;
             runner.failures = 0;
             runner.rest = Moment::default();
-            runner.pace = 0.0;
+            runner.ms_per_token = 0.0;
         }
-        runner.listed = item;
+        runner.listing = item;
         runner.gone = false;
     }
 
@@ -144,11 +144,11 @@
         let at = self.names.partition_point(|(name, _)| *name < item.name);
         self.names.insert(at, (item.name.clone(), key));
         self.arena.push(Runner {
-            listed: item,
+            listing: item,
             running: 0,
-            others: 0,
-            fresh: 0,
-            pace: 0.0,
+            peer_running: 0,
+            unreported: 0,
+            ms_per_token: 0.0,
             gone: false,
             news: None,
             failures: 0,
@@ -161,9 +161,9 @@
         self.shorts.clear();
         for (at, runner) in self.arena.iter().enumerate().filter(|(_, runner)| !runner.gone) {
             let key = Key(at as u32);
-            let zones = entry(&mut self.pools, &runner.listed.pool);
-            entry(zones, &runner.listed.zone).push(key);
-            self.shorts.push((short(&runner.listed.name), key));
+            let zones = entry(&mut self.pools, &runner.listing.pool);
+            entry(zones, &runner.listing.zone).push(key);
+            self.shorts.push((short(&runner.listing.name), key));
         }
         self.shorts.sort_unstable();
     }
@@ -199,14 +199,14 @@
     pub fn start(&mut self, key: Key) {
         let runner = &mut self.arena[key.index()];
         runner.running += 1;
-        runner.fresh += 1;
+        runner.unreported += 1;
     }
 
     /// A call ends.
     pub fn finish(&mut self, key: Key) {
         let runner = &mut self.arena[key.index()];
         runner.running = runner.running.saturating_sub(1);
-        runner.fresh = runner.fresh.min(runner.running);
+        runner.unreported = runner.unreported.min(runner.running);
     }
 
     /// A whole answer came, at this pace.
@@ -215,7 +215,7 @@
         runner.failures = 0;
         runner.rest = Moment::default();
         if pace > 0.0 {
-            runner.pace = match runner.pace {
+            runner.ms_per_token = match runner.ms_per_token {
                 0.0 => pace,
                 have => have + (pace - have) * GAIN,
             };
@@ -247,7 +247,7 @@
     pub fn news(&self, now: Moment) -> Vec<String> {
         self.iter()
             .filter(|runner| runner.news.is_some_and(|news| now.since(news) < LEAVING_TTL / 2))
-            .map(|runner| runner.listed.name.clone())
+            .map(|runner| runner.listing.name.clone())
             .collect()
     }
 
@@ -255,7 +255,7 @@
     pub fn shares(&self) -> Shares {
         let mut shares = Shares::default();
         for runner in self.iter().filter(|runner| runner.running > 0) {
-            shares.runners.push(short(&runner.listed.name));
+            shares.runners.push(short(&runner.listing.name));
             shares.running.push(runner.running);
         }
         shares
@@ -271,7 +271,7 @@
         let shares: Vec<(Key, u32)> = known.collect();
         self.forget(peer);
         for (key, running) in &shares {
-            self.arena[key.index()].others += running;
+            self.arena[key.index()].peer_running += running;
         }
         self.peers.push(PeerShares {
             peer,
@@ -284,7 +284,7 @@
     pub fn age(&mut self, now: Moment) {
         if self.round_is_over(now) {
             self.round = now;
-            self.arena.iter_mut().for_each(|runner| runner.fresh = 0);
+            self.arena.iter_mut().for_each(|runner| runner.unreported = 0);
         }
         let silent: Vec<Incarnation> = self
             .peers
@@ -310,7 +310,7 @@
             return;
         };
         for (key, running) in self.peers.swap_remove(at).shares {
-            let others = &mut self.arena[key.index()].others;
+            let others = &mut self.arena[key.index()].peer_running;
             *others = others.saturating_sub(running);
         }
     }
@@ -319,7 +319,7 @@
     pub fn mean_pace(&self, pool: &str) -> f64 {
         let keys = self.pool(pool).iter().flat_map(|(_, keys)| keys);
         let known: Vec<f64> = keys
-            .map(|key| self.get(*key).pace)
+            .map(|key| self.get(*key).ms_per_token)
             .filter(|pace| *pace > 0.0)
             .collect();
         match known.len() {
