--- a/crates/core/src/dispatch/placement.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -200,7 +200,7 @@
             .iter()
             .copied()
             .flatten()
-            .any(|key| runners.get(*key).open(self.now));
+            .any(|key| runners.get(*key).is_available(self.now));
         self.choose_among(runners, rng, seek, &near, Reach::Near)
             .or_else(|| {
                 let far: Vec<&[Key]> = far.map(|(_, keys)| keys.as_slice()).collect();
@@ -300,7 +300,7 @@
             .iter()
             .flat_map(|pool| runners.pool(pool))
             .flat_map(|(_, keys)| keys);
-        let other = |key: &Key| !seek.avoid.contains(key) && !runners.get(*key).leaving(self.now);
+        let other = |key: &Key| !seek.avoid.contains(key) && !runners.get(*key).is_leaving(self.now);
         match seek.avoid.is_empty() || all.any(other) {
             true => &seek.avoid,
             false => &[],
@@ -324,7 +324,7 @@
         let wins = !races || runner.unreported < self.share_of_free(room, taken, runner.unreported);
         let yields = self.policy.yields_to_peers() && reach == Reach::Near && !self.protected;
         let leaves_room = !yields || runner.running < self.share_beside_mates(runner, room);
-        runner.open(self.now) && taken < room && wins && leaves_room
+        runner.is_available(self.now) && taken < room && wins && leaves_room
     }
 
     /// Most that this host has on a runner while zone mates wait for its pool.
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -201,7 +201,7 @@
         for runner in mine {
             let demand = demand(&mut demands, &runner.listing.pool);
             demand.busy += runner.running + runner.peer_running;
-            if !runner.leaving(now) {
+            if !runner.is_leaving(now) {
                 demand.runners += 1;
                 demand.slots += runner.listing.slots;
             }
@@ -255,7 +255,7 @@
             .inner
             .runners
             .iter()
-            .filter(|runner| runner.open(now))
+            .filter(|runner| runner.is_available(now))
             .count();
         status.runners = (self.inner.runners.iter().count(), open);
     }
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -73,12 +73,12 @@
 
 impl Runner {
     /// Whether new work may go there.
-    pub fn open(&self, now: Moment) -> bool {
-        !self.gone && !self.leaving(now) && now.reached(self.rest)
+    pub fn is_available(&self, now: Moment) -> bool {
+        !self.gone && !self.is_leaving(now) && now.reached(self.rest)
     }
 
     /// Whether it leaves, by the list or first-hand.
-    pub fn leaving(&self, now: Moment) -> bool {
+    pub fn is_leaving(&self, now: Moment) -> bool {
         self.listing.leaving || self.news.is_some_and(|news| now.since(news) < LEAVING_TTL)
     }
 
@@ -236,7 +236,7 @@
             return false;
         };
         let runner = &mut self.arena[key.index()];
-        let new = !runner.leaving(now);
+        let new = !runner.is_leaving(now);
         if new {
             runner.news = Some(now);
         }
