--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -300,7 +300,7 @@
     /// Starts what can start and refuses what waited too long.
     pub fn tick(&mut self, now: Moment) -> Vec<Decision> {
         self.decay(now);
-        self.runners.age(now);
+        self.runners.expire_shares(now);
         let mut out = Vec::new();
         for at in 0..self.lanes.len() {
             self.lanes[at].expire_reservations(now);
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -75,7 +75,7 @@
             }
             Event::View(view) => self.inner.set_view(view.clone()),
             Event::Listed(listed) => {
-                self.inner.runners.list(listed.clone());
+                self.inner.runners.set_listings(listed.clone());
                 self.inner.tick(now)
             }
             Event::Seek(seek) => {
@@ -89,7 +89,7 @@
             },
             Event::Forget(call) => self.forget(now, *call),
             Event::Leaving(name) => {
-                self.inner.runners.leave(now, name);
+                self.inner.runners.mark_leaving(now, name);
                 Vec::new()
             }
             Event::Hear(beat) => {
@@ -139,10 +139,10 @@
         }
         let peer = Incarnation(beat.card.incarnation);
         for name in &beat.leaving {
-            self.inner.runners.leave(now, name);
+            self.inner.runners.mark_leaving(now, name);
         }
         if let Some(shares) = &beat.shares {
-            self.inner.runners.hear(now, peer, shares);
+            self.inner.runners.set_peer_shares(now, peer, shares);
             let queued = Queued {
                 mate: peer,
                 heard: now,
@@ -241,7 +241,7 @@
     /// Adds to a heartbeat.
     pub fn compose(&mut self, now: Moment, _address: &str, beat: &mut Heartbeat) {
         beat.shares = self.shares.clone();
-        beat.leaving = self.inner.runners.news(now);
+        beat.leaving = self.inner.runners.leaving_names(now);
     }
 
     /// Adds to the status.
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -112,7 +112,7 @@
 
 impl Runners {
     /// Takes the platform's list.
-    pub fn list(&mut self, listed: Vec<Listing>) {
+    pub fn set_listings(&mut self, listed: Vec<Listing>) {
         for runner in &mut self.arena {
             runner.gone = true;
         }
@@ -231,7 +231,7 @@
     }
 
     /// First-hand news that it leaves; tells whether it is new.
-    pub fn leave(&mut self, now: Moment, name: &str) -> bool {
+    pub fn mark_leaving(&mut self, now: Moment, name: &str) -> bool {
         let Some(key) = self.find(name) else {
             return false;
         };
@@ -244,7 +244,7 @@
     }
 
     /// Runners known first-hand to leave, for the peers.
-    pub fn news(&self, now: Moment) -> Vec<String> {
+    pub fn leaving_names(&self, now: Moment) -> Vec<String> {
         self.iter()
             .filter(|runner| runner.news.is_some_and(|news| now.since(news) < LEAVING_TTL / 2))
             .map(|runner| runner.listing.name.clone())
@@ -262,7 +262,7 @@
     }
 
     /// A peer's calls.
-    pub fn hear(&mut self, now: Moment, peer: Incarnation, shares: &Shares) {
+    pub fn set_peer_shares(&mut self, now: Moment, peer: Incarnation, shares: &Shares) {
         let pairs = shares.runners.iter().zip(&shares.running);
         let known = pairs.filter_map(|(runner, running)| {
             let at = self.shorts.binary_search_by(|(have, _)| have.cmp(runner)).ok()?;
@@ -281,7 +281,7 @@
     }
 
     /// Drops the shares of peers that fell silent.
-    pub fn age(&mut self, now: Moment) {
+    pub fn expire_shares(&mut self, now: Moment) {
         if self.round_is_over(now) {
             self.round = now;
             self.arena.iter_mut().for_each(|runner| runner.unreported = 0);
@@ -316,7 +316,7 @@
     }
 
     /// Mean pace of a pool's runners, 0 when unknown.
-    pub fn mean_pace(&self, pool: &str) -> f64 {
+    pub fn mean_ms_per_token(&self, pool: &str) -> f64 {
         let keys = self.pool(pool).iter().flat_map(|(_, keys)| keys);
         let known: Vec<f64> = keys
             .map(|key| self.get(*key).ms_per_token)
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -121,7 +121,7 @@
 fn decisions(runners: usize, waiting: usize) {
     let mut dispatch = Dispatcher::new("zone-0", 1, Policy::Full);
     dispatch.set_view(Arc::new(View::new(1, sample(50))));
-    dispatch.runners.list(listed(runners, 13));
+    dispatch.runners.set_listings(listed(runners, 13));
     let mut now = Moment::at_ms(1_000_000);
     // Calls for a pool of one full runner wait behind everything else.
     let mut full = listed(1, 1);
@@ -130,7 +130,7 @@
     full[0].slots = 1;
     let mut all = listed(runners, 13);
     all.append(&mut full);
-    dispatch.runners.list(all);
+    dispatch.runners.set_listings(all);
     for call in 0..=waiting as u64 {
         let mut stuck = seek(10_000_000 + call);
         stuck.pools = vec!["full".to_string()].into();
@@ -271,7 +271,7 @@
     let view = View::new(1, sample(650));
     tell("customers_with_three_keys", view.document.customers.len());
     let mut dispatch = Dispatcher::new("zone-0", 1, Policy::Full);
-    dispatch.runners.list(listed(1_700, 13));
+    dispatch.runners.set_listings(listed(1_700, 13));
     tell("runners", dispatch.runners.iter().count());
     let mut meter = Meter::new(Incarnation(1), now, std::time::Duration::from_secs(300));
     for at in 0..3_600 {
--- a/crates/load/src/play/faults.rs
+++ b/crates/load/src/play/faults.rs
@@ -81,7 +81,7 @@
                 .map(|job| self.jobs[*job].host)
                 .collect();
             for host in seen {
-                self.hosts[host].runners.leave(now, &name);
+                self.hosts[host].runners.mark_leaving(now, &name);
             }
             self.plan(notice * MS, Event::Gone(at));
         }
@@ -116,7 +116,7 @@
     pub(super) fn relist(&mut self) {
         let all: Vec<Listing> = self.engines.iter().map(|engine| engine.listed.clone()).collect();
         for host in &mut self.hosts {
-            host.runners.list(all.clone());
+            host.runners.set_listings(all.clone());
         }
     }
 
@@ -127,16 +127,16 @@
         }
         let now = self.moment();
         let shares = self.hosts[host].runners.shares();
-        let news = self.hosts[host].runners.news(now);
+        let news = self.hosts[host].runners.leaving_names(now);
         self.waiting[host] = self.hosts[host].waiting_by_pool();
         for other in 0..self.hosts.len() {
             if other == host || self.zones[other] != self.zones[host] {
                 continue;
             }
             let runners = &mut self.hosts[other].runners;
-            runners.hear(now, Incarnation(host as u64), &shares);
+            runners.set_peer_shares(now, Incarnation(host as u64), &shares);
             for name in &news {
-                runners.leave(now, name);
+                runners.mark_leaving(now, name);
             }
             let (zones, waiting) = (&self.zones, &self.waiting);
             let mates = (0..zones.len()).filter(|mate| *mate != other && zones[*mate] == zones[other]);
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -144,7 +144,9 @@
         slots: *slots,
         leaving: false,
     };
-    dispatch.runners.list(runners.iter().map(listed).collect());
+    dispatch
+        .runners
+        .set_listings(runners.iter().map(listed).collect());
     dispatch
 }
 
@@ -228,7 +230,7 @@
 fn a_reclaimed_zone_is_left_at_once() {
     let mut dispatch = dispatch(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
     let now = Moment::at_ms(1_000);
-    dispatch.runners.leave(now, "p-a");
+    dispatch.runners.mark_leaving(now, "p-a");
     dispatch.set_hosts(1, 2, 0);
     for call in 0..3 {
         let decisions = dispatch.submit(now + Duration::from_millis(call * 10), seek(call, "best", "p"));
@@ -240,8 +242,8 @@
         }
     }
     let mut peer = self::dispatch(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
-    for name in dispatch.runners.news(now) {
-        peer.runners.leave(now, &name);
+    for name in dispatch.runners.leaving_names(now) {
+        peer.runners.mark_leaving(now, &name);
     }
     let decisions = peer.submit(now, seek(9, "best", "p"));
     assert!(
@@ -260,7 +262,8 @@
     let begun = (0..20)
         .flat_map(|call| started(&one.submit(now, seek(call, "best", "p"))))
         .count();
-    two.runners.hear(now, Incarnation(1), &one.runners.shares());
+    two.runners
+        .set_peer_shares(now, Incarnation(1), &one.runners.shares());
     let more = (0..20)
         .flat_map(|call| started(&two.submit(now, seek(call, "best", "p"))))
         .count();
@@ -356,7 +359,7 @@
                 let shares = hosts[at].runners.shares();
                 let waits = hosts[at].waiting_by_tier().any(|(_, length)| length > 0);
                 let mate = &mut hosts[1 - at];
-                mate.runners.hear(now, Incarnation(at as u64), &shares);
+                mate.runners.set_peer_shares(now, Incarnation(at as u64), &shares);
                 mate.set_waiting_peers(waits.then_some("p").into_iter());
             }
         }
@@ -404,7 +407,7 @@
         ..Default::default()
     };
     let at = |ms: u64| Moment::at_ms(1_000 + ms);
-    dispatch.runners.hear(at(0), Incarnation(9), &mates);
+    dispatch.runners.set_peer_shares(at(0), Incarnation(9), &mates);
     assert!(
         dispatch.submit(at(0), seek(1, "best", "p")).is_empty(),
         "it waits"
@@ -429,7 +432,7 @@
     assert!(dispatch.submit(now, back).is_empty(), "it is taken in");
     dispatch
         .runners
-        .hear(now, Incarnation(9), &radishstair_core::peer::Shares::default());
+        .set_peer_shares(now, Incarnation(9), &radishstair_core::peer::Shares::default());
     assert_eq!(started(&dispatch.tick(now))[0], 4, "and goes first");
 }
 
