--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -147,7 +147,7 @@
                 None
             }
             (State::Intending { order, .. }, Answer::Written(version)) => {
-                self.targets.of(order.place()).more.version = *version;
+                self.targets.entry(order.place()).extra.version = *version;
                 // The last check before the order leaves: a holder paused
                 // while the intent was written must not send it.
                 let grant = grant.filter(|grant| grant.covers(now) && grant.fence == order.fence)?;
@@ -172,7 +172,7 @@
             return;
         };
         if accepted {
-            self.targets.of(order.place()).accept(now, order.count);
+            self.targets.entry(order.place()).accept(now, order.count);
         } else {
             *self = Self::default();
             self.next = now + PAUSE;
@@ -193,21 +193,21 @@
     }
 
     fn set(&mut self, now: Moment, pool: &Pool, zone: &str, want: u32) {
-        let target = self.targets.of(Place {
+        let target = self.targets.entry(Place {
             pool: pool.name.clone(),
             zone: zone.to_string(),
         });
         let have = target.accepted.unwrap_or(0);
         if target.accepted.is_none() || want >= have {
             target.want(want);
-            target.more.lower_since = None;
+            target.extra.lower_since = None;
             return;
         }
         // Runners take long to start: release only after steady low demand.
-        let since = *target.more.lower_since.get_or_insert(now);
+        let since = *target.extra.lower_since.get_or_insert(now);
         if now.since(since) >= RELEASE {
             target.want(want);
-            target.more.lower_since = None;
+            target.extra.lower_since = None;
         }
     }
 
@@ -216,12 +216,12 @@
         let order = Order {
             pool: target.key.pool.clone(),
             zone: target.key.zone.clone(),
-            count: target.want,
+            count: target.desired,
             fence: grant.fence,
         };
         let call = Call::Swap {
             key: format!("{PREFIX}{}/{}", order.pool, order.zone),
-            expect: target.more.version,
+            expect: target.extra.version,
             value: serde_json::to_string(&order).ok()?,
         };
         self.state = State::Intending { since: now, order };
@@ -232,9 +232,9 @@
         self.targets = Targets::default();
         for entry in entries {
             if let Ok(order) = serde_json::from_str::<Order>(&entry.value) {
-                let target = self.targets.of(order.place());
+                let target = self.targets.entry(order.place());
                 // Not known whether it was sent: it will be stated once more.
-                target.more.version = entry.version;
+                target.extra.version = entry.version;
                 target.want(order.count);
             }
         }
--- a/crates/core/src/proxy/supply.rs
+++ b/crates/core/src/proxy/supply.rs
@@ -206,8 +206,8 @@
         }
         let target = self.targets.due(now, Some(RESTATE))?;
         self.sending = Some(now);
-        let pause = AGAIN * 2u32.saturating_pow(target.more.refused);
-        target.next = now + pause.min(AGAIN_MOST);
+        let pause = AGAIN * 2u32.saturating_pow(target.extra.refused);
+        target.next_attempt = now + pause.min(AGAIN_MOST);
         let Kind {
             service,
             zone,
@@ -217,7 +217,7 @@
             service,
             zone,
             reclaimable,
-            count: target.want,
+            count: target.desired,
         })
     }
 
@@ -228,17 +228,17 @@
         }
         let target = self
             .targets
-            .of(Kind::new(&order.service, &order.zone, order.reclaimable));
+            .entry(Kind::new(&order.service, &order.zone, order.reclaimable));
         if !accepted {
-            target.more.refused = (target.more.refused + 1).min(REFUSED_MOST);
+            target.extra.refused = (target.extra.refused + 1).min(REFUSED_MOST);
             return;
         }
-        target.more.refused = 0;
+        target.extra.refused = 0;
         if target.accepted.is_none_or(|have| have < order.count) {
-            target.more.rose = Some(now);
+            target.extra.rose = Some(now);
         }
         // What is wanted may have changed since; that is due at once.
-        if target.want == order.count {
+        if target.desired == order.count {
             target.accept(now, order.count);
         }
     }
@@ -273,7 +273,7 @@
             let cheap = each.min(scaling.most - dependable);
             for (reclaimable, wanted) in [(false, dependable), (true, cheap)] {
                 let kind = Kind::new(&service.name, &zone.name, reclaimable);
-                self.targets.of(kind).want(wanted);
+                self.targets.entry(kind).want(wanted);
             }
         }
     }
@@ -301,17 +301,17 @@
 
     /// Reclaimable runners of a zone that are there or will be after a boot.
     fn expected(&mut self, now: Moment, service: &Service, scaling: &Scaling, zone: &Zone) -> u32 {
-        let target = self.targets.of(Kind::new(&service.name, &zone.name, true));
+        let target = self.targets.entry(Kind::new(&service.name, &zone.name, true));
         // Some have vanished: what was ordered before may have gone with them.
-        let vanished = zone.cheap < target.more.seen;
-        target.more.seen = zone.cheap;
+        let vanished = zone.cheap < target.extra.seen;
+        target.extra.seen = zone.cheap;
         let ordered = target.accepted.unwrap_or(0);
         let boots = |rose: &Moment| now.since(*rose) < scaling.boot + OVERDUE;
-        target.more.rose = target.more.rose.filter(boots);
+        target.extra.rose = target.extra.rose.filter(boots);
         if vanished || zone.cheap >= ordered {
-            target.more.rose = None;
+            target.extra.rose = None;
         }
-        match target.more.rose {
+        match target.extra.rose {
             Some(_) => ordered,
             None => zone.cheap,
         }
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -14,33 +14,33 @@
     /// The thing.
     pub key: K,
     /// Number wanted.
-    pub want: u32,
+    pub desired: u32,
     /// Number that was accepted last; none if that is not known.
     pub accepted: Option<u32>,
     /// When it may be ordered next.
-    pub next: Moment,
+    pub next_attempt: Moment,
     /// What else is known.
-    pub more: X,
+    pub extra: X,
 }
 
 impl<K, X> Target<K, X> {
     /// Sets the number wanted; a new one need not wait for the pause of the old one.
     pub fn want(&mut self, count: u32) {
-        if self.want != count {
-            self.want = count;
-            self.next = Moment::default();
+        if self.desired != count {
+            self.desired = count;
+            self.next_attempt = Moment::default();
         }
     }
 
     /// Whether what is wanted was not accepted yet.
-    pub fn differs(&self) -> bool {
-        self.accepted != Some(self.want)
+    pub fn is_unconfirmed(&self) -> bool {
+        self.accepted != Some(self.desired)
     }
 
     /// An order for `count` was accepted.
     pub fn accept(&mut self, now: Moment, count: u32) {
         self.accepted = Some(count);
-        self.next = now;
+        self.next_attempt = now;
     }
 }
 
@@ -58,17 +58,17 @@
 
 impl<K: Ord, X: Default> Targets<K, X> {
     /// The target for a thing; a new one wants nothing.
-    pub fn of(&mut self, key: K) -> &mut Target<K, X> {
+    pub fn entry(&mut self, key: K) -> &mut Target<K, X> {
         let found = self.rows.binary_search_by(|have| have.key.cmp(&key));
         let at = match found {
             Ok(at) => at,
             Err(at) => {
                 let target = Target {
                     key,
-                    want: 0,
+                    desired: 0,
                     accepted: None,
-                    next: Moment::default(),
-                    more: X::default(),
+                    next_attempt: Moment::default(),
+                    extra: X::default(),
                 };
                 self.rows.insert(at, target);
                 at
@@ -80,8 +80,10 @@
     /// The first target that is due: one that differs from what was accepted, or one that
     /// was accepted `restate` ago.
     pub fn due(&mut self, now: Moment, restate: Option<Duration>) -> Option<&mut Target<K, X>> {
-        let old = |target: &Target<K, X>| restate.is_some_and(|span| now.since(target.next) >= span);
-        let due = |target: &&mut Target<K, X>| now.reached(target.next) && (target.differs() || old(target));
+        let old = |target: &Target<K, X>| restate.is_some_and(|span| now.since(target.next_attempt) >= span);
+        let due = |target: &&mut Target<K, X>| {
+            now.reached(target.next_attempt) && (target.is_unconfirmed() || old(target))
+        };
         self.rows.iter_mut().find(due)
     }
 }
--- a/tests/suite/seal.rs
+++ b/tests/suite/seal.rs
@@ -83,13 +83,16 @@
 #[test]
 fn what_stands_is_said_again() {
     let mut targets = Targets::<&str, ()>::default();
-    targets.of("zone-a").want(3);
+    targets.entry("zone-a").want(3);
     let again = Some(Duration::from_secs(15));
     let due = targets.due(at(100), again).expect("nothing was accepted");
     due.accept(at(100), 3);
     assert!(targets.due(at(15_000), again).is_none());
     assert!(targets.due(at(15_000), None).is_none());
-    assert_eq!(targets.due(at(15_100), again).map(|target| target.want), Some(3));
+    assert_eq!(
+        targets.due(at(15_100), again).map(|target| target.desired),
+        Some(3)
+    );
 }
 
 /// A burst meets too few runners. An order was refused and waits for its pause; a new
@@ -97,10 +100,10 @@
 #[test]
 fn a_new_number_does_not_wait() {
     let mut targets = Targets::<&str, ()>::default();
-    let target = targets.of("zone-a");
+    let target = targets.entry("zone-a");
     target.want(3);
-    target.next = at(5_000);
+    target.next_attempt = at(5_000);
     assert!(targets.due(at(1_000), None).is_none());
-    targets.of("zone-a").want(4);
-    assert_eq!(targets.due(at(1_000), None).map(|target| target.want), Some(4));
+    targets.entry("zone-a").want(4);
+    assert_eq!(targets.due(at(1_000), None).map(|target| target.desired), Some(4));
 }
