--- a/crates/core/src/reservation.rs
+++ b/crates/core/src/reservation.rs
@@ -38,7 +38,7 @@
     }
 
     /// Whether a token is this customer's for this class and it is its time.
-    pub fn holds(&self, now: Moment, token: &str, customer: &str, class: &str) -> bool {
+    pub fn verify(&self, now: Moment, token: &str, customer: &str, class: &str) -> bool {
         let Some((due, mac)) = token.split_once('-') else {
             return false;
         };
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -97,7 +97,7 @@
 
     /// Whether a request comes back as it was promised.
     pub fn is_promised(&self, token: Option<&str>, customer: &str, class: &str) -> bool {
-        token.is_some_and(|token| self.promises.holds(self.clock.now(), token, customer, class))
+        token.is_some_and(|token| self.promises.verify(self.clock.now(), token, customer, class))
     }
 
     /// Whether the process is to stop.
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -291,19 +291,19 @@
     let due = Moment::at_ms(100_000);
     let token = secret.sign("coop", "chat", due);
     let other_host = Secret::derive("token-of-the-suite");
-    assert!(other_host.holds(due, &token, "coop", "chat"));
-    assert!(!other_host.holds(due, &token, "other", "chat"));
-    assert!(!other_host.holds(due, &token, "coop", "posting"));
+    assert!(other_host.verify(due, &token, "coop", "chat"));
+    assert!(!other_host.verify(due, &token, "other", "chat"));
+    assert!(!other_host.verify(due, &token, "coop", "posting"));
     assert!(
-        !other_host.holds(Moment::at_ms(90_000), &token, "coop", "chat"),
+        !other_host.verify(Moment::at_ms(90_000), &token, "coop", "chat"),
         "too early"
     );
     assert!(
-        !other_host.holds(Moment::at_ms(110_000), &token, "coop", "chat"),
+        !other_host.verify(Moment::at_ms(110_000), &token, "coop", "chat"),
         "too late"
     );
-    assert!(!Secret::derive("another").holds(due, &token, "coop", "chat"));
-    assert!(!other_host.holds(due, "100000-00", "coop", "chat"));
+    assert!(!Secret::derive("another").verify(due, &token, "coop", "chat"));
+    assert!(!other_host.verify(due, "100000-00", "coop", "chat"));
 }
 
 /// At a peak that lasts, callers that are told when to come back and do so are
