--- a/crates/core/src/dispatch/admission.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -43,7 +43,7 @@
         }
         let over = wait.unwrap_or(limit).saturating_sub(limit / 2);
         if let Some(after) = self.promise(now, at, &seek.customer, over) {
-            return Some(Refusal::new(Kind::Overloaded).promise(after));
+            return Some(Refusal::new(Kind::Overloaded).reserve(after));
         }
         Some(Refusal::new(Kind::Overloaded).after(self.back(over)))
     }
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -139,9 +139,9 @@
         /// How to go on.
         pub repeat: Repeat,
         /// When to come back.
-        pub after: Option<Duration>,
+        pub retry_after: Option<Duration>,
         /// Whether room is kept for then.
-        pub promised: bool,
+        pub reserved: bool,
         /// Token to come back with, once the promise is signed.
         pub token: Option<String>,
         /// What exactly was wrong.
@@ -156,8 +156,8 @@
             kind,
             ran: kind.ran(),
             repeat: kind.repeat(),
-            after: None,
-            promised: false,
+            retry_after: None,
+            reserved: false,
             token: None,
             detail: String::new(),
         }
@@ -171,20 +171,20 @@
 
     /// Tells when to come back.
     pub fn after(mut self, after: Duration) -> Self {
-        self.after = Some(after);
+        self.retry_after = Some(after);
         self
     }
 
     /// Tells when to come back, with room kept for then.
-    pub fn promise(self, after: Duration) -> Self {
+    pub fn reserve(self, after: Duration) -> Self {
         Self {
-            promised: true,
+            reserved: true,
             ..self.after(after)
         }
     }
 
     /// Leaves open whether it ran; the same key may be repeated.
-    pub fn open(mut self) -> Self {
+    pub fn outcome_unknown(mut self) -> Self {
         self.ran = Ran::Unknown;
         self.repeat = Repeat::SameKey;
         self
@@ -201,7 +201,7 @@
             "message": message,
             "ran": self.ran,
             "repeat": self.repeat,
-            "retry_after_ms": self.after.map(|span| span.as_millis() as u64),
+            "retry_after_ms": self.retry_after.map(|span| span.as_millis() as u64),
         }})
     }
 }
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -250,7 +250,7 @@
 /// The answer to a refused call.
 pub fn refused(refusal: &Refusal) -> Response<Body> {
     let mut answer = json(refusal.kind.status(), &refusal.body());
-    if let Some(after) = refusal.after {
+    if let Some(after) = refusal.retry_after {
         let seconds = after.as_millis().div_ceil(1_000) as u64;
         answer
             .headers_mut()
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -444,7 +444,7 @@
             ran: Ran::Unknown,
             ..refusal
         },
-        _ => refusal.open(),
+        _ => refusal.outcome_unknown(),
     }
 }
 
--- a/crates/entry/src/front/call/plain.rs
+++ b/crates/entry/src/front/call/plain.rs
@@ -65,7 +65,7 @@
             self.last = refusal;
             if failure == Failure::NotSent {
                 self.tries.revert_send();
-                self.last.after = Some(NO_RUNNER);
+                self.last.retry_after = Some(NO_RUNNER);
             }
             Stop::Failed(failure.into())
         })
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -89,7 +89,7 @@
 
     /// Signs the promise of a refusal, if it holds one.
     pub fn sign(&self, mut refusal: Refusal, customer: &str, class: &str) -> Refusal {
-        if let Some(after) = refusal.after.filter(|_| refusal.promised) {
+        if let Some(after) = refusal.retry_after.filter(|_| refusal.reserved) {
             refusal.token = Some(self.promises.sign(customer, class, self.clock.now() + after));
         }
         refusal
--- a/crates/entry/src/proxy/reply.rs
+++ b/crates/entry/src/proxy/reply.rs
@@ -83,7 +83,7 @@
     }
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if let Some(after) = refusal.after {
+    if let Some(after) = refusal.retry_after {
         headers.insert(RETRY_AFTER, seconds(after));
     }
     response
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -398,13 +398,13 @@
             return;
         }
         self.measure.refusal(self.now - self.jobs[job].arrived);
-        match refusal.after {
+        match refusal.retry_after {
             Some(after) if !self.jobs[job].came_back => {
                 // One call, counted once, by what became of it in the end.
                 self.jobs[job].over = true;
                 let mut back = self.jobs[job].clone();
                 back.came_back = true;
-                back.promised = refusal.promised;
+                back.promised = refusal.reserved;
                 back.over = false;
                 back.avoid.clear();
                 back.tries = 0;
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -423,8 +423,8 @@
         panic!("{refused:?}");
     };
     assert_eq!((call.0, refusal.kind), (3, Kind::Overloaded));
-    assert!(refusal.promised);
-    let after = refusal.after.expect("a time to come back");
+    assert!(refusal.reserved);
+    let after = refusal.retry_after.expect("a time to come back");
     assert!(after <= Duration::from_secs(5), "{after:?}");
     let mut back = seek(4, "best", "p");
     back.reserved = true;
