--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -199,14 +199,14 @@
         });
         let have = target.accepted.unwrap_or(0);
         if target.accepted.is_none() || want >= have {
-            target.want(want);
+            target.set_desired(want);
             target.extra.lower_since = None;
             return;
         }
         // Runners take long to start: release only after steady low demand.
         let since = *target.extra.lower_since.get_or_insert(now);
         if now.since(since) >= RELEASE {
-            target.want(want);
+            target.set_desired(want);
             target.extra.lower_since = None;
         }
     }
@@ -235,7 +235,7 @@
                 let target = self.targets.entry(order.place());
                 // Not known whether it was sent: it will be stated once more.
                 target.extra.version = entry.version;
-                target.want(order.count);
+                target.set_desired(order.count);
             }
         }
     }
--- a/crates/core/src/proxy/supply.rs
+++ b/crates/core/src/proxy/supply.rs
@@ -273,7 +273,7 @@
             let cheap = each.min(scaling.most - dependable);
             for (reclaimable, wanted) in [(false, dependable), (true, cheap)] {
                 let kind = Kind::new(&service.name, &zone.name, reclaimable);
-                self.targets.entry(kind).want(wanted);
+                self.targets.entry(kind).set_desired(wanted);
             }
         }
     }
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -25,7 +25,7 @@
 
 impl<K, X> Target<K, X> {
     /// Sets the number wanted; a new one need not wait for the pause of the old one.
-    pub fn want(&mut self, count: u32) {
+    pub fn set_desired(&mut self, count: u32) {
         if self.desired != count {
             self.desired = count;
             self.next_attempt = Moment::default();
--- a/tests/suite/seal.rs
+++ b/tests/suite/seal.rs
@@ -83,7 +83,7 @@
 #[test]
 fn what_stands_is_said_again() {
     let mut targets = Targets::<&str, ()>::default();
-    targets.entry("zone-a").want(3);
+    targets.entry("zone-a").set_desired(3);
     let again = Some(Duration::from_secs(15));
     let due = targets.due(at(100), again).expect("nothing was accepted");
     due.accept(at(100), 3);
@@ -101,9 +101,9 @@
 fn a_new_number_does_not_wait() {
     let mut targets = Targets::<&str, ()>::default();
     let target = targets.entry("zone-a");
-    target.want(3);
+    target.set_desired(3);
     target.next_attempt = at(5_000);
     assert!(targets.due(at(1_000), None).is_none());
-    targets.entry("zone-a").want(4);
+    targets.entry("zone-a").set_desired(4);
     assert_eq!(targets.due(at(1_000), None).map(|target| target.desired), Some(4));
 }
