--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -137,7 +137,7 @@
         }
         let count = count.clamp(1, MAX_TICKETS_PER_REQUEST);
         if self.tickets.len() + count as usize > MAX_TICKET_RECORDS {
-            return Err(Refusal::new(Kind::Overloaded).after(Duration::from_secs(5)));
+            return Err(Refusal::new(Kind::Overloaded).retry_after(Duration::from_secs(5)));
         }
         Ok((0..count).map(|_| self.issue_one(now, customer)).collect())
     }
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -140,7 +140,7 @@
             return Ok(records.begin_claim(now, call, claim, customer, body));
         }
         if !records.has_capacity() || self.pending.len() >= IN_AIR {
-            let refusal = Refusal::new(Kind::ClaimUnsettled).after(Duration::from_secs(1));
+            let refusal = Refusal::new(Kind::ClaimUnsettled).retry_after(Duration::from_secs(1));
             return Ok(Verdict::Refuse(refusal));
         }
         self.nonce = self.nonce.wrapping_add(1);
@@ -217,5 +217,5 @@
 }
 
 fn unsettled() -> Verdict {
-    Verdict::Refuse(Refusal::new(Kind::ClaimUnsettled).after(Duration::from_secs(1)))
+    Verdict::Refuse(Refusal::new(Kind::ClaimUnsettled).retry_after(Duration::from_secs(1)))
 }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -208,11 +208,11 @@
             return vec![Decision::Refuse(call, Kind::NotSelected.into())];
         };
         if !seek.avoid.is_empty() && !self.lanes[at].take_retry() {
-            let refusal = Refusal::new(Kind::Overloaded).after(self.back(Duration::from_secs(1)));
+            let refusal = Refusal::new(Kind::Overloaded).retry_after(self.back(Duration::from_secs(1)));
             return vec![Decision::Refuse(call, refusal)];
         }
         if !self.listed(&seek) {
-            let refusal = Refusal::new(Kind::NoRunner).after(self.back(Duration::from_secs(2)));
+            let refusal = Refusal::new(Kind::NoRunner).retry_after(self.back(Duration::from_secs(2)));
             return vec![Decision::Refuse(call, refusal)];
         }
         if let Some(refusal) = self.refuse_early(now, at, &seek) {
@@ -309,7 +309,7 @@
             }
             for item in self.lanes[at].expire(now) {
                 self.waiting -= 1;
-                let refusal = Refusal::new(Kind::Late).after(self.back(Duration::from_secs(1)));
+                let refusal = Refusal::new(Kind::Late).retry_after(self.back(Duration::from_secs(1)));
                 out.push(Decision::Refuse(item.submission.call, refusal));
             }
         }
--- a/crates/core/src/dispatch/admission.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -45,7 +45,7 @@
         if let Some(after) = self.promise(now, at, &seek.customer, over) {
             return Some(Refusal::new(Kind::Overloaded).reserve(after));
         }
-        Some(Refusal::new(Kind::Overloaded).after(self.back(over)))
+        Some(Refusal::new(Kind::Overloaded).retry_after(self.back(over)))
     }
 
     fn expected_wait(&self, now: Moment, at: usize, customer: &str, limit: Duration) -> Option<Duration> {
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -170,7 +170,7 @@
     }
 
     /// Tells when to come back.
-    pub fn after(mut self, after: Duration) -> Self {
+    pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
@@ -179,7 +179,7 @@
     pub fn reserve(self, after: Duration) -> Self {
         Self {
             reserved: true,
-            ..self.after(after)
+            ..self.retry_after(after)
         }
     }
 
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -102,7 +102,7 @@
 
 /// A clear refusal past the bound, instead of a connection that hangs.
 async fn refuse_connection(mut stream: TcpStream) {
-    let refusal = Refusal::new(Kind::TooManyConnections).after(Duration::from_secs(1));
+    let refusal = Refusal::new(Kind::TooManyConnections).retry_after(Duration::from_secs(1));
     let body = refusal.body().to_string();
     let head = format!(
         "HTTP/1.1 503 Service Unavailable\r\ncontent-type: application/json\r\nretry-after: 1\r\n\
@@ -206,7 +206,7 @@
         .and_then(|text| text.strip_prefix("Bearer "))
         .ok_or(Kind::MissingKey)?;
     if !handle.trusted.load(std::sync::atomic::Ordering::SeqCst) {
-        return Err(Refusal::new(Kind::Stale).after(Duration::from_secs(5)));
+        return Err(Refusal::new(Kind::Stale).retry_after(Duration::from_secs(5)));
     }
     view.authenticate(key.trim())
 }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -287,7 +287,7 @@
         let call = self.handle.call();
         match self.handle.ask(call, Event::Away { call, owner, key }).await {
             Ok(Reply::Verdict(Verdict::Refuse(refusal))) => match refusal.repeat {
-                Repeat::SameKey => refusal.after(Duration::from_secs(2)),
+                Repeat::SameKey => refusal.retry_after(Duration::from_secs(2)),
                 _ => refusal,
             },
             _ => Kind::OwnerAway.into(),
--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -178,7 +178,7 @@
     let admission = state
         .admit(now, &ask(parts, head))
         .map_err(|refusal| match refusal.kind {
-            Kind::Stale => refusal.after(come_back(head.deadline, rand::random())),
+            Kind::Stale => refusal.retry_after(come_back(head.deadline, rand::random())),
             _ => refusal,
         })?;
     state.budgets.count(now, &admission.service);
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -387,7 +387,7 @@
     /// Tells when to come back.
     fn timed(&self, job: &Job, refusal: Refusal) -> Refusal {
         let left = job.left(self.shared.now());
-        refusal.after(come_back(left, rand::random()))
+        refusal.retry_after(come_back(left, rand::random()))
     }
 }
 
