--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -220,7 +220,7 @@
     }
 
     /// Records an end; returns the copies that wait for it.
-    pub fn end(&mut self, key: Key, mut end: Completion) -> Vec<Call> {
+    pub fn complete(&mut self, key: Key, mut end: Completion) -> Vec<Call> {
         if let Completion::Ran(answer) = &mut end
             && answer
                 .body
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -61,7 +61,7 @@
                 body,
             } => self.begin(now, *call, once, (customer, *body), out),
             Event::End { key, end } => {
-                for call in self.records.end(*key, end.clone()) {
+                for call in self.records.complete(*key, end.clone()) {
                     let verdict = self.records.outcome(*key);
                     self.waiting.retain(|(have, _)| *have != call);
                     out.reply(call, Reply::Verdict(verdict));
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -264,7 +264,7 @@
         };
         if let Verdict::Run(key) = records.begin_ticket(now, Call(call), &ticket, "customer-0001", call) {
             let body = Some("x".repeat(200));
-            records.end(key, Completion::Ran(Answer { status: 200, body }));
+            records.complete(key, Completion::Ran(Answer { status: 200, body }));
         }
     }
     tell("tickets_with_answers", 20_000);
--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -180,7 +180,7 @@
     let Verdict::Run(key) = first else {
         panic!("{first:?}");
     };
-    records.end(
+    records.complete(
         key,
         Completion::Ran(Answer {
             status: 200,
