--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -252,7 +252,7 @@
     }
 
     /// A call on a runner ended.
-    pub fn release(
+    pub fn finish(
         &mut self,
         now: Moment,
         seek: &Submission,
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -84,7 +84,7 @@
                 self.inner.submit(now, seek.clone())
             }
             Event::Release { call, outcome } => match self.take_running(*call) {
-                Some((_, seek, runner)) => self.inner.release(now, &seek, runner, outcome),
+                Some((_, seek, runner)) => self.inner.finish(now, &seek, runner, outcome),
                 None => Vec::new(),
             },
             Event::Forget(call) => self.forget(now, *call),
@@ -127,7 +127,7 @@
         match self.take_running(call) {
             Some((_, seek, runner)) => {
                 self.inner
-                    .release(now, &seek, runner, &Outcome::Cancelled { tokens: 0 })
+                    .finish(now, &seek, runner, &Outcome::Cancelled { tokens: 0 })
             }
             None => Vec::new(),
         }
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -159,7 +159,7 @@
                 tokens: 200,
                 ms_per_token: 50.0,
             };
-            dispatch.release(now, &seek, runner, &outcome);
+            dispatch.finish(now, &seek, runner, &outcome);
         }
     }
     let each = began.elapsed().as_secs_f64() * 1e6 / rounds as f64;
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -373,7 +373,7 @@
         self.jobs[job].avoid.push(key);
         let host = self.jobs[job].host;
         let now = self.moment();
-        let decisions = self.hosts[host].release(now, &seek, key, outcome);
+        let decisions = self.hosts[host].finish(now, &seek, key, outcome);
         self.decide(decisions);
     }
 
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -220,7 +220,7 @@
         tokens: 1,
         ms_per_token: 1.0,
     };
-    assert!(dispatch.release(now, &first, runner, &outcome).is_empty());
+    assert!(dispatch.finish(now, &first, runner, &outcome).is_empty());
 }
 
 /// A zone's runners of a pool refuse connections one after another while the
@@ -378,7 +378,7 @@
                 tokens: 10,
                 ms_per_token: 50.0,
             };
-            decisions.push((at, hosts[at].release(now, &seek, key, &whole)));
+            decisions.push((at, hosts[at].finish(now, &seek, key, &whole)));
         }
         for (at, host) in hosts.iter_mut().enumerate() {
             decisions.push((at, host.tick(now)));
@@ -467,7 +467,7 @@
                 tokens: 10,
                 ms_per_token: 10.0,
             };
-            let decisions = dispatch.release(now, &seek(call, "best", "p"), runner, &whole);
+            let decisions = dispatch.finish(now, &seek(call, "best", "p"), runner, &whole);
             running.extend(started_at(&decisions, now));
         }
     }
