--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -34,11 +34,11 @@
         /// Request class.
         pub class: String,
         /// Prompt tokens.
-        pub prompt: u64,
+        pub prompt_tokens: u64,
         /// Tokens that went to the caller.
-        pub tokens: u64,
+        pub output_tokens: u64,
         /// Whether the answer was whole.
-        pub whole: bool,
+        pub completed: bool,
     }
 }
 
@@ -110,10 +110,10 @@
         let row = Row {
             customer: item.customer.clone(),
             class: item.class.clone(),
-            calls: u64::from(item.whole),
-            prompt: item.prompt,
-            tokens: item.tokens,
-            broken: u64::from(!item.whole),
+            calls: u64::from(item.completed),
+            prompt: item.prompt_tokens,
+            tokens: item.output_tokens,
+            broken: u64::from(!item.completed),
         };
         merge_rows(&mut self.open, &[row]);
     }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -427,9 +427,9 @@
         self.handle.tell(Event::Count(Record {
             customer: job.customer.clone(),
             class: job.route.class.clone(),
-            prompt: 0,
-            tokens: 0,
-            whole: true,
+            prompt_tokens: 0,
+            output_tokens: 0,
+            completed: true,
         }));
     }
 }
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -336,9 +336,9 @@
             self.handle.tell(Event::Count(Record {
                 customer: self.customer.clone(),
                 class: self.route.class.clone(),
-                prompt: state.usage.prompt,
-                tokens: u64::from(state.usage.tokens),
-                whole,
+                prompt_tokens: state.usage.prompt,
+                output_tokens: u64::from(state.usage.tokens),
+                completed: whole,
             }));
         }
         tracing::info!(
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -170,9 +170,9 @@
     Record {
         customer: format!("customer-{:04}", at % 650),
         class: format!("class-{}", at % 3),
-        prompt: 200,
-        tokens: 200,
-        whole: true,
+        prompt_tokens: 200,
+        output_tokens: 200,
+        completed: true,
     }
 }
 
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -44,9 +44,9 @@
         let item = Record {
             customer: "c".into(),
             class: "x".into(),
-            prompt: 1,
-            tokens: 1,
-            whole: true,
+            prompt_tokens: 1,
+            output_tokens: 1,
+            completed: true,
         };
         world.handle(at, Event::Count(item));
         truth
