--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -58,7 +58,7 @@
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Count(item) => self.meter.count(now, item),
+            Event::Count(item) => self.meter.record(now, item),
             Event::Hear(beat) => self.hear(beat),
             Event::Collect(call, ask) if ask.zone => self.gather(now, Some(*call), ask, out),
             Event::Collect(call, ask) => {
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -105,7 +105,7 @@
     }
 
     /// Counts one thing.
-    pub fn count(&mut self, now: Moment, item: &Record) {
+    pub fn record(&mut self, now: Moment, item: &Record) {
         self.tick(now);
         let row = Row {
             customer: item.customer.clone(),
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -239,7 +239,7 @@
     let rounds = 100_000;
     let began = Instant::now();
     for at in 0..rounds {
-        meter.count(Moment::at_ms(at / 12), &item(at));
+        meter.record(Moment::at_ms(at / 12), &item(at));
     }
     let each = began.elapsed().as_secs_f64() * 1e6 / rounds as f64;
     println!("count rounds={rounds} us_each={each:.2}");
@@ -275,7 +275,7 @@
     tell("runners", dispatch.runners.iter().count());
     let mut meter = Meter::new(Incarnation(1), now, std::time::Duration::from_secs(300));
     for at in 0..3_600 {
-        meter.count(Moment::at_ms(1_000_000 + at * 83), &item(at));
+        meter.record(Moment::at_ms(1_000_000 + at * 83), &item(at));
     }
     tell("usage_chunks", meter.chunk_count());
 }
