--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -211,15 +211,15 @@
         }
         // A cursor is forgotten after long silence; without this bound the
         // next chunk of an idle process would look like one after a gap.
-        self.sealed = self.sealed.max(cursor(&ask.cursors, self.me.0));
+        self.sealed = self.sealed.max(sealed_until(&ask.cursors, self.me.0));
         self.chunks
-            .retain(|chunk| chunk.number > cursor(&ask.cursors, chunk.source));
+            .retain(|chunk| chunk.number > sealed_until(&ask.cursors, chunk.source));
         let mut sums: Vec<Sum> = Vec::new();
         for chunk in &self.chunks {
             let last = match sums.last() {
                 Some(sum) if sum.source == chunk.source => sum.number,
                 _ if chunk.source == self.me.0 => self.sealed,
-                _ => cursor(&ask.cursors, chunk.source),
+                _ => sealed_until(&ask.cursors, chunk.source),
             };
             let other = chunk.source != self.me.0 && answers(Incarnation(chunk.source));
             if other || chunk.number != last + 1 || chunk.window > ask.window {
@@ -255,7 +255,7 @@
 }
 
 /// Highest sealed chunk of a source.
-pub fn cursor(cursors: &[Cursor], source: u64) -> u64 {
+pub fn sealed_until(cursors: &[Cursor], source: u64) -> u64 {
     match cursors.binary_search_by(|have| have.source.cmp(&source)) {
         Ok(at) => cursors[at].number,
         Err(_) => 0,
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -6,8 +6,8 @@
 
 use std::time::Duration;
 
-use super::cursor;
 use super::gather::add_part;
+use super::sealed_until;
 use crate::lease::Grant;
 use crate::peer::{Bundle, Collect, Cursor, Part, Row, Span};
 use crate::store::{Answer, Call};
@@ -227,7 +227,7 @@
                 .binary_search_by(|have| have.source.cmp(&span.source))
                 .is_ok()
         };
-        let stale = |span: &Span| span.from < cursor(&cursors, span.source);
+        let stale = |span: &Span| span.from < sealed_until(&cursors, span.source);
         if answer.spans.iter().any(|span| known(span) || stale(span)) {
             return;
         }
