--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -160,7 +160,7 @@
             None => self
                 .gathers
                 .iter_mut()
-                .for_each(|gather| gather.add(answer.clone())),
+                .for_each(|gather| gather.add_answer(answer.clone())),
         }
     }
 
@@ -168,7 +168,7 @@
         while self.gathers.first().is_some_and(|gather| gather.is_due(now)) {
             let gather = self.gathers.remove(0);
             let call = gather.call;
-            let bundle = gather.bundle(&self.zone);
+            let bundle = gather.into_bundle(&self.zone);
             match call {
                 None => self.reporter.on_collected(&bundle),
                 Some(call) => {
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -32,12 +32,12 @@
             since: now,
             sums: Vec::new(),
         };
-        gather.add(own);
+        gather.add_answer(own);
         gather
     }
 
     /// Takes a mate's answer in.
-    pub fn add(&mut self, answer: Collected) {
+    pub fn add_answer(&mut self, answer: Collected) {
         for sum in answer.sums {
             match self.sums.binary_search_by(|have| have.source.cmp(&sum.source)) {
                 // Of two hosts that know a source, the one that has more of
@@ -55,7 +55,7 @@
     }
 
     /// The zone's sum.
-    pub fn bundle(self, zone: &str) -> Bundle {
+    pub fn into_bundle(self, zone: &str) -> Bundle {
         let mut bundle = Bundle {
             zone: zone.to_string(),
             ..Bundle::default()
