--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -90,7 +90,7 @@
 }
 
 /// Refuses keys that are malformed, too old or too far ahead.
-pub fn check(now: Moment, key: &str) -> Result<(), Refusal> {
+pub fn validate_key(now: Moment, key: &str) -> Result<(), Refusal> {
     let printable = key.bytes().all(|c| (0x21..0x7f).contains(&c));
     if key.is_empty() || key.len() > MAX_KEY_BYTES || !printable || key.starts_with(crate::ticket::PREFIX) {
         return Err(Kind::BadIdempotencyKey.into());
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -101,7 +101,7 @@
             self.tell(call, verdict, out);
             return;
         }
-        if let Err(refusal) = claim::check(now, once) {
+        if let Err(refusal) = claim::validate_key(now, once) {
             self.tell(call, Verdict::Refuse(refusal), out);
             return;
         }
--- a/tests/suite/parse.rs
+++ b/tests/suite/parse.rs
@@ -51,7 +51,7 @@
 fn keys_of_any_text_are_read_or_refused() {
     fn property(text: String) -> bool {
         let now = Moment::at_ms(1_800_000_000_000);
-        let _ = claim::check(now, &text);
+        let _ = claim::validate_key(now, &text);
         Ticket::parse(&text).is_none() && Ticket::parse(&format!("rst1-{text}")).is_none()
     }
     check(property as fn(String) -> bool);
