--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -16,7 +16,7 @@
         /// The runner states that it has not run it.
         NotRun,
         /// It may have run.
-        Broken,
+        MayHaveRun,
     }
 }
 
@@ -40,7 +40,7 @@
         /// It may have run, and runs at most once.
         MayHaveRun,
         /// The caller's or the route's time is over.
-        TimeOver,
+        TimedOut,
         /// It was sent to as many runners as it may be.
         AttemptsExhausted,
         /// The budget of repeats is spent.
@@ -55,7 +55,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Denial::MayHaveRun => "may-have-run",
-            Denial::TimeOver => "time-over",
+            Denial::TimedOut => "time-over",
             Denial::AttemptsExhausted => "attempts-spent",
             Denial::BudgetExhausted => "budget-spent",
             Denial::Unreachable => "unreachable",
@@ -112,13 +112,13 @@
                 return (self.unreachable >= rule.max_unreachable).then_some(Denial::Unreachable);
             }
             Fault::NotRun => {}
-            Fault::Broken => self.ran = true,
+            Fault::MayHaveRun => self.ran = true,
         }
         if self.ran && rule.at_most_once {
             return Some(Denial::MayHaveRun);
         }
         if over {
-            return Some(Denial::TimeOver);
+            return Some(Denial::TimedOut);
         }
         if self.sent >= rule.max_attempts {
             return Some(Denial::AttemptsExhausted);
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -118,7 +118,7 @@
                 self.tries.revert_send();
                 Fault::Unreachable
             }
-            _ => Fault::Broken,
+            _ => Fault::MayHaveRun,
         };
         self.last = refusal;
         Err(Stop::Failed(fault))
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -102,7 +102,7 @@
         Some(match fault {
             Fault::Unreachable => self.refusal(job, tries, Kind::NoRunner),
             Fault::NotRun => self.refusal(job, tries, Kind::Overloaded),
-            Fault::Broken => self.failed(job),
+            Fault::MayHaveRun => self.failed(job),
         })
     }
 
@@ -176,7 +176,7 @@
                     request = job.head.id,
                     runner = slot.id
                 );
-                Err(Halt::Failed(Fault::Broken))
+                Err(Halt::Failed(Fault::MayHaveRun))
             }
             Err(_) => {
                 slot.sign(Sign::Broken);
@@ -289,7 +289,7 @@
                 answers = mark.id,
                 signed = mark.signed
             );
-            return Err(Halt::Failed(Fault::Broken));
+            return Err(Halt::Failed(Fault::MayHaveRun));
         }
         Ok(Opened {
             slot,
--- a/crates/entry/src/proxy/plain.rs
+++ b/crates/entry/src/proxy/plain.rs
@@ -31,13 +31,13 @@
     async fn attempt(&mut self, slot: Slot) -> Result<Response<Body>, Halt> {
         let opened = self.forwarder.open(self.job, None, slot, self.tries).await?;
         let collected = self.forwarder.collect(self.job, opened).await;
-        let (parts, body) = collected.ok_or(Halt::Failed(Fault::Broken))?;
+        let (parts, body) = collected.ok_or(Halt::Failed(Fault::MayHaveRun))?;
         let answer = reply::whole(&parts, body);
         // A service's own failure of a repeatable request may pass at another runner.
 
         if parts.status.is_server_error() && self.job.admission.route.mode == Mode::Repeatable {
             self.failure = Some(answer);
-            return Err(Halt::Failed(Fault::Broken));
+            return Err(Halt::Failed(Fault::MayHaveRun));
         }
         Ok(answer)
     }
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -85,14 +85,14 @@
         let opened = self.forwarder.open(self.job, None, slot, self.tries).await?;
         if !opened.parts.status.is_success() {
             let collected = self.forwarder.collect(self.job, opened).await;
-            let (parts, body) = collected.ok_or(Halt::Failed(Fault::Broken))?;
+            let (parts, body) = collected.ok_or(Halt::Failed(Fault::MayHaveRun))?;
             let answer = reply::whole(&parts, body);
             if !parts.status.is_server_error() {
                 return Ok(Begun::Failure(answer));
             }
             // A runner's own failure may pass at another runner.
             self.failure = Some(answer);
-            return Err(Halt::Failed(Fault::Broken));
+            return Err(Halt::Failed(Fault::MayHaveRun));
         }
         let mut run = Run::new(opened, None);
         match run.next(self.job, &self.forwarder.shared).await {
@@ -100,7 +100,7 @@
             Piece::End => Ok(Begun::Stream(Box::new(run), Events::default())),
             Piece::Broken => {
                 run.abandon(self.job);
-                Err(Halt::Failed(Fault::Broken))
+                Err(Halt::Failed(Fault::MayHaveRun))
             }
             Piece::Over => Err(Halt::Over(Kind::UpstreamTimeout.into())),
         }
@@ -133,7 +133,7 @@
         let opened = self.forwarder.open(self.job, after, slot, self.tries).await?;
         match opened.parts.status.is_success() {
             true => Ok(Run::new(opened, after)),
-            false => Err(Halt::Failed(Fault::Broken)),
+            false => Err(Halt::Failed(Fault::MayHaveRun)),
         }
     }
 
@@ -238,7 +238,7 @@
     /// Another runner that goes on after `last`; none if the stream may not go on.
     async fn resume(&self, job: &Job, last: Option<u64>, tries: &mut Tries) -> Option<Run> {
         let last = last?;
-        if self.fail(job, tries, Fault::Broken).is_some() {
+        if self.fail(job, tries, Fault::MayHaveRun).is_some() {
             return None;
         }
         let mut resume = Resume {
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -42,7 +42,7 @@
     fn from(failure: Failure) -> Self {
         match failure {
             Failure::NotSent => Fault::Unreachable,
-            Failure::Broken => Fault::Broken,
+            Failure::Broken => Fault::MayHaveRun,
         }
     }
 }
--- a/tests/suite/repeat.rs
+++ b/tests/suite/repeat.rs
@@ -22,7 +22,7 @@
     tries.record_send();
     let untouched = || panic!("the budget is asked for nothing");
     assert_eq!(
-        tries.record_failure(&POSTING, Fault::Broken, false, untouched),
+        tries.record_failure(&POSTING, Fault::MayHaveRun, false, untouched),
         Some(Denial::MayHaveRun)
     );
 }
@@ -67,9 +67,9 @@
     let mut tries = History::<u32>::default();
     tries.record_send();
     let fail = |tries: &mut History<u32>, over, budget: bool| {
-        tries.record_failure(&LOOK_UP, Fault::Broken, over, || budget)
+        tries.record_failure(&LOOK_UP, Fault::MayHaveRun, over, || budget)
     };
-    assert_eq!(fail(&mut tries, true, true), Some(Denial::TimeOver));
+    assert_eq!(fail(&mut tries, true, true), Some(Denial::TimedOut));
     assert_eq!(fail(&mut tries, false, false), Some(Denial::BudgetExhausted));
     assert_eq!(fail(&mut tries, false, true), None);
 }
@@ -82,7 +82,7 @@
     let none = || Refusal::new(Kind::NoRunner);
     assert_eq!(tries.adjust_refusal(none()).ran, Ran::NotRun);
     tries.record_send();
-    tries.record_failure(&LOOK_UP, Fault::Broken, false, || true);
+    tries.record_failure(&LOOK_UP, Fault::MayHaveRun, false, || true);
     assert_eq!(tries.adjust_refusal(none()).ran, Ran::Unknown);
 }
 
@@ -100,7 +100,7 @@
             let fault = match fault % 3 {
                 0 => Fault::Unreachable,
                 1 => Fault::NotRun,
-                _ => Fault::Broken,
+                _ => Fault::MayHaveRun,
             };
             if fault != Fault::Unreachable {
                 tries.record_send();
