--- a/crates/core/src/dispatch/admission.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -76,7 +76,7 @@
         // Customers with short queues overtake one with a long queue for as
         // long as they keep coming: its own pace tells what that comes to.
         let (queued, pace) = (
-            self.lanes[at].waiting_for(customer),
+            self.lanes[at].len_for(customer),
             self.lanes[at].starts_for(customer),
         );
         if self.policy.defers_late() && queued > 0 && pace >= 1.0 {
--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -143,7 +143,7 @@
     }
 
     /// Calls of a customer that wait and can be in time.
-    pub fn waiting_for(&self, customer: &str) -> usize {
+    pub fn len_for(&self, customer: &str) -> usize {
         self.find(customer).map_or(0, |at| self.accounts[at].queue.len())
     }
 
