--- a/crates/core/src/once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -15,21 +15,21 @@
 use crate::time::Moment;
 
 /// How long a ticket may be used after its issue.
-pub const TICKET_LIFE: Duration = Duration::from_secs(900);
+pub const TICKET_LIFETIME: Duration = Duration::from_secs(900);
 /// How long a record is kept after its ticket's life, to repeat the answer.
-pub const RECORD_LIFE: Duration = Duration::from_secs(1_800);
+pub const RECORD_RETENTION: Duration = Duration::from_secs(1_800);
 /// Most tickets in one answer.
-pub const TICKETS_A_CALL: u32 = 64;
+pub const MAX_TICKETS_PER_REQUEST: u32 = 64;
 /// Most records in memory; past it no ticket is issued.
-pub const RECORDS: usize = 60_000;
+pub const MAX_TICKET_RECORDS: usize = 60_000;
 /// Most claims with a record in memory; past it no claim is made.
-pub const CLAIMS: usize = 20_000;
+pub const MAX_CLAIM_RECORDS: usize = 20_000;
 /// Most claims remembered without their answer; past it no claim is made.
-pub const SPENT: usize = 500_000;
+pub const MAX_SPENT_CLAIMS: usize = 500_000;
 /// How often claims are pruned.
 const PRUNE: Duration = Duration::from_secs(10);
 /// Longest answer kept for repetition, in bytes.
-pub const ANSWER_BYTES: usize = 4 * 1024;
+pub const MAX_ANSWER_BYTES: usize = 4 * 1024;
 
 /// A claimed key: the first half of a SHA-256 over customer and key.
 pub type Claim = [u8; 16];
@@ -57,13 +57,13 @@
 
 plain! {
     /// How a run ended.
-    pub enum End {
+    pub enum Completion {
         /// The runner answered.
         Ran(Answer),
         /// Bytes went out and no whole answer came back.
         Unknown,
         /// No byte reached a runner; the key is closed.
-        Void,
+        NotRun,
     }
 }
 
@@ -79,7 +79,7 @@
         /// Refused.
         Refuse(Refusal),
         /// Another process decides.
-        Elsewhere(Incarnation),
+        Forward(Incarnation),
     }
 }
 
@@ -87,7 +87,7 @@
     enum State {
         Open,
         Running { body: u64, waiting: Vec<Call> },
-        Ended { body: u64, end: End },
+        Ended { body: u64, end: Completion },
     }
 }
 
@@ -135,9 +135,9 @@
         if self.closing {
             return Err(Kind::Stopping.into());
         }
-        let count = count.clamp(1, TICKETS_A_CALL);
-        if self.tickets.len() + count as usize > RECORDS {
-            return Err(Refusal::new(Kind::Overloaded).after(Duration::from_secs(5)));
+        let count = count.clamp(1, MAX_TICKETS_PER_REQUEST);
+        if self.tickets.len() + count as usize > MAX_TICKET_RECORDS {
+            return Err(Refusal::new(Kind::Overloaded).retry_after(Duration::from_secs(5)));
         }
         Ok((0..count).map(|_| self.issue_one(now, customer)).collect())
     }
@@ -162,7 +162,7 @@
         body: u64,
     ) -> Verdict {
         if ticket.owner != self.me {
-            return Verdict::Elsewhere(ticket.owner);
+            return Verdict::Forward(ticket.owner);
         }
         if !ticket.verify(&self.secret, customer) {
             return Verdict::Refuse(Kind::BadIdempotencyKey.into());
@@ -209,20 +209,23 @@
     }
 
     /// Whether a claim was decided here.
-    pub fn knows(&self, claim: &Claim) -> bool {
+    pub fn contains(&self, claim: &Claim) -> bool {
         let recorded = self.claims.binary_search_by(|(have, _)| have.cmp(claim)).is_ok();
         recorded || self.spent.binary_search(claim).is_ok()
     }
 
     /// Whether another claim can be recorded.
-    pub fn has_room(&self) -> bool {
-        !self.closing && self.claims.len() < CLAIMS && self.spent.len() < SPENT
+    pub fn has_capacity(&self) -> bool {
+        !self.closing && self.claims.len() < MAX_CLAIM_RECORDS && self.spent.len() < MAX_SPENT_CLAIMS
     }
 
     /// Records an end; returns the copies that wait for it.
-    pub fn end(&mut self, key: Key, mut end: End) -> Vec<Call> {
-        if let End::Ran(answer) = &mut end
-            && answer.body.as_ref().is_some_and(|body| body.len() > ANSWER_BYTES)
+    pub fn complete(&mut self, key: Key, mut end: Completion) -> Vec<Call> {
+        if let Completion::Ran(answer) = &mut end
+            && answer
+                .body
+                .as_ref()
+                .is_some_and(|body| body.len() > MAX_ANSWER_BYTES)
         {
             answer.body = None;
         }
@@ -252,7 +255,7 @@
     }
 
     /// No further ticket or claim; what runs goes on.
-    pub fn close(&mut self) {
+    pub fn stop_issuing(&mut self) {
         self.closing = true;
     }
 
@@ -263,8 +266,16 @@
     pub fn seal(&mut self) -> Tombstone {
         self.closing = true;
         self.sealed = true;
-        let used =
-            |record: &Record| !matches!(record.state, State::Open | State::Ended { end: End::Void, .. });
+        let used = |record: &Record| {
+            !matches!(
+                record.state,
+                State::Open
+                    | State::Ended {
+                        end: Completion::NotRun,
+                        ..
+                    }
+            )
+        };
         let claims = self.claims.iter().filter(|(_, record)| used(record));
         Tombstone {
             claims: claims
@@ -287,7 +298,7 @@
     }
 
     /// Counts of records: tickets and claims.
-    pub fn size(&self) -> (usize, usize) {
+    pub fn counts(&self) -> (usize, usize) {
         (self.tickets.len(), self.claims.len())
     }
 
@@ -313,7 +324,7 @@
         }
         self.pruned = now;
         let old = |record: &Record| {
-            matches!(record.state, State::Ended { .. }) && now.since(record.issued) >= RECORD_LIFE
+            matches!(record.state, State::Ended { .. }) && now.since(record.issued) >= RECORD_RETENTION
         };
         let spent = self.claims.iter().filter(|(_, record)| old(record));
         self.spent.extend(spent.map(|(claim, _)| *claim));
@@ -326,7 +337,7 @@
     fn prune(&mut self, now: Moment) {
         while let Some(front) = self.tickets.front() {
             let running = matches!(front.state, State::Running { .. });
-            if running || now.since(front.issued) < TICKET_LIFE + RECORD_LIFE {
+            if running || now.since(front.issued) < TICKET_LIFETIME + RECORD_RETENTION {
                 return;
             }
             self.tickets.pop_front();
@@ -351,7 +362,7 @@
 
 impl Tombstone {
     /// What a peer may say about a key of the process that left.
-    pub fn judge(&self, key: Key) -> Refusal {
+    pub fn resolve(&self, key: Key) -> Refusal {
         let used = match key {
             Key::Ticket(number) => number < self.base || self.used.binary_search(&number).is_ok(),
             Key::Claim(claim) => self.claims.binary_search(&hex::encode(claim)).is_ok(),
@@ -366,9 +377,12 @@
 fn begin(now: Moment, call: Call, key: Key, record: &mut Record, body: u64, sealed: bool) -> Verdict {
     match &mut record.state {
         State::Open
-            if sealed || (matches!(key, Key::Ticket(_)) && now.since(record.issued) >= TICKET_LIFE) =>
+            if sealed || (matches!(key, Key::Ticket(_)) && now.since(record.issued) >= TICKET_LIFETIME) =>
         {
-            record.state = State::Ended { body, end: End::Void };
+            record.state = State::Ended {
+                body,
+                end: Completion::NotRun,
+            };
             Verdict::Refuse(Kind::KeyClosed.into())
         }
         State::Open => {
@@ -381,7 +395,7 @@
         State::Running { body: have, .. }
         | State::Ended {
             body: have,
-            end: End::Ran(_) | End::Unknown,
+            end: Completion::Ran(_) | Completion::Unknown,
         } if *have != body => Verdict::Refuse(Kind::KeyReused.into()),
         State::Running { waiting, .. } => {
             waiting.push(call);
@@ -391,10 +405,10 @@
     }
 }
 
-fn replay(end: &End) -> Verdict {
+fn replay(end: &Completion) -> Verdict {
     match end {
-        End::Ran(answer) => Verdict::Replay(answer.clone()),
-        End::Unknown => Verdict::Refuse(Kind::UpstreamBroken.into()),
-        End::Void => Verdict::Refuse(Kind::KeyClosed.into()),
+        Completion::Ran(answer) => Verdict::Replay(answer.clone()),
+        Completion::Unknown => Verdict::Refuse(Kind::UpstreamBroken.into()),
+        Completion::NotRun => Verdict::Refuse(Kind::KeyClosed.into()),
     }
 }
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -3,7 +3,7 @@
 //! The claim is one key in the store, created by compare-and-swap before any
 //! byte goes upstream, and never changed. A lost answer is settled by reading
 //! back the nonce. Whoever finds another's claim passes the call on to the
-//! holder, which keeps the record in its [`once::Ledger`](crate::once).
+//! holder, which keeps the record in its [`Records`].
 //!
 //! Time-stamped keys (UUID version 7) are refused past a horizon, so their
 //! claims can be swept without opening a key again; the bound on stamps that
@@ -13,9 +13,9 @@
 use sha2::{Digest, Sha256};
 use std::time::Duration;
 
+use crate::at_most_once::{Claim, Records, Verdict};
 use crate::error::{Kind, Refusal};
 use crate::id::{Call, Incarnation};
-use crate::once::{Claim, Records, Verdict};
 use crate::store::{Answer, Call as Ask, Entry, Token};
 use crate::time::Moment;
 
@@ -23,15 +23,15 @@
 pub const PREFIX: &str = "claim/k/";
 /// Store prefix of claims of time-stamped keys; the shell ties them to a lease
 /// longer than the horizon, so the store drops them once nobody takes the key.
-pub const STAMPED: &str = "claim/t/";
+pub const TIMESTAMPED_PREFIX: &str = "claim/t/";
 /// Life of that lease.
-pub const LEASE: Duration = Duration::from_secs(26 * 3_600);
+pub const LEASE_TTL: Duration = Duration::from_secs(26 * 3_600);
 /// Oldest time-stamped key that is still taken.
-pub const HORIZON: Duration = Duration::from_secs(24 * 3_600);
+pub const MAX_KEY_AGE: Duration = Duration::from_secs(24 * 3_600);
 /// Furthest that a key's time stamp may lie ahead of this host's clock.
-pub const AHEAD: Duration = Duration::from_secs(300);
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(300);
 /// Longest idempotency key, in bytes.
-pub const KEY_BYTES: usize = 128;
+pub const MAX_KEY_BYTES: usize = 128;
 /// Reads that settle one lost answer before the caller is told.
 const SETTLE_READS: u32 = 3;
 /// Claims in the air at once; past it callers are sent away at once.
@@ -81,23 +81,27 @@
 
 /// Store key of the claim of an idempotency key.
 pub fn store_key(key: &str, claim: &Claim) -> String {
-    let prefix = if stamp(key).is_some() { STAMPED } else { PREFIX };
+    let prefix = if stamp(key).is_some() {
+        TIMESTAMPED_PREFIX
+    } else {
+        PREFIX
+    };
     format!("{prefix}{}", hex::encode(claim))
 }
 
 /// Refuses keys that are malformed, too old or too far ahead.
-pub fn check(now: Moment, key: &str) -> Result<(), Refusal> {
+pub fn validate_key(now: Moment, key: &str) -> Result<(), Refusal> {
     let printable = key.bytes().all(|c| (0x21..0x7f).contains(&c));
-    if key.is_empty() || key.len() > KEY_BYTES || !printable || key.starts_with(crate::ticket::PREFIX) {
+    if key.is_empty() || key.len() > MAX_KEY_BYTES || !printable || key.starts_with(crate::ticket::PREFIX) {
         return Err(Kind::BadIdempotencyKey.into());
     }
     let Some(stamp) = stamp(key) else {
         return Ok(());
     };
-    if stamp > now.wall + AHEAD.as_millis() as u64 {
+    if stamp > now.wall + MAX_CLOCK_SKEW.as_millis() as u64 {
         return Err(Refusal::new(Kind::BadIdempotencyKey).detail("its time stamp lies ahead"));
     }
-    if stamp + (HORIZON.as_millis() as u64) < now.wall {
+    if stamp + (MAX_KEY_AGE.as_millis() as u64) < now.wall {
         return Err(Kind::KeyExpired.into());
     }
     Ok(())
@@ -132,11 +136,11 @@
         (customer, body): (&str, u64),
     ) -> Result<Verdict, Ask> {
         let claim = digest(customer, key);
-        if records.knows(&claim) {
+        if records.contains(&claim) {
             return Ok(records.begin_claim(now, call, claim, customer, body));
         }
-        if !records.has_room() || self.pending.len() >= IN_AIR {
-            let refusal = Refusal::new(Kind::ClaimUnsettled).after(Duration::from_secs(1));
+        if !records.has_capacity() || self.pending.len() >= IN_AIR {
+            let refusal = Refusal::new(Kind::ClaimUnsettled).retry_after(Duration::from_secs(1));
             return Ok(Verdict::Refuse(refusal));
         }
         self.nonce = self.nonce.wrapping_add(1);
@@ -164,7 +168,7 @@
 
     /// Takes the store's answer: a verdict for the call, or one more question.
     /// A further question goes out under the token `again`.
-    pub fn answer(
+    pub fn on_answer(
         &mut self,
         now: Moment,
         records: &mut Records,
@@ -202,7 +206,7 @@
             // was lost in an earlier try: nobody else can have run it, and
             // the records tell whether I have.
             Ok(record) if record.owner == self.me => self.own(now, records, pending),
-            Ok(record) => Verdict::Elsewhere(record.owner),
+            Ok(record) => Verdict::Forward(record.owner),
             Err(_) => unsettled(),
         }
     }
@@ -213,5 +217,5 @@
 }
 
 fn unsettled() -> Verdict {
-    Verdict::Refuse(Refusal::new(Kind::ClaimUnsettled).after(Duration::from_secs(1)))
+    Verdict::Refuse(Refusal::new(Kind::ClaimUnsettled).retry_after(Duration::from_secs(1)))
 }
--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -16,7 +16,7 @@
 use crate::time::Moment;
 
 /// Watchers a zone.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_ZONE: usize = 2;
 /// Entries kept for peers that lag.
 const TAIL: usize = 256;
 /// Entries in one answer from the store.
@@ -128,7 +128,7 @@
         if !self.booted {
             self.step = Step::Snapshot;
             return Some(Call::Get {
-                key: change::SNAPSHOT.into(),
+                key: change::SNAPSHOT_KEY.into(),
             });
         }
         if watcher && self.view.version >= self.snapshot.0 + SNAPSHOT_EVERY {
@@ -138,7 +138,7 @@
     }
 
     /// The store's answer; tells whether the view changed.
-    pub fn answer(&mut self, now: Moment, answer: &Answer) -> (bool, Option<Call>) {
+    pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> (bool, Option<Call>) {
         let step = std::mem::replace(&mut self.step, Step::Idle);
         match (step, answer) {
             (Step::Snapshot, Answer::Found(entries)) => {
@@ -176,7 +176,7 @@
     }
 
     /// A peer's beat: where it is ahead, its address is worth a pull.
-    pub fn hear(&mut self, now: Moment, beat: &Heartbeat) -> Option<Pull> {
+    pub fn on_heartbeat(&mut self, now: Moment, beat: &Heartbeat) -> Option<Pull> {
         self.heard = self.heard.max(beat.version);
         if beat.version == self.view.version && beat.version > 0 {
             self.freshen(now, beat.age);
@@ -192,7 +192,7 @@
     }
 
     /// Answers a peer that lags.
-    pub fn pull(&self, pull: &Pull) -> Pulled {
+    pub fn on_pull(&self, pull: &Pull) -> Pulled {
         let from = self.tail.partition_point(|entry| entry.version <= pull.have);
         let entries = &self.tail[from..];
         let follows = entries
@@ -221,7 +221,7 @@
     }
 
     /// Takes a peer's answer in; tells whether the view changed.
-    pub fn pulled(&mut self, pulled: &Pulled) -> bool {
+    pub fn on_pulled(&mut self, pulled: &Pulled) -> bool {
         let snapshot = serde_json::from_str::<Snapshot>(&pulled.snapshot);
         let mut changed = snapshot.is_ok_and(|snapshot| self.replace(snapshot));
         for text in &pulled.entries {
@@ -266,7 +266,7 @@
         }
         self.step = Step::Watch;
         let call = Call::Watch {
-            prefix: change::LOG.into(),
+            prefix: change::LOG_PREFIX.into(),
             after: change::log_key(self.view.version),
         };
         (changed, Some(call))
@@ -275,7 +275,7 @@
     fn range(&mut self) -> Call {
         self.step = Step::Range;
         Call::Range {
-            prefix: change::LOG.into(),
+            prefix: change::LOG_PREFIX.into(),
             after: change::log_key(self.view.version),
             limit: BATCH,
         }
@@ -288,7 +288,7 @@
             document: self.view.document.clone(),
         };
         Call::Swap {
-            key: change::SNAPSHOT.into(),
+            key: change::SNAPSHOT_KEY.into(),
             expect: self.snapshot.1,
             value: serde_json::to_string(&snapshot).unwrap_or_default(),
         }
--- a/crates/core/src/config/view.rs
+++ b/crates/core/src/config/view.rs
@@ -8,7 +8,7 @@
 use super::{Class, Document, Mode, Pool, Selector, Tier};
 use crate::error::{Kind, Refusal};
 
-key! {
+arena_key! {
     /// A customer of the current view.
     CustomerKey(u16)
 }
@@ -77,7 +77,7 @@
     /// The presented key is hashed first, so the search compares hashes only
     /// and its timing tells nothing about a key; the last comparison is in
     /// constant time all the same.
-    pub fn caller(&self, presented: &str) -> Result<Caller, Refusal> {
+    pub fn authenticate(&self, presented: &str) -> Result<Caller, Refusal> {
         let hash: [u8; 32] = Sha256::digest(presented.as_bytes()).into();
         let at = self
             .hashes
@@ -116,12 +116,12 @@
     }
 
     /// Whether a key by name may still be used.
-    pub fn key_stands(&self, name: &str) -> bool {
+    pub fn is_key_valid(&self, name: &str) -> bool {
         self.document.keys.get(name).is_some_and(|key| !key.withdrawn)
     }
 
     /// The plain class that serves a path.
-    pub fn class_of_path(&self, path: &str) -> Option<&Class> {
+    pub fn class_for_path(&self, path: &str) -> Option<&Class> {
         self.document
             .classes
             .iter()
@@ -162,7 +162,7 @@
             .pools
             .iter()
             .filter(|pool| tier.reclaimable || !pool.reclaimable)
-            .filter(|pool| selector.reaches(pool))
+            .filter(|pool| selector.matches_pool(pool))
             .filter(|pool| model.is_none_or(|model| serves(pool, model)))
             .map(|pool| pool.name.clone())
             .collect()
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -19,13 +19,13 @@
 use crate::runner::{Key, Runners};
 use crate::time::Moment;
 
-pub mod choose;
-pub mod lane;
-mod wait;
+mod admission;
+pub mod placement;
+pub mod queue;
 
-use lane::{Lane, Waiting};
+use queue::{Entry, Queue};
 
-pub use choose::Policy;
+pub use placement::Policy;
 
 /// Half-life of the counts behind floors and rates.
 const HALF_LIFE: Duration = Duration::from_secs(10);
@@ -36,7 +36,7 @@
 
 plain! {
     /// A call that seeks a runner.
-    pub struct Seek {
+    pub struct Submission {
         /// The call.
         pub call: Call,
         /// Tier by name, so that it outlives a change of the view.
@@ -50,13 +50,13 @@
         /// Pools that may run it.
         pub pools: Arc<[String]>,
         /// Most tokens that it may generate; 1 for plain calls.
-        pub tokens: u32,
+        pub max_tokens: u32,
         /// Hash of the prompt's beginning, for prefix caches.
-        pub prefix: Option<u64>,
+        pub prefix_hash: Option<u64>,
         /// Runners that already failed it.
         pub avoid: Vec<Key>,
         /// It comes back at the time that it was promised.
-        pub promised: bool,
+        pub reserved: bool,
     }
 }
 
@@ -65,24 +65,24 @@
     #[allow(missing_docs)]
     pub enum Outcome {
         /// A whole answer.
-        Whole {
+        Completed {
             /// Generated tokens.
             tokens: u32,
             /// Milliseconds a token.
-            pace: f64,
+            ms_per_token: f64,
         },
         /// The caller went away; says nothing of the runner.
-        Dropped { tokens: u32 },
+        Cancelled { tokens: u32 },
         /// The connection was refused: no byte went out.
-        Refused,
+        ConnectionRefused,
         /// It broke off or answered wrongly.
-        Broken { tokens: u32 },
+        Failed { tokens: u32 },
     }
 }
 
 plain! {
     /// Where a call starts.
-    pub struct Start {
+    pub struct Assignment {
         /// The call.
         pub call: Call,
         /// The runner, to be named at the end.
@@ -100,7 +100,7 @@
     /// What became of a call that sought a runner.
     pub enum Decision {
         /// It starts.
-        Start(Start),
+        Start(Assignment),
         /// It is refused.
         Refuse(Call, Refusal),
     }
@@ -108,13 +108,13 @@
 
 /// The dispatcher of one host.
 #[derive(Debug)]
-pub struct Dispatch {
+pub struct Dispatcher {
     zone: String,
     policy: Policy,
     view: Arc<View>,
     /// The runners, fed by the list and by peers.
     pub runners: Runners,
-    lanes: Vec<Lane>,
+    lanes: Vec<Queue>,
     index: usize,
     near_hosts: usize,
     hosts: usize,
@@ -131,7 +131,7 @@
     rng: ChaCha8Rng,
 }
 
-impl Dispatch {
+impl Dispatcher {
     /// A dispatcher with nothing to do.
     pub fn new(zone: &str, seed: u64, policy: Policy) -> Self {
         use rand::SeedableRng;
@@ -164,17 +164,17 @@
             lane.tier = view.document.tiers.position(&lane.name);
             let (refused, kind) = match lane.tier {
                 Some(_) => (
-                    lane.drain_if(|seek| !view.key_stands(&seek.key)),
+                    lane.drain_if(|seek| !view.is_key_valid(&seek.key)),
                     Kind::KeyWithdrawn,
                 ),
                 None => (lane.drain_if(|_| true), Kind::NotSelected),
             };
-            let refuse = |item: Waiting| Decision::Refuse(item.seek.call, kind.into());
+            let refuse = |item: Entry| Decision::Refuse(item.submission.call, kind.into());
             out.extend(refused.into_iter().map(refuse));
         }
         self.lanes.retain(|lane| lane.tier.is_some());
         for at in 0..self.lanes.len() {
-            self.lanes[at].rivals = self.pool_rivals(at);
+            self.lanes[at].contention = self.pool_rivals(at);
         }
         self.waiting -= out.len();
         out
@@ -189,7 +189,7 @@
     }
 
     /// Pools for which calls wait at zone mates; each mate names a pool once.
-    pub fn set_waiting_mates<'a>(&mut self, pools: impl Iterator<Item = &'a str>) {
+    pub fn set_waiting_peers<'a>(&mut self, pools: impl Iterator<Item = &'a str>) {
         let mut mates: Vec<(String, u32)> = Vec::new();
         for pool in pools {
             match mates.iter_mut().find(|(have, _)| have == pool) {
@@ -201,29 +201,29 @@
     }
 
     /// A call seeks a runner.
-    pub fn seek(&mut self, now: Moment, seek: Seek) -> Vec<Decision> {
+    pub fn submit(&mut self, now: Moment, seek: Submission) -> Vec<Decision> {
         self.decay(now);
         let call = seek.call;
         let Some(at) = self.lane(&seek) else {
             return vec![Decision::Refuse(call, Kind::NotSelected.into())];
         };
-        if !seek.avoid.is_empty() && !self.lanes[at].spend_retry() {
-            let refusal = Refusal::new(Kind::Overloaded).after(self.back(Duration::from_secs(1)));
+        if !seek.avoid.is_empty() && !self.lanes[at].take_retry() {
+            let refusal = Refusal::new(Kind::Overloaded).retry_after(self.back(Duration::from_secs(1)));
             return vec![Decision::Refuse(call, refusal)];
         }
         if !self.listed(&seek) {
-            let refusal = Refusal::new(Kind::NoRunner).after(self.back(Duration::from_secs(2)));
+            let refusal = Refusal::new(Kind::NoRunner).retry_after(self.back(Duration::from_secs(2)));
             return vec![Decision::Refuse(call, refusal)];
         }
         if let Some(refusal) = self.refuse_early(now, at, &seek) {
             return vec![Decision::Refuse(call, refusal)];
         }
         let (target, patience) = (self.tier(at).target, self.tier(at).patience);
-        self.lanes[at].push(Waiting {
-            seek,
-            since: now,
-            target: now + target,
-            until: now + patience,
+        self.lanes[at].push(Entry {
+            submission: seek,
+            queued_at: now,
+            late_at: now + target,
+            expires_at: now + patience,
         });
         self.waiting += 1;
         self.place(now)
@@ -231,15 +231,15 @@
 
     /// The lane of a call: its tier and the pools that may run it. Calls that
     /// need other runners never stand before it.
-    fn lane(&mut self, seek: &Seek) -> Option<usize> {
+    fn lane(&mut self, seek: &Submission) -> Option<usize> {
         let tier = self.view.document.tiers.position(&seek.tier)?;
         let place = (seek.tier.as_str(), &seek.pools[..]);
         Some(
-            match self.lanes.binary_search_by(|lane| lane.place().cmp(&place)) {
+            match self.lanes.binary_search_by(|lane| lane.sort_key().cmp(&place)) {
                 Ok(at) => at,
                 Err(at) => {
-                    self.lanes.insert(at, Lane::new(seek, tier));
-                    self.lanes[at].rivals = self.pool_rivals(at);
+                    self.lanes.insert(at, Queue::new(seek, tier));
+                    self.lanes[at].contention = self.pool_rivals(at);
                     at
                 }
             },
@@ -252,34 +252,43 @@
     }
 
     /// A call on a runner ended.
-    pub fn release(&mut self, now: Moment, seek: &Seek, runner: Key, outcome: &Outcome) -> Vec<Decision> {
+    pub fn finish(
+        &mut self,
+        now: Moment,
+        seek: &Submission,
+        runner: Key,
+        outcome: &Outcome,
+    ) -> Vec<Decision> {
         self.decay(now);
         self.runners.finish(runner);
         self.running = self.running.saturating_sub(1);
         let tokens = match outcome {
-            Outcome::Whole { tokens, pace } => {
+            Outcome::Completed {
+                tokens,
+                ms_per_token: pace,
+            } => {
                 self.runners.record_success(runner, *pace);
                 *tokens
             }
-            Outcome::Dropped { tokens } => *tokens,
-            Outcome::Refused => {
+            Outcome::Cancelled { tokens } => *tokens,
+            Outcome::ConnectionRefused => {
                 self.runners.record_failure(now, runner);
                 0
             }
-            Outcome::Broken { tokens } => {
+            Outcome::Failed { tokens } => {
                 self.runners.record_failure(now, runner);
                 *tokens
             }
         };
         if let Some(at) = self.lane(seek) {
-            let whole = matches!(outcome, Outcome::Whole { .. });
-            self.lanes[at].settle(seek, tokens, whole);
+            let whole = matches!(outcome, Outcome::Completed { .. });
+            self.lanes[at].record_usage(seek, tokens, whole);
         }
         self.place(now)
     }
 
     /// A waiting call whose caller went away.
-    pub fn forget(&mut self, call: Call) {
+    pub fn cancel(&mut self, call: Call) {
         for lane in &mut self.lanes {
             if lane.remove(call) {
                 self.waiting -= 1;
@@ -291,17 +300,17 @@
     /// Starts what can start and refuses what waited too long.
     pub fn tick(&mut self, now: Moment) -> Vec<Decision> {
         self.decay(now);
-        self.runners.age(now);
+        self.runners.expire_shares(now);
         let mut out = Vec::new();
         for at in 0..self.lanes.len() {
-            self.lanes[at].forget_promises(now);
-            if self.policy.timely() {
-                self.lanes[at].set_aside(now);
+            self.lanes[at].expire_reservations(now);
+            if self.policy.defers_late() {
+                self.lanes[at].defer_late(now);
             }
             for item in self.lanes[at].expire(now) {
                 self.waiting -= 1;
-                let refusal = Refusal::new(Kind::Late).after(self.back(Duration::from_secs(1)));
-                out.push(Decision::Refuse(item.seek.call, refusal));
+                let refusal = Refusal::new(Kind::Late).retry_after(self.back(Duration::from_secs(1)));
+                out.push(Decision::Refuse(item.submission.call, refusal));
             }
         }
         out.extend(self.place(now));
@@ -312,7 +321,7 @@
     pub fn waiting_by_pool(&self) -> Vec<(String, u32)> {
         let mut all: Vec<(String, u32)> = Vec::new();
         for lane in self.lanes.iter().filter(|lane| !lane.is_empty()) {
-            let Some(pool) = lane.place().1.first() else {
+            let Some(pool) = lane.sort_key().1.first() else {
                 continue;
             };
             let count = lane.len() as u32;
@@ -325,7 +334,7 @@
     }
 
     /// Calls that wait, by tier.
-    pub fn queue(&self) -> impl Iterator<Item = (&str, usize)> {
+    pub fn waiting_by_tier(&self) -> impl Iterator<Item = (&str, usize)> {
         self.lanes.iter().map(|lane| (lane.name.as_str(), lane.len()))
     }
 
@@ -347,12 +356,17 @@
     /// Lanes under their floor first, then by priority.
     fn next_lane(&self, blocked: &[bool]) -> Option<usize> {
         let open = |at: &usize| !blocked[*at] && !self.lanes[*at].is_empty();
-        let rank = |at: &usize| (!self.starved(*at), self.policy.priority(self.tier(*at).priority));
-        match self.policy.classes() {
+        let rank = |at: &usize| {
+            (
+                !self.starved(*at),
+                self.policy.effective_priority(self.tier(*at).priority),
+            )
+        };
+        match self.policy.uses_tiers() {
             true => (0..self.lanes.len()).filter(open).min_by_key(rank),
             false => (0..self.lanes.len())
                 .filter(open)
-                .min_by_key(|at| self.lanes[*at].oldest()),
+                .min_by_key(|at| self.lanes[*at].oldest_since()),
         }
     }
 
@@ -360,7 +374,7 @@
     fn starved(&self, at: usize) -> bool {
         let floor = f64::from(self.tier(at).floor);
         let all: f64 = self.rivals(at).map(|other| self.lanes[other].starts()).sum();
-        self.policy.floors() && self.lanes[at].starts() * 100.0 < floor * all
+        self.policy.enforces_floors() && self.lanes[at].starts() * 100.0 < floor * all
     }
 
     /// Lanes that want the same runners, this one included.
@@ -368,29 +382,29 @@
         (0..self.lanes.len()).filter(move |other| self.lanes[*other].overlaps(&self.lanes[at]))
     }
 
-    fn start_from(&mut self, now: Moment, at: usize) -> Option<Start> {
+    fn start_from(&mut self, now: Moment, at: usize) -> Option<Assignment> {
         let (protected, priority) = (self.tier(at).protected, self.tier(at).priority);
-        let chooser = choose::Chooser {
+        let chooser = placement::Picker {
             now,
             zone: &self.zone,
             policy: self.policy,
             protected,
-            reserve: self.view.document.settings.reserve,
-            index: self.index,
-            near_hosts: self.near_hosts,
+            reserve_percent: self.view.document.settings.reserve,
+            host_index: self.index,
+            zone_hosts: self.near_hosts,
             hosts: self.hosts,
-            rivals: self.lanes[at].rivals.clone(),
-            waiting_mates: self.waiting_mates.clone(),
+            contention: self.lanes[at].contention.clone(),
+            waiting_peers: self.waiting_mates.clone(),
         };
         let runners = &self.runners;
         let rng = &mut self.rng;
-        let (item, runner) = self.lanes[at].take(self.policy, |seek| chooser.choose(runners, rng, seek))?;
+        let (item, runner) = self.lanes[at].take(self.policy, |seek| chooser.pick(runners, rng, seek))?;
         self.waiting -= 1;
         self.running += 1;
         self.runners.start(runner);
-        let listed = &self.runners.get(runner).listed;
-        Some(Start {
-            call: item.seek.call,
+        let listed = &self.runners.get(runner).listing;
+        Some(Assignment {
+            call: item.submission.call,
             runner,
             name: listed.name.clone(),
             address: listed.address.clone(),
@@ -399,21 +413,21 @@
     }
 
     /// Who else uses each pool of a lane, by the selectors.
-    fn pool_rivals(&self, at: usize) -> Arc<[(String, choose::Rivals)]> {
+    fn pool_rivals(&self, at: usize) -> Arc<[(String, placement::Contention)]> {
         let priority = self.tier(at).priority;
         let rivals = |pool: &String| {
             let found = self.users.binary_search_by(|(have, _)| have.cmp(pool));
             let users = found.map_or(&[][..], |at| &self.users[at].1);
-            choose::Rivals {
-                better: users.iter().any(|other| *other < priority),
-                worse: users.iter().any(|other| *other > priority),
+            placement::Contention {
+                higher_priority: users.iter().any(|other| *other < priority),
+                lower_priority: users.iter().any(|other| *other > priority),
             }
         };
-        let pools = self.lanes[at].place().1;
+        let pools = self.lanes[at].sort_key().1;
         pools.iter().map(|pool| (pool.clone(), rivals(pool))).collect()
     }
 
-    fn listed(&self, seek: &Seek) -> bool {
+    fn listed(&self, seek: &Submission) -> bool {
         let keys = |pool: &String| self.runners.pool(pool).iter().any(|(_, keys)| !keys.is_empty());
         seek.pools.iter().any(keys)
     }
@@ -429,7 +443,7 @@
         // An idle host starts nothing because nobody calls. Counted, the first calls of
         // a burst foretold waits of many seconds and had the rest refused.
         let idle = self.waiting == 0 && self.running == 0;
-        let counted = if idle && self.policy.yields() {
+        let counted = if idle && self.policy.yields_to_peers() {
             0.0
         } else {
             seconds
@@ -448,7 +462,7 @@
         let reach = document
             .selectors
             .iter()
-            .filter(|selector| selector.reaches(pool));
+            .filter(|selector| selector.matches_pool(pool));
         let tiers = reach.filter_map(|selector| document.tiers.get(&selector.tier));
         let may_use = tiers.filter(|tier| tier.reclaimable || !pool.reclaimable);
         may_use.map(|tier| tier.priority).collect()
--- a/crates/core/src/dispatch/wait.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt;
 
-use super::{Dispatch, Seek};
+use super::{Dispatcher, Submission};
 use crate::error::{Kind, Refusal};
 use crate::time::Moment;
 
@@ -23,29 +23,29 @@
 /// Most calls that wait at one host.
 const WAITING: usize = 4_096;
 
-impl Dispatch {
+impl Dispatcher {
     /// Refuses a call that would miss its target, by the rate at which
     /// its lane and those before it have been starting.
-    pub(super) fn refuse_early(&mut self, now: Moment, at: usize, seek: &Seek) -> Option<Refusal> {
-        if seek.promised && self.policy.promises() {
+    pub(super) fn refuse_early(&mut self, now: Moment, at: usize, seek: &Submission) -> Option<Refusal> {
+        if seek.reserved && self.policy.reserves_retries() {
             return None;
         }
         let tier = self.tier(at);
         let (patience, protected) = (tier.patience, tier.protected);
-        let limit = match self.policy.by_target() {
-            true => tier.target.mul_f64(self.policy.margin()).min(patience),
+        let limit = match self.policy.rejects_by_target() {
+            true => tier.target.mul_f64(self.policy.target_fraction()).min(patience),
             false => patience,
         };
         let wait = self.expected_wait(now, at, &seek.customer, limit);
-        let hopeless = self.policy.early() && wait.is_some_and(|wait| wait > limit);
+        let hopeless = self.policy.rejects_early() && wait.is_some_and(|wait| wait > limit);
         if !hopeless && (protected || self.waiting < WAITING) {
             return None;
         }
         let over = wait.unwrap_or(limit).saturating_sub(limit / 2);
         if let Some(after) = self.promise(now, at, &seek.customer, over) {
-            return Some(Refusal::new(Kind::Overloaded).promise(after));
+            return Some(Refusal::new(Kind::Overloaded).reserve(after));
         }
-        Some(Refusal::new(Kind::Overloaded).after(self.back(over)))
+        Some(Refusal::new(Kind::Overloaded).retry_after(self.back(over)))
     }
 
     fn expected_wait(&self, now: Moment, at: usize, customer: &str, limit: Duration) -> Option<Duration> {
@@ -56,8 +56,8 @@
             .filter(before)
             .map(|other| self.lanes[other].len())
             .sum();
-        let due = self.lanes[at].promised_until(now + limit);
-        let own = self.lanes[at].ahead(customer) + due;
+        let due = self.lanes[at].reserved_until(now + limit);
+        let own = self.lanes[at].calls_ahead(customer) + due;
         let starts: f64 = self
             .rivals(at)
             .filter(|other| self.tier(*other).priority <= priority)
@@ -76,10 +76,10 @@
         // Customers with short queues overtake one with a long queue for as
         // long as they keep coming: its own pace tells what that comes to.
         let (queued, pace) = (
-            self.lanes[at].waiting_of(customer),
-            self.lanes[at].starts_of(customer),
+            self.lanes[at].len_for(customer),
+            self.lanes[at].starts_for(customer),
         );
-        if self.policy.timely() && queued > 0 && pace >= 1.0 {
+        if self.policy.defers_late() && queued > 0 && pace >= 1.0 {
             wait = wait.max(queued as f64 * self.span / pace);
         }
         Some(Duration::from_secs_f64(wait.min(LONGEST_WAIT)))
@@ -95,8 +95,8 @@
     /// says too little: a host that has just started has two long calls and no pace.
     fn stuck(&self, now: Moment, at: usize) -> Option<Duration> {
         let lane = &self.lanes[at];
-        let hardly = self.policy.yields() && lane.starts() < STARTS_KNOWN;
-        let oldest = lane.oldest().filter(|_| hardly);
+        let hardly = self.policy.yields_to_peers() && lane.starts() < STARTS_KNOWN;
+        let oldest = lane.oldest_since().filter(|_| hardly);
         oldest.map(|since| now.since(since))
     }
 
@@ -108,7 +108,7 @@
     /// nothing is promised.
     fn promise(&mut self, now: Moment, at: usize, customer: &str, least: Duration) -> Option<Duration> {
         let starts = self.lanes[at].starts();
-        if !self.policy.promises() {
+        if !self.policy.reserves_retries() {
             return None;
         }
         let pace = match starts < STARTS_KNOWN {
@@ -117,7 +117,7 @@
         };
         let pace = pace * PROMISED_PART;
         let least = least.clamp(BACK_LEAST, BACK_MOST);
-        let due = self.lanes[at].promise(now + least, customer, pace);
+        let due = self.lanes[at].reserve(now + least, customer, pace);
         let after = now.until(due);
         (after <= PROMISED_MOST).then_some(after)
     }
--- a/crates/core/src/dispatch/choose.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -11,7 +11,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use super::Seek;
+use super::Submission;
 use crate::id;
 use crate::runner::{Key, Runner, Runners};
 use crate::time::Moment;
@@ -69,84 +69,84 @@
 
 impl Policy {
     /// Whether tiers matter.
-    pub fn classes(self) -> bool {
+    pub fn uses_tiers(self) -> bool {
         !matches!(self, Policy::Fifo | Policy::LeastLoad | Policy::RoundRobin)
     }
 
     /// Whether customers take turns by tokens.
-    pub fn fair(self) -> bool {
-        self.classes()
+    pub fn is_fair(self) -> bool {
+        self.uses_tiers()
     }
 
     /// Whether floors count.
-    pub fn floors(self) -> bool {
-        self.classes() && self != Policy::NoFloors
+    pub fn enforces_floors(self) -> bool {
+        self.uses_tiers() && self != Policy::NoFloors
     }
 
     /// Whether hopeless calls are refused on arrival.
-    pub fn early(self) -> bool {
-        self.classes() && self != Policy::NoEarly
+    pub fn rejects_early(self) -> bool {
+        self.uses_tiers() && self != Policy::NoEarly
     }
 
     /// Whether room on a runner depends on the tiers that share its pool.
-    pub fn tiered(self) -> bool {
-        self.classes() && self != Policy::First
+    pub fn reserves_per_tier(self) -> bool {
+        self.uses_tiers() && self != Policy::First
     }
 
     /// Whether calls are refused that would miss their target.
-    pub fn by_target(self) -> bool {
-        self.early() && !matches!(self, Policy::First | Policy::Tiered)
+    pub fn rejects_by_target(self) -> bool {
+        self.rejects_early() && !matches!(self, Policy::First | Policy::Tiered)
     }
 
     /// Whether room is kept for callers that were told when to come back.
-    pub fn promises(self) -> bool {
-        matches!(self, Policy::Promising) || self.yields()
+    pub fn reserves_retries(self) -> bool {
+        matches!(self, Policy::Promising) || self.yields_to_peers()
     }
 
     /// Whether a host leaves room to mates that wait.
-    pub fn yields(self) -> bool {
+    pub fn yields_to_peers(self) -> bool {
         matches!(self, Policy::Full | Policy::NoAffinity | Policy::NoFloors)
     }
 
     /// Whether better tiers may queue at the engine.
     pub fn overbooks(self) -> bool {
-        !self.shares_far()
+        !self.shares_remote()
     }
 
     /// Whether runners of other zones are given out in parts.
-    pub fn shares_far(self) -> bool {
-        self.promises() || self == Policy::Shared
+    pub fn shares_remote(self) -> bool {
+        self.reserves_retries() || self == Policy::Shared
     }
 
     /// Whether waits are foretold by customer and late calls go last.
-    pub fn timely(self) -> bool {
-        self.shares_far() || self == Policy::Timely
+    pub fn defers_late(self) -> bool {
+        self.shares_remote() || self == Policy::Timely
     }
 
     /// Part of the target that a foretold wait may take. A queue that is let
     /// grow to the whole target serves everyone just as it passes.
-    pub fn margin(self) -> f64 {
-        if self.timely() { MARGIN } else { 1.0 }
+    pub fn target_fraction(self) -> f64 {
+        if self.defers_late() { MARGIN } else { 1.0 }
     }
 
     /// Whether a reserve is kept for protected tiers.
-    pub fn reserve(self) -> bool {
-        self.classes()
+    pub fn keeps_reserve(self) -> bool {
+        self.uses_tiers()
     }
 
     /// Whether prompts stay with their runners.
-    pub fn affinity(self) -> bool {
-        self.classes() && self != Policy::NoAffinity
+    pub fn uses_affinity(self) -> bool {
+        self.uses_tiers() && self != Policy::NoAffinity
     }
 
     /// Priority of a tier under this policy.
-    pub fn priority(self, tier: u8) -> u8 {
-        if self.classes() { tier } else { 0 }
+    pub fn effective_priority(self, tier: u8) -> u8 {
+        if self.uses_tiers() { tier } else { 0 }
     }
 }
 
 /// One choice.
-pub struct Chooser<'a> {
+pub struct Picker<'a> {
     /// Now.
     pub now: Moment,
     /// This host's zone.
@@ -156,17 +156,17 @@
     /// Whether the tier is protected.
     pub protected: bool,
     /// Percent of a runner kept for better tiers.
-    pub reserve: u8,
+    pub reserve_percent: u8,
     /// This host's place among all live hosts.
-    pub index: usize,
+    pub host_index: usize,
     /// Entry hosts that are live in this zone.
-    pub near_hosts: usize,
+    pub zone_hosts: usize,
     /// Entry hosts that are live, of all zones.
     pub hosts: usize,
     /// Pools of the call, and who shares them.
-    pub rivals: Arc<[(String, Rivals)]>,
+    pub contention: Arc<[(String, Contention)]>,
     /// Zone mates that have calls waiting, by pool.
-    pub waiting_mates: Arc<[(String, u32)]>,
+    pub waiting_peers: Arc<[(String, u32)]>,
 }
 
 /// Where the runners of a choice are.
@@ -182,16 +182,16 @@
 
 /// Other tiers that use a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Rivals {
+pub struct Contention {
     /// One with a better priority.
-    pub better: bool,
+    pub higher_priority: bool,
     /// One with a worse priority.
-    pub worse: bool,
+    pub lower_priority: bool,
 }
 
-impl Chooser<'_> {
+impl Picker<'_> {
     /// A runner with room, nearest zone first.
-    pub fn choose(&self, runners: &Runners, rng: &mut ChaCha8Rng, seek: &Seek) -> Option<Key> {
+    pub fn pick(&self, runners: &Runners, rng: &mut ChaCha8Rng, seek: &Submission) -> Option<Key> {
         let pools = || seek.pools.iter().flat_map(|pool| runners.pool(pool));
         let near = pools().filter(|(zone, _)| zone == self.zone);
         let far = pools().filter(|(zone, _)| zone != self.zone);
@@ -200,7 +200,7 @@
             .iter()
             .copied()
             .flatten()
-            .any(|key| runners.get(*key).open(self.now));
+            .any(|key| runners.get(*key).is_available(self.now));
         self.choose_among(runners, rng, seek, &near, Reach::Near)
             .or_else(|| {
                 let far: Vec<&[Key]> = far.map(|(_, keys)| keys.as_slice()).collect();
@@ -213,7 +213,7 @@
         &self,
         runners: &Runners,
         rng: &mut ChaCha8Rng,
-        seek: &Seek,
+        seek: &Submission,
         groups: &[&[Key]],
         reach: Reach,
     ) -> Option<Key> {
@@ -267,11 +267,11 @@
     fn affine<I: Iterator<Item = Key>>(
         &self,
         runners: &Runners,
-        seek: &Seek,
+        seek: &Submission,
         all: impl Fn() -> I,
         best: Key,
     ) -> Key {
-        let Some(prefix) = seek.prefix.filter(|_| self.policy.affinity()) else {
+        let Some(prefix) = seek.prefix_hash.filter(|_| self.policy.uses_affinity()) else {
             return best;
         };
         let home = all().max_by_key(|key| id::weight(prefix, u64::from(key.0)));
@@ -288,19 +288,19 @@
 
     /// Affinity must not hold on to a straggler.
     fn steady(&self, home: &Runner, best: &Runner) -> bool {
-        home.pace == 0.0 || best.pace == 0.0 || home.pace <= best.pace * 2.0
+        home.ms_per_token == 0.0 || best.ms_per_token == 0.0 || home.ms_per_token <= best.ms_per_token * 2.0
     }
 
     /// Runners to leave out: those that failed the call before, as long as
     /// there is any other. Where there is none the call would else wait for
     /// nothing until its patience ends.
-    fn avoid<'a>(&self, runners: &Runners, seek: &'a Seek) -> &'a [Key] {
+    fn avoid<'a>(&self, runners: &Runners, seek: &'a Submission) -> &'a [Key] {
         let mut all = seek
             .pools
             .iter()
             .flat_map(|pool| runners.pool(pool))
             .flat_map(|(_, keys)| keys);
-        let other = |key: &Key| !seek.avoid.contains(key) && !runners.get(*key).leaving(self.now);
+        let other = |key: &Key| !seek.avoid.contains(key) && !runners.get(*key).is_leaving(self.now);
         match seek.avoid.is_empty() || all.any(other) {
             true => &seek.avoid,
             false => &[],
@@ -308,23 +308,23 @@
     }
 
     fn fits(&self, runner: &Runner, reach: Reach) -> bool {
-        let far = self.policy.shares_far();
+        let far = self.policy.shares_remote();
         let room = match reach {
             Reach::Far if far => self.room_far(runner),
             Reach::Alone if far => self.room(runner).min(self.even_share(runner)),
             // A protected tier need not leave that part alone: waiting here
             // beside a free slot would be worse than sharing it.
-            Reach::Near if far && !self.protected && self.hosts > self.near_hosts => {
+            Reach::Near if far && !self.protected && self.hosts > self.zone_hosts => {
                 self.room(runner).saturating_sub(given_out(runner)).max(1)
             }
             Reach::Near | Reach::Far | Reach::Alone => self.room(runner),
         };
-        let races = far && reach == Reach::Near && !self.protected && self.rivals_at(runner).better;
-        let taken = runner.running + runner.others;
-        let wins = !races || runner.fresh < self.share_of_free(room, taken, runner.fresh);
-        let yields = self.policy.yields() && reach == Reach::Near && !self.protected;
+        let races = far && reach == Reach::Near && !self.protected && self.rivals_at(runner).higher_priority;
+        let taken = runner.running + runner.peer_running;
+        let wins = !races || runner.unreported < self.share_of_free(room, taken, runner.unreported);
+        let yields = self.policy.yields_to_peers() && reach == Reach::Near && !self.protected;
         let leaves_room = !yields || runner.running < self.share_beside_mates(runner, room);
-        runner.open(self.now) && taken < room && wins && leaves_room
+        runner.is_available(self.now) && taken < room && wins && leaves_room
     }
 
     /// Most that this host has on a runner while zone mates wait for its pool.
@@ -335,8 +335,8 @@
     /// that waits is left an even part; one that has less than it wants leaves the
     /// rest, so that no slot stays free for longer than its word takes.
     fn share_beside_mates(&self, runner: &Runner, room: u32) -> u32 {
-        let pool = runner.listed.pool.as_str();
-        let mates = self.waiting_mates.iter().find(|(name, _)| name == pool);
+        let pool = runner.listing.pool.as_str();
+        let mates = self.waiting_peers.iter().find(|(name, _)| name == pool);
         room.div_ceil(mates.map_or(0, |(_, count)| *count) + 1)
     }
 
@@ -348,8 +348,8 @@
     /// hosts of its own zone leave that part alone.
     fn room_far(&self, runner: &Runner) -> u32 {
         let hosts = self.hosts.max(1);
-        let first = id::digest(runner.listed.name.as_bytes()) as usize % hosts;
-        let turn = (self.index + hosts - first) % hosts;
+        let first = id::digest(runner.listing.name.as_bytes()) as usize % hosts;
+        let turn = (self.host_index + hosts - first) % hosts;
         u32::from(turn < given_out(runner) as usize)
     }
 
@@ -358,18 +358,18 @@
     /// and together they would take the reserve of the better tiers as well.
     fn share_of_free(&self, room: u32, taken: u32, fresh: u32) -> u32 {
         let free = room.saturating_sub(taken.saturating_sub(fresh));
-        (free * HOST_SHARE_PERCENT / 100).div_ceil(self.near_hosts.max(1) as u32)
+        (free * HOST_SHARE_PERCENT / 100).div_ceil(self.zone_hosts.max(1) as u32)
     }
 
-    fn rivals_at(&self, runner: &Runner) -> Rivals {
-        let pool = runner.listed.pool.as_str();
-        let rivals = self.rivals.iter().find(|(name, _)| *name == pool);
-        rivals.map_or(Rivals::default(), |(_, rivals)| *rivals)
+    fn rivals_at(&self, runner: &Runner) -> Contention {
+        let pool = runner.listing.pool.as_str();
+        let rivals = self.contention.iter().find(|(name, _)| *name == pool);
+        rivals.map_or(Contention::default(), |(_, rivals)| *rivals)
     }
 
     /// An even part of a runner, for a host whose zone has none of its own.
     fn even_share(&self, runner: &Runner) -> u32 {
-        (runner.listed.slots / self.hosts.max(1) as u32).max(1)
+        (runner.listing.slots / self.hosts.max(1) as u32).max(1)
     }
 
     /// Calls that a runner may have.
@@ -379,31 +379,36 @@
     /// answer. Nobody queues at the engine: what waits there is not seen by
     /// the foretold waits, and makes its whole tier late in a burst.
     fn room(&self, runner: &Runner) -> u32 {
-        let slots = runner.listed.slots;
-        let reserved = (slots * (100 - u32::from(self.reserve)) / 100).max(1);
+        let slots = runner.listing.slots;
+        let reserved = (slots * (100 - u32::from(self.reserve_percent)) / 100).max(1);
         let overbooked = slots * OVERBOOKED_PERCENT / 100;
-        if !self.policy.reserve() {
+        if !self.policy.keeps_reserve() {
             return slots;
         }
-        if !self.policy.tiered() {
+        if !self.policy.reserves_per_tier() {
             return if self.protected { overbooked } else { reserved };
         }
         match self.rivals_at(runner) {
-            Rivals { better: true, .. } if !self.protected => reserved,
-            Rivals { worse: true, .. } if self.policy.overbooks() => overbooked,
+            Contention {
+                higher_priority: true,
+                ..
+            } if !self.protected => reserved,
+            Contention {
+                lower_priority: true, ..
+            } if self.policy.overbooks() => overbooked,
             _ if self.protected && self.policy.overbooks() => overbooked,
-            Rivals { .. } => slots,
+            Contention { .. } => slots,
         }
     }
 
     fn cost(&self, runner: &Runner) -> f64 {
-        (runner.load() + 0.1) * runner.pace.max(1.0)
+        (runner.load() + 0.1) * runner.ms_per_token.max(1.0)
     }
 }
 
 /// Calls of a runner that hosts of other zones may have.
 fn given_out(runner: &Runner) -> u32 {
-    (runner.listed.slots * FAR_PERCENT / 100).max(1)
+    (runner.listing.slots * FAR_PERCENT / 100).max(1)
 }
 
 fn pick(rng: &mut ChaCha8Rng, groups: &[&[Key]], count: usize) -> Key {
--- a/crates/core/src/dispatch/lane.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::choose::Rivals;
-use super::{Policy, Seek};
+use super::placement::Contention;
+use super::{Policy, Submission};
 use crate::id::Call;
 use crate::runner::Key;
 use crate::time::Moment;
@@ -23,42 +23,42 @@
 
 plain! {
     /// A call that waits.
-    pub struct Waiting {
+    pub struct Entry {
         /// What it seeks.
-        pub seek: Seek,
+        pub submission: Submission,
         /// Since when.
-        pub since: Moment,
+        pub queued_at: Moment,
         /// Late if it starts past this.
-        pub target: Moment,
+        pub late_at: Moment,
         /// Refused past this.
-        pub until: Moment,
+        pub expires_at: Moment,
     }
 }
 
 plain! {
-    struct Account {
+    struct Flow {
         customer: String,
         served: f64,
         starts: f64,
         promised: Moment,
-        queue: VecDeque<Waiting>,
-        late: VecDeque<Waiting>,
+        queue: VecDeque<Entry>,
+        late: VecDeque<Entry>,
     }
 }
 
 /// The lane of one tier and set of pools.
 #[derive(Debug)]
-pub struct Lane {
+pub struct Queue {
     /// Tier's name.
     pub name: String,
     /// Tier's place in the current view.
     pub tier: Option<usize>,
     /// Who else uses its pools.
-    pub rivals: Arc<[(String, Rivals)]>,
+    pub contention: Arc<[(String, Contention)]>,
     pools: Arc<[String]>,
-    accounts: Vec<Account>,
+    accounts: Vec<Flow>,
     /// Calls that came back as promised.
-    back: VecDeque<Waiting>,
+    back: VecDeque<Entry>,
     /// Times at which calls were told to come back, in order.
     promises: Vec<Moment>,
     lengths: Vec<(String, f64)>,
@@ -68,13 +68,13 @@
     len: usize,
 }
 
-impl Lane {
+impl Queue {
     /// An empty lane for calls like one.
-    pub fn new(seek: &Seek, tier: usize) -> Self {
+    pub fn new(seek: &Submission, tier: usize) -> Self {
         Self {
             name: seek.tier.clone(),
             tier: Some(tier),
-            rivals: Arc::from([]),
+            contention: Arc::from([]),
             pools: seek.pools.clone(),
             accounts: Vec::new(),
             back: VecDeque::new(),
@@ -88,12 +88,12 @@
     }
 
     /// What lanes are sorted by.
-    pub fn place(&self) -> (&str, &[String]) {
+    pub fn sort_key(&self) -> (&str, &[String]) {
         (&self.name, &self.pools)
     }
 
     /// Whether two lanes want some of the same runners.
-    pub fn overlaps(&self, other: &Lane) -> bool {
+    pub fn overlaps(&self, other: &Queue) -> bool {
         self.pools.iter().any(|pool| other.pools.contains(pool))
     }
 
@@ -113,24 +113,24 @@
     }
 
     /// When the longest waiting call came.
-    pub fn oldest(&self) -> Option<Moment> {
+    pub fn oldest_since(&self) -> Option<Moment> {
         let late = self.accounts.iter().filter_map(|account| account.late.front());
         let heads = self.heads().map(|(_, head)| head);
         heads
             .chain(late)
             .chain(self.back.front())
-            .map(|head| head.since)
+            .map(|head| head.queued_at)
             .min()
     }
 
     /// A call waits.
-    pub fn push(&mut self, item: Waiting) {
+    pub fn push(&mut self, item: Entry) {
         self.len += 1;
-        if item.seek.promised {
+        if item.submission.reserved {
             self.back.push_back(item);
             return;
         }
-        let at = self.account(&item.seek.customer);
+        let at = self.account(&item.submission.customer);
         if self.accounts[at].queue.is_empty() {
             self.accounts[at].served = self.accounts[at].served.max(self.level);
         }
@@ -138,20 +138,24 @@
     }
 
     /// Starts of a customer, decayed.
-    pub fn starts_of(&self, customer: &str) -> f64 {
+    pub fn starts_for(&self, customer: &str) -> f64 {
         self.find(customer).map_or(0.0, |at| self.accounts[at].starts)
     }
 
     /// Calls of a customer that wait and can be in time.
-    pub fn waiting_of(&self, customer: &str) -> usize {
+    pub fn len_for(&self, customer: &str) -> usize {
         self.find(customer).map_or(0, |at| self.accounts[at].queue.len())
     }
 
     /// Sets calls aside that can no longer be in time, so that they do not
     /// make the next ones late as well.
-    pub fn set_aside(&mut self, now: Moment) {
+    pub fn defer_late(&mut self, now: Moment) {
         for account in &mut self.accounts {
-            while account.queue.front().is_some_and(|head| now.reached(head.target)) {
+            while account
+                .queue
+                .front()
+                .is_some_and(|head| now.reached(head.late_at))
+            {
                 account.late.extend(account.queue.pop_front());
             }
         }
@@ -160,7 +164,7 @@
     /// Promises a time to a customer, not before `least`. Each active customer
     /// has an even part of the pace, in calls a second, whether it asks for it
     /// or not: one that floods would else take the others' part as well.
-    pub fn promise(&mut self, least: Moment, customer: &str, pace: f64) -> Moment {
+    pub fn reserve(&mut self, least: Moment, customer: &str, pace: f64) -> Moment {
         let active = self.accounts.iter().filter(|account| account.starts >= ACTIVE);
         let parts = active.count().max(1) as f64;
         let at = self.account(customer);
@@ -173,18 +177,18 @@
     }
 
     /// Calls that were told to come back by then.
-    pub fn promised_until(&self, then: Moment) -> usize {
+    pub fn reserved_until(&self, then: Moment) -> usize {
         self.promises.partition_point(|due| *due <= then)
     }
 
     /// Drops promises whose time has passed.
-    pub fn forget_promises(&mut self, now: Moment) {
-        let passed = self.promised_until(now);
+    pub fn expire_reservations(&mut self, now: Moment) {
+        let passed = self.reserved_until(now);
         self.promises.drain(..passed);
     }
 
     /// Calls that would start before one more of this customer.
-    pub fn ahead(&self, customer: &str) -> usize {
+    pub fn calls_ahead(&self, customer: &str) -> usize {
         let own = self.find(customer).map_or(0, |at| self.accounts[at].queue.len());
         let others = self
             .accounts
@@ -199,8 +203,8 @@
     pub fn take(
         &mut self,
         policy: Policy,
-        mut choose: impl FnMut(&Seek) -> Option<Key>,
-    ) -> Option<(Waiting, Key)> {
+        mut choose: impl FnMut(&Submission) -> Option<Key>,
+    ) -> Option<(Entry, Key)> {
         if let Some(taken) = self.take_back(&mut choose) {
             return Some(taken);
         }
@@ -211,10 +215,10 @@
             let Some(head) = self.accounts[at].queue.front() else {
                 continue;
             };
-            let Some(runner) = choose(&head.seek) else {
+            let Some(runner) = choose(&head.submission) else {
                 // All heads want the same pools: without a runner for one
                 // there is none for the others, unless it avoids some.
-                if head.seek.avoid.is_empty() {
+                if head.submission.avoid.is_empty() {
                     return None;
                 }
                 continue;
@@ -224,32 +228,32 @@
             self.starts += 1.0;
             self.accounts[at].starts += 1.0;
             self.level = self.level.max(self.accounts[at].served);
-            self.accounts[at].served += self.expected(&item.seek);
+            self.accounts[at].served += self.expected(&item.submission);
             return Some((item, runner));
         }
         None
     }
 
     /// Takes a call that came back as promised.
-    fn take_back(&mut self, choose: &mut impl FnMut(&Seek) -> Option<Key>) -> Option<(Waiting, Key)> {
-        let runner = choose(&self.back.front()?.seek)?;
+    fn take_back(&mut self, choose: &mut impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
+        let runner = choose(&self.back.front()?.submission)?;
         let item = self.back.pop_front()?;
         self.len -= 1;
         self.starts += 1.0;
-        let at = self.account(&item.seek.customer);
+        let at = self.account(&item.submission.customer);
         self.accounts[at].starts += 1.0;
-        self.accounts[at].served += self.expected(&item.seek);
+        self.accounts[at].served += self.expected(&item.submission);
         Some((item, runner))
     }
 
     /// Takes the call that has been late for the longest; nothing that can be
     /// in time waits.
-    fn take_late(&mut self, mut choose: impl FnMut(&Seek) -> Option<Key>) -> Option<(Waiting, Key)> {
-        let late = |at: &usize| self.accounts[*at].late.front().map(|head| head.since);
+    fn take_late(&mut self, mut choose: impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
+        let late = |at: &usize| self.accounts[*at].late.front().map(|head| head.queued_at);
         let at = (0..self.accounts.len())
             .filter(|at| late(at).is_some())
             .min_by_key(late)?;
-        let runner = choose(&self.accounts[at].late.front()?.seek)?;
+        let runner = choose(&self.accounts[at].late.front()?.submission)?;
         let item = self.accounts[at].late.pop_front()?;
         self.len -= 1;
         self.starts += 1.0;
@@ -259,8 +263,8 @@
 
     /// Customers whose turn it is, the first few.
     fn order(&self, policy: Policy) -> Vec<usize> {
-        let since = |at: &usize| self.accounts[*at].queue.front().map(|head| head.since);
-        let compare = |a: &usize, b: &usize| match policy.fair() {
+        let since = |at: &usize| self.accounts[*at].queue.front().map(|head| head.queued_at);
+        let compare = |a: &usize, b: &usize| match policy.is_fair() {
             true => self.accounts[*a].served.total_cmp(&self.accounts[*b].served),
             false => since(a).cmp(&since(b)),
         };
@@ -274,7 +278,7 @@
     }
 
     /// Corrects what a call was expected to cost, and learns its length.
-    pub fn settle(&mut self, seek: &Seek, tokens: u32, whole: bool) {
+    pub fn record_usage(&mut self, seek: &Submission, tokens: u32, whole: bool) {
         let expected = self.expected(seek);
         let at = self.account(&seek.customer);
         self.accounts[at].served += f64::from(tokens) - expected;
@@ -284,7 +288,7 @@
     }
 
     /// Takes a retry from the budget, if there is one left.
-    pub fn spend_retry(&mut self) -> bool {
+    pub fn take_retry(&mut self) -> bool {
         let left = self.retries >= 1.0;
         if left {
             self.retries -= 1.0;
@@ -303,14 +307,14 @@
     }
 
     /// Takes out the calls that waited too long.
-    pub fn expire(&mut self, now: Moment) -> Vec<Waiting> {
+    pub fn expire(&mut self, now: Moment) -> Vec<Entry> {
         let mut out = Vec::new();
-        while self.back.front().is_some_and(|head| now.reached(head.until)) {
+        while self.back.front().is_some_and(|head| now.reached(head.expires_at)) {
             out.extend(self.back.pop_front());
         }
         for account in &mut self.accounts {
             for queue in [&mut account.late, &mut account.queue] {
-                while queue.front().is_some_and(|head| now.reached(head.until)) {
+                while queue.front().is_some_and(|head| now.reached(head.expires_at)) {
                     out.extend(queue.pop_front());
                 }
             }
@@ -321,14 +325,14 @@
 
     /// Takes a call out by name.
     pub fn remove(&mut self, call: Call) -> bool {
-        if let Some(at) = self.back.iter().position(|item| item.seek.call == call) {
+        if let Some(at) = self.back.iter().position(|item| item.submission.call == call) {
             self.back.remove(at);
             self.len -= 1;
             return true;
         }
         for account in &mut self.accounts {
             for queue in [&mut account.late, &mut account.queue] {
-                if let Some(at) = queue.iter().position(|item| item.seek.call == call) {
+                if let Some(at) = queue.iter().position(|item| item.submission.call == call) {
                     queue.remove(at);
                     self.len -= 1;
                     return true;
@@ -339,16 +343,16 @@
     }
 
     /// Takes out the calls for which `leaves` holds.
-    pub fn drain_if(&mut self, leaves: impl Fn(&Seek) -> bool) -> Vec<Waiting> {
+    pub fn drain_if(&mut self, leaves: impl Fn(&Submission) -> bool) -> Vec<Entry> {
         let (mut out, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.back)
             .into_iter()
-            .partition(|item| leaves(&item.seek));
+            .partition(|item| leaves(&item.submission));
         self.back = rest.into();
         for account in &mut self.accounts {
             for queue in [&mut account.late, &mut account.queue] {
                 let (gone, rest): (Vec<_>, Vec<_>) = std::mem::take(queue)
                     .into_iter()
-                    .partition(|item| leaves(&item.seek));
+                    .partition(|item| leaves(&item.submission));
                 out.extend(gone);
                 *queue = rest.into();
             }
@@ -357,8 +361,8 @@
         out
     }
 
-    fn expected(&self, seek: &Seek) -> f64 {
-        let most = f64::from(seek.tokens);
+    fn expected(&self, seek: &Submission) -> f64 {
+        let most = f64::from(seek.max_tokens);
         let learned = self.lengths.binary_search_by(|(class, _)| class.cmp(&seek.class));
         learned.map_or(most, |at| self.lengths[at].1.min(most))
     }
@@ -373,7 +377,7 @@
         }
     }
 
-    fn heads(&self) -> impl Iterator<Item = (usize, &Waiting)> {
+    fn heads(&self) -> impl Iterator<Item = (usize, &Entry)> {
         self.accounts
             .iter()
             .enumerate()
@@ -395,7 +399,7 @@
             Err(at) => {
                 self.accounts.insert(
                     at,
-                    Account {
+                    Flow {
                         customer: customer.to_string(),
                         served: self.level,
                         starts: 0.0,
--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -7,21 +7,21 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
+use crate::at_most_once::{Completion, Key, Verdict};
 use crate::config::view::View;
-use crate::dispatch::{Outcome, Policy, Seek, Start};
+use crate::dispatch::{Assignment, Outcome, Policy, Submission};
 use crate::error::Refusal;
 use crate::id::{Call, Incarnation};
 use crate::lease::Grant;
 use crate::member::Me;
-use crate::once::{End, Key, Verdict};
 use crate::order::Order;
 use crate::peer::{Card, Collect, Collected, Heartbeat, Pull, Pulled, ZoneSummary};
-use crate::runner::Listed;
+use crate::runner::Listing;
 use crate::store::{self, Token};
 use crate::ticket::Secret;
 use crate::time::Moment;
-use crate::usage::Item;
-use crate::usage::report::Seal;
+use crate::usage::Record;
+use crate::usage::report::SealedWindow;
 
 pub mod calls;
 pub mod config;
@@ -78,11 +78,11 @@
         /// A copy of an at-most-once call came.
         Begin { call: Call, customer: String, once: String, body: u64 },
         /// An at-most-once call ended.
-        End { key: Key, end: End },
+        End { key: Key, end: Completion },
         /// The owner of a call cannot be reached.
         Away { call: Call, owner: Incarnation, key: Key },
         /// A call seeks a runner.
-        Seek(Seek),
+        Seek(Submission),
         /// A call on a runner ended.
         Release { call: Call, outcome: Outcome },
         /// A waiting call's caller went away.
@@ -90,7 +90,7 @@
         /// A runner said, or showed, that it leaves.
         Leaving(String),
         /// Something to count.
-        Count(Item),
+        Count(Record),
         /// The store answered.
         Stored(Token, store::Answer),
         /// A peer asks for configuration.
@@ -102,7 +102,7 @@
         /// A host sent its usage.
         Collected(Collected),
         /// The platform's list.
-        Listed(Vec<Listed>),
+        Listed(Vec<Listing>),
         /// The usage interface answered.
         Reported(bool),
         /// The ordering interface answered.
@@ -133,7 +133,7 @@
         /// What the owner decided.
         Verdict(Verdict),
         /// Where the call starts.
-        Start(Start),
+        Start(Assignment),
         /// Why it does not.
         Refused(Refusal),
         /// Configuration for a peer.
@@ -207,7 +207,7 @@
         /// Whether keys may be trusted, for the traffic threads.
         Trusted(bool),
         /// Send a report if the grant still covers the moment of sending.
-        Report(Grant, Seal),
+        Report(Grant, SealedWindow),
         /// Send an order if the grant still covers the moment of sending.
         Order(Grant, Order),
         /// Everything is handed back: the process may end.
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -1,10 +1,10 @@
 //! At-most-once calls as a service of the kernel.
 
 use super::{Action, CALLS, Event, Outbox, Reply, Status};
+use crate::at_most_once::{Key, Records, Tombstone, Verdict};
 use crate::claim::{self, Registry};
 use crate::error::{Kind, Refusal};
 use crate::id::{Call, Incarnation};
-use crate::once::{Key, Records, Tombstone, Verdict};
 use crate::peer::Heartbeat;
 use crate::store::{self, Answer, Token};
 use crate::ticket::{self, Secret, Ticket};
@@ -61,7 +61,7 @@
                 body,
             } => self.begin(now, *call, once, (customer, *body), out),
             Event::End { key, end } => {
-                for call in self.records.end(*key, end.clone()) {
+                for call in self.records.complete(*key, end.clone()) {
                     let verdict = self.records.outcome(*key);
                     self.waiting.retain(|(have, _)| *have != call);
                     out.reply(call, Reply::Verdict(verdict));
@@ -75,7 +75,7 @@
                 self.inquiries.push((token, *call, *key));
             }
             Event::Stored(token, answer) => self.stored(now, *token, answer, out),
-            Event::Stop => self.records.close(),
+            Event::Stop => self.records.stop_issuing(),
             Event::Drained => self.write_tombstone(out),
             _ => {}
         }
@@ -101,7 +101,7 @@
             self.tell(call, verdict, out);
             return;
         }
-        if let Err(refusal) = claim::check(now, once) {
+        if let Err(refusal) = claim::validate_key(now, once) {
             self.tell(call, Verdict::Refuse(refusal), out);
             return;
         }
@@ -131,7 +131,9 @@
         // The kernel hands each token out once; a second question of one
         // claim goes out under a new one.
         let again = out.token(CALLS);
-        let step = self.registry.answer(now, &mut self.records, token, again, answer);
+        let step = self
+            .registry
+            .on_answer(now, &mut self.records, token, again, answer);
         if let Some((_, Err(ask))) = step {
             out.act(Action::Store(again, ask));
             return;
@@ -155,7 +157,7 @@
         self.drained = true;
         let tombstone = self.records.seal();
         let value = serde_json::to_string(&tombstone).unwrap_or_default();
-        if self.records.size() == (0, 0) || value.len() > TOMBSTONE_BYTES {
+        if self.records.counts() == (0, 0) || value.len() > TOMBSTONE_BYTES {
             return;
         }
         let call = store::Call::Swap {
@@ -171,7 +173,7 @@
 
     /// Adds to the status.
     pub fn describe(&self, _now: Moment, status: &mut Status) {
-        status.records = self.records.size();
+        status.records = self.records.counts();
     }
 }
 
@@ -184,5 +186,5 @@
             .and_then(|entry| serde_json::from_str::<Tombstone>(&entry.value).ok()),
         _ => None,
     };
-    tombstone.map_or(Kind::OwnerAway.into(), |tombstone| tombstone.judge(key))
+    tombstone.map_or(Kind::OwnerAway.into(), |tombstone| tombstone.resolve(key))
 }
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -5,7 +5,7 @@
 use prost::Message;
 
 use super::{Event, MEMBER, Outbox, Reply, Status};
-use crate::dispatch::{Decision, Dispatch, Outcome, Policy, Seek};
+use crate::dispatch::{Decision, Dispatcher, Outcome, Policy, Submission};
 use crate::id::{Call, Incarnation};
 use crate::peer::{Demand, Heartbeat, Shares, Waiting, ZoneSummary};
 use crate::runner::Key;
@@ -30,10 +30,10 @@
 /// The dispatcher, with the calls that it has started.
 #[derive(Debug)]
 pub struct Service {
-    inner: Dispatch,
+    inner: Dispatcher,
     zone: String,
-    seeking: Vec<(Call, Seek)>,
-    running: Vec<(Call, Seek, Key)>,
+    seeking: Vec<(Call, Submission)>,
+    running: Vec<(Call, Submission, Key)>,
     /// Sorted by mate.
     queued: Vec<Queued>,
     shares: Option<Shares>,
@@ -46,7 +46,7 @@
     /// Nothing to do yet.
     pub fn new(zone: &str, seed: u64, policy: Policy) -> Self {
         Self {
-            inner: Dispatch::new(zone, seed, policy),
+            inner: Dispatcher::new(zone, seed, policy),
             zone: zone.to_string(),
             seeking: Vec::new(),
             running: Vec::new(),
@@ -75,21 +75,21 @@
             }
             Event::View(view) => self.inner.set_view(view.clone()),
             Event::Listed(listed) => {
-                self.inner.runners.list(listed.clone());
+                self.inner.runners.set_listings(listed.clone());
                 self.inner.tick(now)
             }
             Event::Seek(seek) => {
                 let at = self.seeking.partition_point(|(call, _)| *call < seek.call);
                 self.seeking.insert(at, (seek.call, seek.clone()));
-                self.inner.seek(now, seek.clone())
+                self.inner.submit(now, seek.clone())
             }
             Event::Release { call, outcome } => match self.take_running(*call) {
-                Some((_, seek, runner)) => self.inner.release(now, &seek, runner, outcome),
+                Some((_, seek, runner)) => self.inner.finish(now, &seek, runner, outcome),
                 None => Vec::new(),
             },
             Event::Forget(call) => self.forget(now, *call),
             Event::Leaving(name) => {
-                self.inner.runners.leave(now, name);
+                self.inner.runners.mark_leaving(now, name);
                 Vec::new()
             }
             Event::Hear(beat) => {
@@ -123,11 +123,11 @@
     /// runner's place is given back then, or it would stay taken for ever.
     fn forget(&mut self, now: Moment, call: Call) -> Vec<Decision> {
         self.take_seeking(call);
-        self.inner.forget(call);
+        self.inner.cancel(call);
         match self.take_running(call) {
             Some((_, seek, runner)) => {
                 self.inner
-                    .release(now, &seek, runner, &Outcome::Dropped { tokens: 0 })
+                    .finish(now, &seek, runner, &Outcome::Cancelled { tokens: 0 })
             }
             None => Vec::new(),
         }
@@ -139,10 +139,10 @@
         }
         let peer = Incarnation(beat.card.incarnation);
         for name in &beat.leaving {
-            self.inner.runners.leave(now, name);
+            self.inner.runners.mark_leaving(now, name);
         }
         if let Some(shares) = &beat.shares {
-            self.inner.runners.hear(now, peer, shares);
+            self.inner.runners.set_peer_shares(now, peer, shares);
             let queued = Queued {
                 mate: peer,
                 heard: now,
@@ -164,15 +164,15 @@
         let pools = waiting
             .filter(|waiting| waiting.count > 0)
             .map(|waiting| waiting.pool.as_str());
-        self.inner.set_waiting_mates(pools);
+        self.inner.set_waiting_peers(pools);
     }
 
-    fn take_seeking(&mut self, call: Call) -> Option<Seek> {
+    fn take_seeking(&mut self, call: Call) -> Option<Submission> {
         let at = self.seeking.binary_search_by(|(have, _)| have.cmp(&call)).ok()?;
         Some(self.seeking.remove(at).1)
     }
 
-    fn take_running(&mut self, call: Call) -> Option<(Call, Seek, Key)> {
+    fn take_running(&mut self, call: Call) -> Option<(Call, Submission, Key)> {
         let at = self.running.binary_search_by(|(have, ..)| have.cmp(&call)).ok()?;
         Some(self.running.remove(at))
     }
@@ -197,13 +197,13 @@
             .inner
             .runners
             .iter()
-            .filter(|runner| runner.listed.zone == self.zone);
+            .filter(|runner| runner.listing.zone == self.zone);
         for runner in mine {
-            let demand = demand(&mut demands, &runner.listed.pool);
-            demand.busy += runner.running + runner.others;
-            if !runner.leaving(now) {
+            let demand = demand(&mut demands, &runner.listing.pool);
+            demand.busy += runner.running + runner.peer_running;
+            if !runner.is_leaving(now) {
                 demand.runners += 1;
-                demand.slots += runner.listed.slots;
+                demand.slots += runner.listing.slots;
             }
         }
         let others = self
@@ -241,21 +241,21 @@
     /// Adds to a heartbeat.
     pub fn compose(&mut self, now: Moment, _address: &str, beat: &mut Heartbeat) {
         beat.shares = self.shares.clone();
-        beat.leaving = self.inner.runners.news(now);
+        beat.leaving = self.inner.runners.leaving_names(now);
     }
 
     /// Adds to the status.
     pub fn describe(&self, now: Moment, status: &mut Status) {
         status.queue = self
             .inner
-            .queue()
+            .waiting_by_tier()
             .map(|(name, len)| (name.to_string(), len))
             .collect();
         let open = self
             .inner
             .runners
             .iter()
-            .filter(|runner| runner.open(now))
+            .filter(|runner| runner.is_available(now))
             .count();
         status.runners = (self.inner.runners.iter().count(), open);
     }
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -11,8 +11,8 @@
 use crate::store::{Answer, Token};
 use crate::time::Moment;
 use crate::usage::Meter;
-use crate::usage::gather::Gather;
-use crate::usage::report::{Reporter, Step};
+use crate::usage::gather::Collection;
+use crate::usage::report::{Effect, Reporter};
 
 /// Wait for the first delegates before the second ones are asked.
 const SECOND: Duration = Duration::from_millis(1_800);
@@ -28,7 +28,7 @@
     grace: Duration,
     lease_request: Request,
     report_request: Request,
-    gathers: Vec<Gather>,
+    gathers: Vec<Collection>,
     zone: String,
     answered: Vec<String>,
     second: Option<(Moment, Collect)>,
@@ -58,7 +58,7 @@
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Count(item) => self.meter.count(now, item),
+            Event::Count(item) => self.meter.record(now, item),
             Event::Hear(beat) => self.hear(beat),
             Event::Collect(call, ask) if ask.zone => self.gather(now, Some(*call), ask, out),
             Event::Collect(call, ask) => {
@@ -68,13 +68,13 @@
             Event::Collected(answer) => self.collected(answer),
             Event::Stored(token, answer) => self.stored(now, *token, answer, out),
             Event::Reported(accepted) => {
-                let call = self.reporter.reported(now, *accepted);
+                let call = self.reporter.on_reported(now, *accepted);
                 self.report_request.ask(USAGE, call, out);
             }
             Event::Standing(standing) => {
                 self.standing = standing.clone();
                 self.meter
-                    .retain_keepers(|keeper| standing.live.iter().any(|(live, _)| *live == keeper));
+                    .retain_replicas(|keeper| standing.live.iter().any(|(live, _)| *live == keeper));
             }
             Event::View(view) => {
                 self.length = view.document.settings.usage_window;
@@ -95,9 +95,9 @@
         self.lease_request.ask(USAGE, call, out);
         let grant = self.lease.grant(now);
         match self.reporter.tick(now, grant, self.length, self.grace) {
-            Some(Step::Store(call)) => self.report_request.ask(USAGE, Some(call), out),
-            Some(Step::Collect(ask)) => self.collect(now, ask, out),
-            Some(Step::Report(grant, seal)) => out.act(Action::Report(grant, seal)),
+            Some(Effect::Store(call)) => self.report_request.ask(USAGE, Some(call), out),
+            Some(Effect::Collect(ask)) => self.collect(now, ask, out),
+            Some(Effect::Report(grant, seal)) => out.act(Action::Report(grant, seal)),
             None => {}
         }
     }
@@ -138,7 +138,7 @@
             ..ask.clone()
         };
         let own = self.sum_up(now, &ask);
-        self.gathers.push(Gather::new(now, call, own));
+        self.gathers.push(Collection::new(now, call, own));
         for address in &self.standing.mates {
             out.act(Action::Collect(address.clone(), ask.clone()));
         }
@@ -154,23 +154,23 @@
         match &answer.bundle {
             Some(bundle) => {
                 self.answered.push(bundle.zone.clone());
-                self.reporter.collected(bundle);
+                self.reporter.on_collected(bundle);
             }
             // Whichever collection a mate answers, a sum says what is in it.
             None => self
                 .gathers
                 .iter_mut()
-                .for_each(|gather| gather.add(answer.clone())),
+                .for_each(|gather| gather.add_answer(answer.clone())),
         }
     }
 
     fn finish_gathers(&mut self, now: Moment, out: &mut Outbox) {
-        while self.gathers.first().is_some_and(|gather| gather.is_over(now)) {
+        while self.gathers.first().is_some_and(|gather| gather.is_due(now)) {
             let gather = self.gathers.remove(0);
             let call = gather.call;
-            let bundle = gather.bundle(&self.zone);
+            let bundle = gather.into_bundle(&self.zone);
             match call {
-                None => self.reporter.collected(&bundle),
+                None => self.reporter.on_collected(&bundle),
                 Some(call) => {
                     let answer = Collected {
                         sums: Vec::new(),
@@ -187,17 +187,18 @@
             let call = self.lease.answer(now, answer);
             self.lease_request.ask(USAGE, call, out);
         } else if self.report_request.takes(token) {
-            let call = self.reporter.answer(now, answer);
+            let call = self.reporter.on_answer(now, answer);
             self.report_request.ask(USAGE, call, out);
         }
     }
 
     fn hear(&mut self, beat: &Heartbeat) {
         for chunk in &beat.chunks {
-            self.meter.keep(chunk.clone());
+            self.meter.insert(chunk.clone());
         }
         if beat.kept > 0 {
-            self.meter.confirm(Incarnation(beat.card.incarnation), beat.kept);
+            self.meter
+                .acknowledge(Incarnation(beat.card.incarnation), beat.kept);
         }
     }
 
@@ -206,15 +207,15 @@
         let Some((peer, _)) = self.standing.live.iter().find(|(_, have)| have == address) else {
             return;
         };
-        beat.kept = self.meter.kept(*peer);
+        beat.kept = self.meter.contiguous_until(*peer);
         if self.standing.keepers.contains(peer) {
-            beat.chunks = self.meter.offer(*peer);
+            beat.chunks = self.meter.unacknowledged(*peer);
         }
     }
 
     /// Adds to the status.
     pub fn describe(&self, now: Moment, status: &mut Status) {
-        status.chunks = self.meter.size();
+        status.chunks = self.meter.chunk_count();
         if let Some(grant) = self.lease.grant(now) {
             status.duties.push((USAGE.into(), grant.fence));
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,6 +8,7 @@
 #[macro_use]
 mod macros;
 
+pub mod at_most_once;
 pub mod claim;
 pub mod config;
 pub mod dispatch;
@@ -16,17 +17,16 @@
 pub mod kernel;
 pub mod lease;
 pub mod member;
-pub mod once;
 pub mod order;
 pub mod peer;
-pub mod promise;
 pub mod proxy;
-pub mod repeat;
+pub mod reservation;
+pub mod retry;
 pub mod runner;
-pub mod seal;
 pub mod store;
 pub mod target;
 pub mod ticket;
 pub mod time;
 pub mod units;
 pub mod usage;
+pub mod write_once;
--- a/crates/core/src/repeat.rs
+++ b/crates/core/src/retry.rs
@@ -16,7 +16,7 @@
         /// The runner states that it has not run it.
         NotRun,
         /// It may have run.
-        Broken,
+        MayHaveRun,
     }
 }
 
@@ -25,54 +25,54 @@
     #[derive(Copy, Eq)]
     pub struct Rule {
         /// Whether it may run at most once.
-        pub once: bool,
+        pub at_most_once: bool,
         /// Runners that it may be sent to.
-        pub attempts: u32,
+        pub max_attempts: u32,
         /// Runners that may turn out unreachable before its caller is told so.
-        pub unreachable: u32,
+        pub max_unreachable: u32,
     }
 }
 
 plain! {
     /// Why no further runner gets a request.
     #[derive(Copy, Eq)]
-    pub enum Bar {
+    pub enum Denial {
         /// It may have run, and runs at most once.
         MayHaveRun,
         /// The caller's or the route's time is over.
-        TimeOver,
+        TimedOut,
         /// It was sent to as many runners as it may be.
-        AttemptsSpent,
+        AttemptsExhausted,
         /// The budget of repeats is spent.
-        BudgetSpent,
+        BudgetExhausted,
         /// None of the runners that were chosen could be reached.
         Unreachable,
     }
 }
 
-impl Bar {
+impl Denial {
     /// Name in the log.
     pub fn name(self) -> &'static str {
         match self {
-            Bar::MayHaveRun => "may-have-run",
-            Bar::TimeOver => "time-over",
-            Bar::AttemptsSpent => "attempts-spent",
-            Bar::BudgetSpent => "budget-spent",
-            Bar::Unreachable => "unreachable",
+            Denial::MayHaveRun => "may-have-run",
+            Denial::TimedOut => "time-over",
+            Denial::AttemptsExhausted => "attempts-spent",
+            Denial::BudgetExhausted => "budget-spent",
+            Denial::Unreachable => "unreachable",
         }
     }
 }
 
 /// What one request has tried; `K` names a runner.
 #[derive(Clone, Debug)]
-pub struct Tries<K> {
+pub struct History<K> {
     tried: Vec<K>,
     sent: u32,
     unreachable: u32,
     ran: bool,
 }
 
-impl<K> Default for Tries<K> {
+impl<K> Default for History<K> {
     fn default() -> Self {
         Self {
             tried: Vec::new(),
@@ -83,14 +83,14 @@
     }
 }
 
-impl<K> Tries<K> {
+impl<K> History<K> {
     /// A runner was chosen.
-    pub fn choose(&mut self, runner: K) {
+    pub fn record_choice(&mut self, runner: K) {
         self.tried.push(runner);
     }
 
     /// Bytes of the request may leave from now on.
-    pub fn send(&mut self) {
+    pub fn record_send(&mut self) {
         self.sent += 1;
     }
 
@@ -99,46 +99,46 @@
     ///
     /// `over` tells whether its time is over; `budget` takes a repeat from the budget
     /// and is asked last, as what it gives is spent.
-    pub fn fail(
+    pub fn record_failure(
         &mut self,
         rule: &Rule,
         fault: Fault,
         over: bool,
         budget: impl FnOnce() -> bool,
-    ) -> Option<Bar> {
+    ) -> Option<Denial> {
         match fault {
             Fault::Unreachable => {
                 self.unreachable += 1;
-                return (self.unreachable >= rule.unreachable).then_some(Bar::Unreachable);
+                return (self.unreachable >= rule.max_unreachable).then_some(Denial::Unreachable);
             }
             Fault::NotRun => {}
-            Fault::Broken => self.ran = true,
+            Fault::MayHaveRun => self.ran = true,
         }
-        if self.ran && rule.once {
-            return Some(Bar::MayHaveRun);
+        if self.ran && rule.at_most_once {
+            return Some(Denial::MayHaveRun);
         }
         if over {
-            return Some(Bar::TimeOver);
+            return Some(Denial::TimedOut);
         }
-        if self.sent >= rule.attempts {
-            return Some(Bar::AttemptsSpent);
+        if self.sent >= rule.max_attempts {
+            return Some(Denial::AttemptsExhausted);
         }
-        (!budget()).then_some(Bar::BudgetSpent)
+        (!budget()).then_some(Denial::BudgetExhausted)
     }
 
     /// What was sent has not left after all.
-    pub fn unsend(&mut self) {
+    pub fn revert_send(&mut self) {
         self.sent -= 1;
     }
 
     /// The time is over while a runner may be at work.
-    pub fn run_out(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.ran = true;
     }
 
     /// A refusal that says "not run" only if that is so: an earlier attempt may have
     /// run, also where no further runner is to be had.
-    pub fn refuse(&self, refusal: Refusal) -> Refusal {
+    pub fn adjust_refusal(&self, refusal: Refusal) -> Refusal {
         match self.ran {
             true => Refusal {
                 ran: Ran::Unknown,
@@ -154,12 +154,12 @@
     }
 
     /// Runners that it was sent to.
-    pub fn sent(&self) -> u32 {
+    pub fn sends(&self) -> u32 {
         self.sent
     }
 
     /// Whether it may have run.
-    pub fn ran(&self) -> bool {
+    pub fn may_have_run(&self) -> bool {
         self.ran
     }
 }
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -11,13 +11,13 @@
 use crate::peer::Shares;
 use crate::time::Moment;
 
-key! {
+arena_key! {
     /// A runner in the table.
     Key(u32)
 }
 
 /// How long first-hand news outweighs the list.
-pub const NEWS: Duration = Duration::from_secs(90);
+pub const LEAVING_TTL: Duration = Duration::from_secs(90);
 /// First rest of a runner that refused a connection or broke off.
 const REST: Duration = Duration::from_secs(1);
 /// Longest rest.
@@ -33,7 +33,7 @@
 
 record! {
     /// A runner as the platform lists it.
-    pub struct Listed {
+    pub struct Listing {
         /// Its name.
         pub name: String,
         /// Its pool.
@@ -54,16 +54,16 @@
     /// One runner.
     pub struct Runner {
         /// As listed.
-        pub listed: Listed,
+        pub listing: Listing,
         /// This host's calls on it.
         pub running: u32,
         /// Its peers' calls on it.
-        pub others: u32,
+        pub peer_running: u32,
         /// This host's calls of the last round, of which its peers may not
         /// have heard.
-        pub fresh: u32,
+        pub unreported: u32,
         /// Milliseconds a token, as this host saw them; 0 before the first.
-        pub pace: f64,
+        pub ms_per_token: f64,
         gone: bool,
         news: Option<Moment>,
         failures: u32,
@@ -73,18 +73,18 @@
 
 impl Runner {
     /// Whether new work may go there.
-    pub fn open(&self, now: Moment) -> bool {
-        !self.gone && !self.leaving(now) && now.reached(self.rest)
+    pub fn is_available(&self, now: Moment) -> bool {
+        !self.gone && !self.is_leaving(now) && now.reached(self.rest)
     }
 
     /// Whether it leaves, by the list or first-hand.
-    pub fn leaving(&self, now: Moment) -> bool {
-        self.listed.leaving || self.news.is_some_and(|news| now.since(news) < NEWS)
+    pub fn is_leaving(&self, now: Moment) -> bool {
+        self.listing.leaving || self.news.is_some_and(|news| now.since(news) < LEAVING_TTL)
     }
 
     /// Share of its slots in use.
     pub fn load(&self) -> f64 {
-        f64::from(self.running + self.others) / f64::from(self.listed.slots.max(1))
+        f64::from(self.running + self.peer_running) / f64::from(self.listing.slots.max(1))
     }
 }
 
@@ -112,7 +112,7 @@
 
 impl Runners {
     /// Takes the platform's list.
-    pub fn list(&mut self, listed: Vec<Listed>) {
+    pub fn set_listings(&mut self, listed: Vec<Listing>) {
         for runner in &mut self.arena {
             runner.gone = true;
         }
@@ -125,30 +125,30 @@
         self.index();
     }
 
-    fn relist(&mut self, key: Key, item: Listed) {
+    fn relist(&mut self, key: Key, item: Listing) {
         let runner = &mut self.arena[key.index()];
         // A new address under an old name is a new process: what was known
         // of the former one no longer counts.
-        if runner.listed.address != item.address {
+        if runner.listing.address != item.address {
             runner.news = None;
             runner.failures = 0;
             runner.rest = Moment::default();
-            runner.pace = 0.0;
+            runner.ms_per_token = 0.0;
         }
-        runner.listed = item;
+        runner.listing = item;
         runner.gone = false;
     }
 
-    fn add(&mut self, item: Listed) {
+    fn add(&mut self, item: Listing) {
         let key = Key(self.arena.len() as u32);
         let at = self.names.partition_point(|(name, _)| *name < item.name);
         self.names.insert(at, (item.name.clone(), key));
         self.arena.push(Runner {
-            listed: item,
+            listing: item,
             running: 0,
-            others: 0,
-            fresh: 0,
-            pace: 0.0,
+            peer_running: 0,
+            unreported: 0,
+            ms_per_token: 0.0,
             gone: false,
             news: None,
             failures: 0,
@@ -161,9 +161,9 @@
         self.shorts.clear();
         for (at, runner) in self.arena.iter().enumerate().filter(|(_, runner)| !runner.gone) {
             let key = Key(at as u32);
-            let zones = entry(&mut self.pools, &runner.listed.pool);
-            entry(zones, &runner.listed.zone).push(key);
-            self.shorts.push((short(&runner.listed.name), key));
+            let zones = entry(&mut self.pools, &runner.listing.pool);
+            entry(zones, &runner.listing.zone).push(key);
+            self.shorts.push((short(&runner.listing.name), key));
         }
         self.shorts.sort_unstable();
     }
@@ -199,14 +199,14 @@
     pub fn start(&mut self, key: Key) {
         let runner = &mut self.arena[key.index()];
         runner.running += 1;
-        runner.fresh += 1;
+        runner.unreported += 1;
     }
 
     /// A call ends.
     pub fn finish(&mut self, key: Key) {
         let runner = &mut self.arena[key.index()];
         runner.running = runner.running.saturating_sub(1);
-        runner.fresh = runner.fresh.min(runner.running);
+        runner.unreported = runner.unreported.min(runner.running);
     }
 
     /// A whole answer came, at this pace.
@@ -215,7 +215,7 @@
         runner.failures = 0;
         runner.rest = Moment::default();
         if pace > 0.0 {
-            runner.pace = match runner.pace {
+            runner.ms_per_token = match runner.ms_per_token {
                 0.0 => pace,
                 have => have + (pace - have) * GAIN,
             };
@@ -231,12 +231,12 @@
     }
 
     /// First-hand news that it leaves; tells whether it is new.
-    pub fn leave(&mut self, now: Moment, name: &str) -> bool {
+    pub fn mark_leaving(&mut self, now: Moment, name: &str) -> bool {
         let Some(key) = self.find(name) else {
             return false;
         };
         let runner = &mut self.arena[key.index()];
-        let new = !runner.leaving(now);
+        let new = !runner.is_leaving(now);
         if new {
             runner.news = Some(now);
         }
@@ -244,10 +244,10 @@
     }
 
     /// Runners known first-hand to leave, for the peers.
-    pub fn news(&self, now: Moment) -> Vec<String> {
+    pub fn leaving_names(&self, now: Moment) -> Vec<String> {
         self.iter()
-            .filter(|runner| runner.news.is_some_and(|news| now.since(news) < NEWS / 2))
-            .map(|runner| runner.listed.name.clone())
+            .filter(|runner| runner.news.is_some_and(|news| now.since(news) < LEAVING_TTL / 2))
+            .map(|runner| runner.listing.name.clone())
             .collect()
     }
 
@@ -255,14 +255,14 @@
     pub fn shares(&self) -> Shares {
         let mut shares = Shares::default();
         for runner in self.iter().filter(|runner| runner.running > 0) {
-            shares.runners.push(short(&runner.listed.name));
+            shares.runners.push(short(&runner.listing.name));
             shares.running.push(runner.running);
         }
         shares
     }
 
     /// A peer's calls.
-    pub fn hear(&mut self, now: Moment, peer: Incarnation, shares: &Shares) {
+    pub fn set_peer_shares(&mut self, now: Moment, peer: Incarnation, shares: &Shares) {
         let pairs = shares.runners.iter().zip(&shares.running);
         let known = pairs.filter_map(|(runner, running)| {
             let at = self.shorts.binary_search_by(|(have, _)| have.cmp(runner)).ok()?;
@@ -271,7 +271,7 @@
         let shares: Vec<(Key, u32)> = known.collect();
         self.forget(peer);
         for (key, running) in &shares {
-            self.arena[key.index()].others += running;
+            self.arena[key.index()].peer_running += running;
         }
         self.peers.push(PeerShares {
             peer,
@@ -281,10 +281,10 @@
     }
 
     /// Drops the shares of peers that fell silent.
-    pub fn age(&mut self, now: Moment) {
+    pub fn expire_shares(&mut self, now: Moment) {
         if self.round_is_over(now) {
             self.round = now;
-            self.arena.iter_mut().for_each(|runner| runner.fresh = 0);
+            self.arena.iter_mut().for_each(|runner| runner.unreported = 0);
         }
         let silent: Vec<Incarnation> = self
             .peers
@@ -310,16 +310,16 @@
             return;
         };
         for (key, running) in self.peers.swap_remove(at).shares {
-            let others = &mut self.arena[key.index()].others;
+            let others = &mut self.arena[key.index()].peer_running;
             *others = others.saturating_sub(running);
         }
     }
 
     /// Mean pace of a pool's runners, 0 when unknown.
-    pub fn mean_pace(&self, pool: &str) -> f64 {
+    pub fn mean_ms_per_token(&self, pool: &str) -> f64 {
         let keys = self.pool(pool).iter().flat_map(|(_, keys)| keys);
         let known: Vec<f64> = keys
-            .map(|key| self.get(*key).pace)
+            .map(|key| self.get(*key).ms_per_token)
             .filter(|pace| *pace > 0.0)
             .collect();
         match known.len() {
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -18,9 +18,9 @@
 pub mod report;
 
 /// Longest time a chunk stays open: what a crash can lose.
-pub const CHUNK: Duration = Duration::from_secs(2);
+pub const MAX_CHUNK_AGE: Duration = Duration::from_secs(2);
 /// Peers that keep copies.
-pub const KEEPERS: usize = 2;
+pub const CHUNK_REPLICAS: usize = 2;
 /// Chunks in one heartbeat.
 const CHUNKS_A_BEAT: usize = 16;
 /// Most chunks kept for others.
@@ -28,17 +28,17 @@
 
 plain! {
     /// One thing to count.
-    pub struct Item {
+    pub struct Record {
         /// Customer.
         pub customer: String,
         /// Request class.
         pub class: String,
         /// Prompt tokens.
-        pub prompt: u64,
+        pub prompt_tokens: u64,
         /// Tokens that went to the caller.
-        pub tokens: u64,
+        pub output_tokens: u64,
         /// Whether the answer was whole.
-        pub whole: bool,
+        pub completed: bool,
     }
 }
 
@@ -47,13 +47,13 @@
 /// Windows are named by their start, not counted, so that hosts that still
 /// have another length (before their first configuration, or while a change
 /// of it travels) do not name a window of another year.
-pub fn window(now: Moment, length: Duration) -> u64 {
+pub fn window_start(now: Moment, length: Duration) -> u64 {
     let length = (length.as_millis() as u64).max(1);
     now.wall / length * length
 }
 
 /// Adds rows of the same customer and class.
-pub fn merge(into: &mut Vec<Row>, rows: &[Row]) {
+pub fn merge_rows(into: &mut Vec<Row>, rows: &[Row]) {
     for row in rows {
         match into.binary_search_by(|have| (&have.customer, &have.class).cmp(&(&row.customer, &row.class))) {
             Ok(at) => add(&mut into[at], row),
@@ -91,7 +91,7 @@
             length,
             open: Vec::new(),
             opened: now,
-            window: window(now, length),
+            window: window_start(now, length),
             number: 0,
             sealed: 0,
             chunks: Vec::new(),
@@ -105,23 +105,23 @@
     }
 
     /// Counts one thing.
-    pub fn count(&mut self, now: Moment, item: &Item) {
+    pub fn record(&mut self, now: Moment, item: &Record) {
         self.tick(now);
         let row = Row {
             customer: item.customer.clone(),
             class: item.class.clone(),
-            calls: u64::from(item.whole),
-            prompt: item.prompt,
-            tokens: item.tokens,
-            broken: u64::from(!item.whole),
+            calls: u64::from(item.completed),
+            prompt: item.prompt_tokens,
+            tokens: item.output_tokens,
+            broken: u64::from(!item.completed),
         };
-        merge(&mut self.open, &[row]);
+        merge_rows(&mut self.open, &[row]);
     }
 
     /// Closes the open chunk when it is old or its window has ended.
     pub fn tick(&mut self, now: Moment) {
-        let current = window(now, self.length);
-        if current != self.window || now.since(self.opened) >= CHUNK {
+        let current = window_start(now, self.length);
+        if current != self.window || now.since(self.opened) >= MAX_CHUNK_AGE {
             self.flush(now);
         }
     }
@@ -136,14 +136,14 @@
                 window: self.window,
                 rows: std::mem::take(&mut self.open),
             };
-            self.keep(chunk);
+            self.insert(chunk);
         }
         self.opened = now;
-        self.window = window(now, self.length).max(self.window);
+        self.window = window_start(now, self.length).max(self.window);
     }
 
     /// Chunks that a keeper has not confirmed yet.
-    pub fn offer(&self, keeper: Incarnation) -> Vec<Chunk> {
+    pub fn unacknowledged(&self, keeper: Incarnation) -> Vec<Chunk> {
         let acked = self.acked(keeper);
         self.own()
             .filter(|chunk| chunk.number > acked)
@@ -153,7 +153,7 @@
     }
 
     /// A keeper confirms.
-    pub fn confirm(&mut self, keeper: Incarnation, number: u64) {
+    pub fn acknowledge(&mut self, keeper: Incarnation, number: u64) {
         match self.acked.binary_search_by(|(have, _)| have.cmp(&keeper)) {
             Ok(at) => self.acked[at].1 = self.acked[at].1.max(number),
             Err(at) => self.acked.insert(at, (keeper, number)),
@@ -161,18 +161,18 @@
     }
 
     /// Forgets keepers that are gone.
-    pub fn retain_keepers(&mut self, live: impl Fn(Incarnation) -> bool) {
+    pub fn retain_replicas(&mut self, live: impl Fn(Incarnation) -> bool) {
         self.acked.retain(|(keeper, _)| live(*keeper));
     }
 
     /// Whether some keeper has all closed chunks.
-    pub fn safe(&self) -> bool {
+    pub fn is_replicated(&self) -> bool {
         let last = self.own().last().map_or(0, |chunk| chunk.number);
         self.open.is_empty() && (last == 0 || self.acked.iter().any(|(_, number)| *number >= last))
     }
 
     /// Takes a chunk in for safe keeping; a second copy changes nothing.
-    pub fn keep(&mut self, chunk: Chunk) {
+    pub fn insert(&mut self, chunk: Chunk) {
         if self.chunks.len() >= KEPT {
             return;
         }
@@ -186,7 +186,7 @@
     }
 
     /// Highest chunk kept of a source, without gaps from the lowest kept.
-    pub fn kept(&self, source: Incarnation) -> u64 {
+    pub fn contiguous_until(&self, source: Incarnation) -> u64 {
         let mut last = 0;
         for chunk in self.of(source.0) {
             if last != 0 && chunk.number != last + 1 {
@@ -206,20 +206,20 @@
         ask: &Collect,
         answers: impl Fn(Incarnation) -> bool,
     ) -> Collected {
-        if window(now, self.length) > ask.window {
+        if window_start(now, self.length) > ask.window {
             self.flush(now);
         }
         // A cursor is forgotten after long silence; without this bound the
         // next chunk of an idle process would look like one after a gap.
-        self.sealed = self.sealed.max(cursor(&ask.cursors, self.me.0));
+        self.sealed = self.sealed.max(sealed_until(&ask.cursors, self.me.0));
         self.chunks
-            .retain(|chunk| chunk.number > cursor(&ask.cursors, chunk.source));
+            .retain(|chunk| chunk.number > sealed_until(&ask.cursors, chunk.source));
         let mut sums: Vec<Sum> = Vec::new();
         for chunk in &self.chunks {
             let last = match sums.last() {
                 Some(sum) if sum.source == chunk.source => sum.number,
                 _ if chunk.source == self.me.0 => self.sealed,
-                _ => cursor(&ask.cursors, chunk.source),
+                _ => sealed_until(&ask.cursors, chunk.source),
             };
             let other = chunk.source != self.me.0 && answers(Incarnation(chunk.source));
             if other || chunk.number != last + 1 || chunk.window > ask.window {
@@ -231,7 +231,7 @@
     }
 
     /// Chunks kept, own and others'.
-    pub fn size(&self) -> usize {
+    pub fn chunk_count(&self) -> usize {
         self.chunks.len()
     }
 
@@ -255,7 +255,7 @@
 }
 
 /// Highest sealed chunk of a source.
-pub fn cursor(cursors: &[Cursor], source: u64) -> u64 {
+pub fn sealed_until(cursors: &[Cursor], source: u64) -> u64 {
     match cursors.binary_search_by(|have| have.source.cmp(&source)) {
         Ok(at) => cursors[at].number,
         Err(_) => 0,
@@ -273,7 +273,7 @@
     if let Some(sum) = sums.last_mut() {
         sum.number = chunk.number;
         match sum.parts.iter_mut().find(|part| part.window == chunk.window) {
-            Some(part) => merge(&mut part.rows, &chunk.rows),
+            Some(part) => merge_rows(&mut part.rows, &chunk.rows),
             None => sum.parts.push(Part {
                 window: chunk.window,
                 rows: chunk.rows.clone(),
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -7,24 +7,24 @@
 
 use std::time::Duration;
 
-use super::merge;
+use super::merge_rows;
 use crate::id::Call;
 use crate::peer::{Bundle, Collected, Part, Span, Sum};
 use crate::time::Moment;
 
 /// Wait for the mates' answers.
-pub const GATHER: Duration = Duration::from_millis(1_200);
+pub const GATHER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// One collection that is under way in this zone.
 #[derive(Debug)]
-pub struct Gather {
+pub struct Collection {
     /// Whom to answer; the reporter of this process when absent.
     pub call: Option<Call>,
     since: Moment,
     sums: Vec<Sum>,
 }
 
-impl Gather {
+impl Collection {
     /// Begins with what this host knows itself.
     pub fn new(now: Moment, call: Option<Call>, own: Collected) -> Self {
         let mut gather = Self {
@@ -32,12 +32,12 @@
             since: now,
             sums: Vec::new(),
         };
-        gather.add(own);
+        gather.add_answer(own);
         gather
     }
 
     /// Takes a mate's answer in.
-    pub fn add(&mut self, answer: Collected) {
+    pub fn add_answer(&mut self, answer: Collected) {
         for sum in answer.sums {
             match self.sums.binary_search_by(|have| have.source.cmp(&sum.source)) {
                 // Of two hosts that know a source, the one that has more of
@@ -50,12 +50,12 @@
     }
 
     /// Whether the mates had their time.
-    pub fn is_over(&self, now: Moment) -> bool {
-        now.since(self.since) >= GATHER
+    pub fn is_due(&self, now: Moment) -> bool {
+        now.since(self.since) >= GATHER_TIMEOUT
     }
 
     /// The zone's sum.
-    pub fn bundle(self, zone: &str) -> Bundle {
+    pub fn into_bundle(self, zone: &str) -> Bundle {
         let mut bundle = Bundle {
             zone: zone.to_string(),
             ..Bundle::default()
@@ -77,7 +77,7 @@
 /// Adds a part to parts sorted by window.
 pub fn add_part(parts: &mut Vec<Part>, part: &Part) {
     match parts.binary_search_by(|have| have.window.cmp(&part.window)) {
-        Ok(at) => merge(&mut parts[at].rows, &part.rows),
+        Ok(at) => merge_rows(&mut parts[at].rows, &part.rows),
         Err(at) => parts.insert(at, part.clone()),
     }
 }
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -6,18 +6,18 @@
 
 use std::time::Duration;
 
-use super::cursor;
 use super::gather::add_part;
+use super::sealed_until;
 use crate::lease::Grant;
 use crate::peer::{Bundle, Collect, Cursor, Part, Row, Span};
-use crate::seal::{Outcome, Writer};
 use crate::store::{Answer, Call};
 use crate::time::Moment;
+use crate::write_once::{Outcome, Writer};
 
 /// Store prefix of sealed windows.
-pub const SEALED: &str = "usage/sealed/";
+pub const SEALED_PREFIX: &str = "usage/sealed/";
 /// Store key that tells how far reports went.
-pub const HEAD: &str = "usage/head";
+pub const PROGRESS_KEY: &str = "usage/head";
 /// Wait for the zones' answers to a collection.
 const COLLECT: Duration = Duration::from_secs(4);
 /// Wait for one store answer or report before it counts as lost.
@@ -27,7 +27,7 @@
 /// Milliseconds after which a source that is silent loses its cursor, and a
 /// chunk that is older is not counted any more: both in one rule, so that a
 /// chunk cannot be counted again once its cursor is gone.
-pub const FORGET: u64 = 24 * 3_600_000;
+pub const RETENTION_MS: u64 = 24 * 3_600_000;
 
 record! {
     /// Figures of one customer and class in a report.
@@ -52,7 +52,7 @@
 
 record! {
     /// A source's sealed chunks.
-    pub struct Mark {
+    pub struct Checkpoint {
         /// Source.
         pub source: crate::id::Incarnation,
         /// Highest sealed chunk.
@@ -64,7 +64,7 @@
 
 record! {
     /// A sealed window.
-    pub struct Seal {
+    pub struct SealedWindow {
         /// Place in the chain of seals, from 1 and without gaps. A reporter
         /// that was away must adopt each seal it missed before it can add
         /// one; skipping one would count that one's chunks twice.
@@ -74,13 +74,13 @@
         /// Figures, for good.
         pub lines: Vec<Line>,
         /// Cursors after it.
-        pub marks: Vec<Mark>,
+        pub marks: Vec<Checkpoint>,
     }
 }
 
 record! {
     /// How far reports went; a hint that saves reading, never trusted alone.
-    pub struct Head {
+    pub struct Progress {
         /// Number of the last seal known to be reported.
         pub reported: u64,
     }
@@ -88,13 +88,13 @@
 
 plain! {
     /// What the shell is to do.
-    pub enum Step {
+    pub enum Effect {
         /// Ask the store.
         Store(Call),
         /// Ask every zone.
         Collect(Collect),
         /// Send to the usage interface while the grant covers it.
-        Report(Grant, Seal),
+        Report(Grant, SealedWindow),
     }
 }
 
@@ -115,9 +115,9 @@
 #[derive(Debug)]
 pub struct Reporter {
     state: State,
-    writer: Writer<Seal>,
-    unreported: Vec<Seal>,
-    last: Option<Seal>,
+    writer: Writer<SealedWindow>,
+    unreported: Vec<SealedWindow>,
+    last: Option<SealedWindow>,
     head_version: u64,
     next: Moment,
 }
@@ -143,7 +143,7 @@
         grant: Option<Grant>,
         length: Duration,
         grace: Duration,
-    ) -> Option<Step> {
+    ) -> Option<Effect> {
         let Some(grant) = grant else {
             *self = Self::default();
             return None;
@@ -155,7 +155,9 @@
         match &self.state {
             State::Idle => {
                 self.state = State::ReadHead { since: now };
-                Some(Step::Store(Call::Get { key: HEAD.into() }))
+                Some(Effect::Store(Call::Get {
+                    key: PROGRESS_KEY.into(),
+                }))
             }
             State::Ready => self.proceed(now, grant, length, grace),
             State::Collecting {
@@ -166,13 +168,13 @@
                 let seal = self.seal(*window, bundle);
                 self.state = State::Sealing;
                 let call = self.writer.write(now, seal_key(seal.number), seal);
-                call.map(Step::Store)
+                call.map(Effect::Store)
             }
             _ => None,
         }
     }
 
-    fn proceed(&mut self, now: Moment, grant: Grant, length: Duration, grace: Duration) -> Option<Step> {
+    fn proceed(&mut self, now: Moment, grant: Grant, length: Duration, grace: Duration) -> Option<Effect> {
         if let Some(seal) = self.unreported.first() {
             // The last check before the send: after a pause the lease is over
             // and the successor reports the same sealed figures instead.
@@ -180,7 +182,7 @@
                 return None;
             }
             self.state = State::Reporting { since: now };
-            return Some(Step::Report(grant, seal.clone()));
+            return Some(Effect::Report(grant, seal.clone()));
         }
         let millis = length.as_millis() as u64;
         let window = self.next_window(now, millis);
@@ -192,7 +194,7 @@
             window,
             bundle: Bundle::default(),
         };
-        Some(Step::Collect(Collect {
+        Some(Effect::Collect(Collect {
             cursors: self.cursors(),
             window,
             zone: true,
@@ -211,7 +213,7 @@
     }
 
     /// A zone's answer to the collection; taken whole or not at all.
-    pub fn collected(&mut self, answer: &Bundle) {
+    pub fn on_collected(&mut self, answer: &Bundle) {
         let cursors = self.cursors();
         let State::Collecting { bundle, .. } = &mut self.state else {
             return;
@@ -225,7 +227,7 @@
                 .binary_search_by(|have| have.source.cmp(&span.source))
                 .is_ok()
         };
-        let stale = |span: &Span| span.from < cursor(&cursors, span.source);
+        let stale = |span: &Span| span.from < sealed_until(&cursors, span.source);
         if answer.spans.iter().any(|span| known(span) || stale(span)) {
             return;
         }
@@ -240,22 +242,22 @@
     }
 
     /// The store's answer.
-    pub fn answer(&mut self, now: Moment, answer: &Answer) -> Option<Call> {
-        if let Some(outcome) = self.writer.answer(now, answer) {
+    pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> Option<Call> {
+        if let Some(outcome) = self.writer.on_answer(now, answer) {
             return self.sealed(now, outcome);
         }
         match (std::mem::replace(&mut self.state, State::Idle), answer) {
             (State::ReadHead { .. }, Answer::Found(entries)) => {
                 let entry = entries.first().filter(|entry| entry.version > 0);
                 self.head_version = entry.map_or(0, |entry| entry.version);
-                let head = entry.and_then(|entry| serde_json::from_str::<Head>(&entry.value).ok());
+                let head = entry.and_then(|entry| serde_json::from_str::<Progress>(&entry.value).ok());
                 let reported = head.map_or(0, |head| head.reported);
                 self.state = State::ReadSeals {
                     since: now,
                     head: reported,
                 };
                 Some(Call::Range {
-                    prefix: SEALED.into(),
+                    prefix: SEALED_PREFIX.into(),
                     after: seal_key(reported.saturating_sub(1)),
                     limit: 1_000,
                 })
@@ -279,10 +281,10 @@
     }
 
     /// What came of sealing a window.
-    fn sealed(&mut self, now: Moment, outcome: Outcome<Seal>) -> Option<Call> {
+    fn sealed(&mut self, now: Moment, outcome: Outcome<SealedWindow>) -> Option<Call> {
         match outcome {
-            Outcome::Ask(call) => return Some(call),
-            Outcome::Stands(seal, _) => self.adopt(seal),
+            Outcome::Pending(call) => return Some(call),
+            Outcome::Stored(seal, _) => self.adopt(seal),
             Outcome::Missing => self.state = State::Ready,
             Outcome::Failed => self.restart(now),
         }
@@ -297,7 +299,7 @@
     }
 
     /// The usage interface's answer; only a clear yes moves on.
-    pub fn reported(&mut self, now: Moment, accepted: bool) -> Option<Call> {
+    pub fn on_reported(&mut self, now: Moment, accepted: bool) -> Option<Call> {
         let State::Reporting { .. } = self.state else {
             return None;
         };
@@ -308,18 +310,18 @@
         }
         let seal = self.unreported.remove(0);
         self.state = State::Recording { since: now };
-        let head = Head {
+        let head = Progress {
             reported: seal.number,
         };
         Some(Call::Swap {
-            key: HEAD.into(),
+            key: PROGRESS_KEY.into(),
             expect: self.head_version,
             value: serde_json::to_string(&head).unwrap_or_default(),
         })
     }
 
     fn recover(&mut self, head: u64, entries: &[crate::store::Entry]) {
-        let mut seals: Vec<Seal> = entries
+        let mut seals: Vec<SealedWindow> = entries
             .iter()
             .filter_map(|entry| serde_json::from_str(&entry.value).ok())
             .collect();
@@ -329,7 +331,7 @@
         self.state = State::Ready;
     }
 
-    fn adopt(&mut self, seal: Seal) {
+    fn adopt(&mut self, seal: SealedWindow) {
         self.last = Some(seal.clone());
         self.unreported.push(seal);
         self.state = State::Ready;
@@ -346,16 +348,16 @@
             .collect()
     }
 
-    fn seal(&self, window: u64, bundle: &Bundle) -> Seal {
+    fn seal(&self, window: u64, bundle: &Bundle) -> SealedWindow {
         let mut marks = self.last.as_ref().map_or(Vec::new(), |seal| seal.marks.clone());
-        marks.retain(|mark| mark.moved + FORGET > window);
+        marks.retain(|mark| mark.moved + RETENTION_MS > window);
         bundle
             .spans
             .iter()
             .for_each(|span| mark(&mut marks, span, window));
-        let counts = |part: &&Part| part.window + FORGET > window;
+        let counts = |part: &&Part| part.window + RETENTION_MS > window;
         let parts: Vec<&Part> = bundle.parts.iter().filter(counts).collect();
-        Seal {
+        SealedWindow {
             number: self.last.as_ref().map_or(1, |seal| seal.number + 1),
             window,
             lines: lines(window, &parts),
@@ -364,7 +366,7 @@
     }
 
     fn give_up(&mut self, now: Moment) {
-        if self.writer.give_up(now, PATIENCE) {
+        if self.writer.time_out(now, PATIENCE) {
             *self = Self::default();
         }
         let since = match &self.state {
@@ -382,12 +384,12 @@
 
 /// Store key of a seal.
 pub fn seal_key(number: u64) -> String {
-    format!("{SEALED}{number:016}")
+    format!("{SEALED_PREFIX}{number:016}")
 }
 
-fn mark(marks: &mut Vec<Mark>, span: &Span, window: u64) {
+fn mark(marks: &mut Vec<Checkpoint>, span: &Span, window: u64) {
     let source = crate::id::Incarnation(span.source);
-    let mark = Mark {
+    let mark = Checkpoint {
         source,
         number: span.number,
         moved: window,
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -102,7 +102,7 @@
 
 /// A clear refusal past the bound, instead of a connection that hangs.
 async fn refuse_connection(mut stream: TcpStream) {
-    let refusal = Refusal::new(Kind::TooManyConnections).after(Duration::from_secs(1));
+    let refusal = Refusal::new(Kind::TooManyConnections).retry_after(Duration::from_secs(1));
     let body = refusal.body().to_string();
     let head = format!(
         "HTTP/1.1 503 Service Unavailable\r\ncontent-type: application/json\r\nretry-after: 1\r\n\
@@ -164,7 +164,7 @@
     let count = value.get("count").and_then(serde_json::Value::as_u64);
     count
         .and_then(|count| u32::try_from(count).ok())
-        .filter(|count| (1..=radishstair_core::once::TICKETS_A_CALL).contains(count))
+        .filter(|count| (1..=radishstair_core::at_most_once::MAX_TICKETS_PER_REQUEST).contains(count))
         .ok_or_else(|| Refusal::new(Kind::BadRequest).detail("count: a whole number from 1 to 64"))
 }
 
@@ -206,9 +206,9 @@
         .and_then(|text| text.strip_prefix("Bearer "))
         .ok_or(Kind::MissingKey)?;
     if !handle.trusted.load(std::sync::atomic::Ordering::SeqCst) {
-        return Err(Refusal::new(Kind::Stale).after(Duration::from_secs(5)));
+        return Err(Refusal::new(Kind::Stale).retry_after(Duration::from_secs(5)));
     }
-    view.caller(key.trim())
+    view.authenticate(key.trim())
 }
 
 /// Value of a header as text.
@@ -250,7 +250,7 @@
 /// The answer to a refused call.
 pub fn refused(refusal: &Refusal) -> Response<Body> {
     let mut answer = json(refusal.kind.status(), &refusal.body());
-    if let Some(after) = refusal.after {
+    if let Some(after) = refusal.retry_after {
         let seconds = after.as_millis().div_ceil(1_000) as u64;
         answer
             .headers_mut()
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -9,18 +9,18 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
 use hyper::{Request, Response};
+use radishstair_core::at_most_once::{Completion, Key, Verdict};
 use radishstair_core::claim;
 use radishstair_core::config::Mode;
 use radishstair_core::config::view::{Route, View};
-use radishstair_core::dispatch::{Outcome, Seek, Start};
+use radishstair_core::dispatch::{Assignment, Outcome, Submission};
 use radishstair_core::error::{Kind, Ran, Refusal, Repeat};
 use radishstair_core::id::{Incarnation, digest};
 use radishstair_core::kernel::{Event, Reply};
-use radishstair_core::once::{End, Key, Verdict};
 use radishstair_core::peer::{Forward, Forwarded};
 use radishstair_core::runner;
 use radishstair_core::ticket::Ticket;
-use radishstair_core::usage::Item;
+use radishstair_core::usage::Record;
 use radishstair_wire::http;
 
 use super::{BODY_BYTES, Body, authenticate, header, issue, read, refused};
@@ -134,7 +134,7 @@
     async fn admit(&self, view: &View, request: Request<Incoming>) -> Result<Job, Refusal> {
         let path = request.uri().path().to_string();
         let token = header(&request, http::COME_BACK);
-        let class = view.class_of_path(&path).map(|class| class.name.clone());
+        let class = view.class_for_path(&path).map(|class| class.name.clone());
         let class = class.ok_or_else(|| Refusal::new(Kind::NotFound).detail(&path))?;
         let caller = authenticate(&self.handle, view, &request)?;
         let route = view.route(&caller, &class, None)?;
@@ -167,7 +167,7 @@
     async fn once(&self, job: Job, once: String) -> Result<Response<Body>, Refusal> {
         let customer = job.customer.clone();
         let answer = match self.begin(&job, &once).await {
-            Verdict::Elsewhere(owner) => self.pass_on(&job, once, owner).await,
+            Verdict::Forward(owner) => self.pass_on(&job, once, owner).await,
             verdict => self.settle(&job, verdict).await,
         };
         match answer {
@@ -226,7 +226,7 @@
             Verdict::Run(key) => self.run_once(job, key).await,
             Verdict::Replay(answer) => replay(answer),
             Verdict::Refuse(refusal) => Err(refusal),
-            Verdict::Wait | Verdict::Elsewhere(_) => Err(Kind::InProgress.into()),
+            Verdict::Wait | Verdict::Forward(_) => Err(Kind::InProgress.into()),
         }
     }
 
@@ -235,11 +235,11 @@
         let mut plain = Plain::new(self, job, true);
         match attempts::run(&mut plain).await {
             Ok(answered) => {
-                self.end(key, End::Ran(kept(&answered)));
+                self.end(key, Completion::Ran(kept(&answered)));
                 Ok(self.answered(job, answered))
             }
-            Err(refusal) if plain.tries.ran() => {
-                self.end(key, End::Unknown);
+            Err(refusal) if plain.tries.may_have_run() => {
+                self.end(key, Completion::Unknown);
                 Err(refusal)
             }
             // Not a byte went out.
@@ -248,11 +248,11 @@
     }
 
     fn void(&self, key: Key, refusal: Refusal) -> Refusal {
-        self.end(key, End::Void);
+        self.end(key, Completion::NotRun);
         refusal
     }
 
-    fn end(&self, key: Key, end: End) {
+    fn end(&self, key: Key, end: Completion) {
         self.handle.tell(Event::End { key, end });
     }
 
@@ -287,7 +287,7 @@
         let call = self.handle.call();
         match self.handle.ask(call, Event::Away { call, owner, key }).await {
             Ok(Reply::Verdict(Verdict::Refuse(refusal))) => match refusal.repeat {
-                Repeat::SameKey => refusal.after(Duration::from_secs(2)),
+                Repeat::SameKey => refusal.retry_after(Duration::from_secs(2)),
                 _ => refusal,
             },
             _ => Kind::OwnerAway.into(),
@@ -317,7 +317,7 @@
         if !self.handle.trusted.load(Ordering::SeqCst) {
             return Err(Kind::Stale.into());
         }
-        if view.version >= forward.version && !view.key_stands(&forward.key) {
+        if view.version >= forward.version && !view.is_key_valid(&forward.key) {
             return Err(Kind::KeyWithdrawn.into());
         }
         let caller = view.caller_by_name(&forward.key).ok_or(Kind::OwnerAway)?;
@@ -341,19 +341,19 @@
         })
     }
 
-    async fn seek(&self, job: &Job, avoid: &[runner::Key]) -> Result<Start, Refusal> {
+    async fn seek(&self, job: &Job, avoid: &[runner::Key]) -> Result<Assignment, Refusal> {
         let call = self.handle.call();
-        let seek = Seek {
+        let seek = Submission {
             call,
             tier: job.route.tier.clone(),
             customer: job.customer.clone(),
             key: job.key.clone(),
             class: job.route.class.clone(),
             pools: job.route.pools.clone(),
-            tokens: 1,
-            prefix: None,
+            max_tokens: 1,
+            prefix_hash: None,
             avoid: avoid.to_vec(),
-            promised: job.promised,
+            reserved: job.promised,
         };
         let waiting = Waiting {
             handle: &self.handle,
@@ -365,11 +365,11 @@
     }
 
     /// Runs a call at one runner and gives the runner's place back.
-    async fn run(&self, job: &Job, start: &Start, alone: bool) -> Result<Answered, (Failure, Refusal)> {
+    async fn run(&self, job: &Job, start: &Assignment, alone: bool) -> Result<Answered, (Failure, Refusal)> {
         let running = Running {
             handle: &self.handle,
             call: start.call,
-            outcome: Outcome::Dropped { tokens: 0 },
+            outcome: Outcome::Cancelled { tokens: 0 },
         };
         let id = format!("call-{}-{}", self.handle.me, start.call.0);
         let outgoing = Outgoing {
@@ -380,16 +380,19 @@
         let exchange = tokio::time::timeout(ANSWER, self.exchange(start, &outgoing, alone)).await;
         let result = exchange.unwrap_or_else(|_| Err((Failure::Broken, Kind::UpstreamTimeout.into())));
         running.finish(match &result {
-            Ok(_) => Outcome::Whole { tokens: 1, pace: 0.0 },
-            Err((Failure::NotSent, _)) => Outcome::Refused,
-            Err((Failure::Broken, _)) => Outcome::Broken { tokens: 0 },
+            Ok(_) => Outcome::Completed {
+                tokens: 1,
+                ms_per_token: 0.0,
+            },
+            Err((Failure::NotSent, _)) => Outcome::ConnectionRefused,
+            Err((Failure::Broken, _)) => Outcome::Failed { tokens: 0 },
         });
         result
     }
 
     async fn exchange(
         &self,
-        start: &Start,
+        start: &Assignment,
         outgoing: &Outgoing,
         alone: bool,
     ) -> Result<Answered, (Failure, Refusal)> {
@@ -421,12 +424,12 @@
     }
 
     fn count(&self, job: &Job) {
-        self.handle.tell(Event::Count(Item {
+        self.handle.tell(Event::Count(Record {
             customer: job.customer.clone(),
             class: job.route.class.clone(),
-            prompt: 0,
-            tokens: 0,
-            whole: true,
+            prompt_tokens: 0,
+            output_tokens: 0,
+            completed: true,
         }));
     }
 }
@@ -441,7 +444,7 @@
             ran: Ran::Unknown,
             ..refusal
         },
-        _ => refusal.open(),
+        _ => refusal.outcome_unknown(),
     }
 }
 
--- a/crates/entry/src/front/call/plain.rs
+++ b/crates/entry/src/front/call/plain.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use radishstair_core::dispatch::Start;
+use radishstair_core::dispatch::Assignment;
 use radishstair_core::error::{Kind, Refusal, Repeat};
-use radishstair_core::repeat::{Fault, Rule, Tries};
+use radishstair_core::retry::{Fault, History, Rule};
 use radishstair_core::runner;
 
 use super::{Answered, Caller, Job};
@@ -23,7 +23,7 @@
     job: &'a Job,
     rule: Rule,
     /// What it has tried.
-    pub tries: Tries<runner::Key>,
+    pub tries: History<runner::Key>,
     /// How the last attempt ended.
     last: Refusal,
 }
@@ -32,53 +32,53 @@
     /// A call that has tried nothing yet; `once` if it may run at most once.
     pub fn new(caller: &'a Caller, job: &'a Job, once: bool) -> Self {
         let rule = Rule {
-            once,
-            attempts: TRIES,
-            unreachable: TRIES,
+            at_most_once: once,
+            max_attempts: TRIES,
+            max_unreachable: TRIES,
         };
         Self {
             caller,
             job,
             rule,
-            tries: Tries::default(),
+            tries: History::default(),
             last: Kind::NoRunner.into(),
         }
     }
 }
 
 impl Attempts for Plain<'_> {
-    type Place = Start;
+    type Place = Assignment;
     type Answer = Answered;
     type End = Refusal;
 
-    async fn place(&mut self) -> Result<Start, Refusal> {
+    async fn place(&mut self) -> Result<Assignment, Refusal> {
         let start = self.caller.seek(self.job, self.tries.tried()).await;
-        let start = start.map_err(|refusal| self.tries.refuse(refusal))?;
-        self.tries.choose(start.runner);
+        let start = start.map_err(|refusal| self.tries.adjust_refusal(refusal))?;
+        self.tries.record_choice(start.runner);
         Ok(start)
     }
 
-    async fn attempt(&mut self, start: Start) -> Result<Answered, Stop<Refusal>> {
-        self.tries.send();
-        let answered = self.caller.run(self.job, &start, self.rule.once).await;
+    async fn attempt(&mut self, start: Assignment) -> Result<Answered, Stop<Refusal>> {
+        self.tries.record_send();
+        let answered = self.caller.run(self.job, &start, self.rule.at_most_once).await;
         answered.map_err(|(failure, refusal)| {
             self.last = refusal;
             if failure == Failure::NotSent {
-                self.tries.unsend();
-                self.last.after = Some(NO_RUNNER);
+                self.tries.revert_send();
+                self.last.retry_after = Some(NO_RUNNER);
             }
             Stop::Failed(failure.into())
         })
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        let bar = self.tries.fail(&self.rule, fault, false, || true)?;
+        let bar = self.tries.record_failure(&self.rule, fault, false, || true)?;
         tracing::info!(
             event = "not-repeated",
             class = self.job.route.class,
             reason = bar.name()
         );
-        Some(match self.rule.once {
+        Some(match self.rule.at_most_once {
             true => self.last.clone(),
             // Idempotent: whatever reached a runner may be repeated.
             false => Refusal {
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -8,13 +8,13 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use radishstair_core::config::view::Route;
-use radishstair_core::dispatch::{Outcome, Seek, Start};
+use radishstair_core::dispatch::{Assignment, Outcome, Submission};
 use radishstair_core::error::{Kind, Ran, Refusal};
 use radishstair_core::id::Call;
 use radishstair_core::kernel::{Event, Reply};
-use radishstair_core::repeat::{Fault, Rule, Tries};
+use radishstair_core::retry::{Fault, History, Rule};
 use radishstair_core::runner;
-use radishstair_core::usage::Item;
+use radishstair_core::usage::Record;
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
@@ -73,7 +73,7 @@
     job: &'a Job,
     state: &'a mut Progress,
     pieces: &'a Pieces,
-    tries: Tries<runner::Key>,
+    tries: History<runner::Key>,
     /// How the last attempt ended.
     last: Refusal,
 }
@@ -81,33 +81,33 @@
 impl Chat<'_> {
     /// Generating may be repeated.
     const RULE: Rule = Rule {
-        once: false,
-        attempts: TRIES,
-        unreachable: TRIES,
+        at_most_once: false,
+        max_attempts: TRIES,
+        max_unreachable: TRIES,
     };
 }
 
 impl Attempts for Chat<'_> {
-    type Place = Start;
+    type Place = Assignment;
     type Answer = ();
     type End = End;
 
-    async fn place(&mut self) -> Result<Start, End> {
+    async fn place(&mut self) -> Result<Assignment, End> {
         let start = self.job.seek(self.state, self.pieces, self.tries.tried()).await;
         let start = start.map_err(|end| match end {
             End::CallerGone => End::CallerGone,
-            End::Refused(refusal) => End::Refused(self.tries.refuse(refusal)),
+            End::Refused(refusal) => End::Refused(self.tries.adjust_refusal(refusal)),
         })?;
         if !self.tries.tried().is_empty() && self.state.usage.tokens > 0 {
             let class = self.job.class();
             self.job.handle.metrics.resumed.get_or_create(&class).inc();
         }
-        self.tries.choose(start.runner);
+        self.tries.record_choice(start.runner);
         Ok(start)
     }
 
-    async fn attempt(&mut self, start: Start) -> Result<(), Stop<End>> {
-        self.tries.send();
+    async fn attempt(&mut self, start: Assignment) -> Result<(), Stop<End>> {
+        self.tries.record_send();
         let refusal = match self.job.attempt(&start, self.state, self.pieces).await {
             Ok(()) => return Ok(()),
             Err(End::Refused(refusal)) if refusal.kind != Kind::KeyWithdrawn => refusal,
@@ -115,17 +115,17 @@
         };
         let fault = match refusal.kind {
             Kind::NoRunner => {
-                self.tries.unsend();
+                self.tries.revert_send();
                 Fault::Unreachable
             }
-            _ => Fault::Broken,
+            _ => Fault::MayHaveRun,
         };
         self.last = refusal;
         Err(Stop::Failed(fault))
     }
 
     fn fail(&mut self, fault: Fault) -> Option<End> {
-        let bar = self.tries.fail(&Self::RULE, fault, false, || true)?;
+        let bar = self.tries.record_failure(&Self::RULE, fault, false, || true)?;
         tracing::info!(event = "not-repeated", id = self.job.id, reason = bar.name());
         Some(End::Refused(self.last.clone()))
     }
@@ -142,7 +142,7 @@
             job: &self,
             state: &mut state,
             pieces: &pieces,
-            tries: Tries::default(),
+            tries: History::default(),
             last: Kind::NoRunner.into(),
         };
         let outcome = attempts::run(&mut chat).await;
@@ -156,19 +156,24 @@
     }
 
     /// Asks for a runner.
-    async fn seek(&self, state: &mut Progress, pieces: &Pieces, avoid: &[runner::Key]) -> Result<Start, End> {
+    async fn seek(
+        &self,
+        state: &mut Progress,
+        pieces: &Pieces,
+        avoid: &[runner::Key],
+    ) -> Result<Assignment, End> {
         let call = self.handle.call();
-        let seek = Seek {
+        let seek = Submission {
             call,
             tier: self.route.tier.clone(),
             customer: self.customer.clone(),
             key: self.key.clone(),
             class: self.route.class.clone(),
             pools: self.route.pools.clone(),
-            tokens: self.limit.saturating_sub(state.usage.tokens).max(1),
-            prefix: Some(self.prefix),
+            max_tokens: self.limit.saturating_sub(state.usage.tokens).max(1),
+            prefix_hash: Some(self.prefix),
             avoid: avoid.to_vec(),
-            promised: self.promised,
+            reserved: self.promised,
         };
         let reply = self.handle.ask(call, Event::Seek(seek));
         tokio::select! {
@@ -184,21 +189,21 @@
         }
     }
 
-    async fn attempt(&self, start: &Start, state: &mut Progress, pieces: &Pieces) -> Result<(), End> {
+    async fn attempt(&self, start: &Assignment, state: &mut Progress, pieces: &Pieces) -> Result<(), End> {
         let before = state.usage.tokens;
         let began = Instant::now();
         let attempt = self.stream(start, state, pieces).await;
         let tokens = state.usage.tokens - before;
         let outcome = match &attempt {
-            Ok(()) => Outcome::Whole {
+            Ok(()) => Outcome::Completed {
                 tokens,
-                pace: began.elapsed().as_secs_f64() * 1_000.0 / f64::from(tokens.max(1)),
+                ms_per_token: began.elapsed().as_secs_f64() * 1_000.0 / f64::from(tokens.max(1)),
             },
-            Err(End::CallerGone) => Outcome::Dropped { tokens },
+            Err(End::CallerGone) => Outcome::Cancelled { tokens },
             Err(End::Refused(refusal)) => match refusal.kind {
-                Kind::KeyWithdrawn => Outcome::Dropped { tokens },
-                Kind::NoRunner => Outcome::Refused,
-                _ => Outcome::Broken { tokens },
+                Kind::KeyWithdrawn => Outcome::Cancelled { tokens },
+                Kind::NoRunner => Outcome::ConnectionRefused,
+                _ => Outcome::Failed { tokens },
             },
         };
         self.release(start.call, outcome);
@@ -209,7 +214,7 @@
         self.handle.tell(Event::Release { call, outcome });
     }
 
-    async fn stream(&self, start: &Start, state: &mut Progress, pieces: &Pieces) -> Result<(), End> {
+    async fn stream(&self, start: &Assignment, state: &mut Progress, pieces: &Pieces) -> Result<(), End> {
         let outgoing = Outgoing {
             path: "/v1/chat/completions".into(),
             id: self.id.clone(),
@@ -246,7 +251,7 @@
 
     async fn relay(
         &self,
-        start: &Start,
+        start: &Assignment,
         body: &mut Incoming,
         state: &mut Progress,
         pieces: &Pieces,
@@ -277,7 +282,7 @@
                     return Err(Kind::UpstreamCrossed.into());
                 };
                 finished |= chunk.finished;
-                if !self.handle.view.load().key_stands(&self.key) {
+                if !self.handle.view.load().is_key_valid(&self.key) {
                     return Err(Kind::KeyWithdrawn.into());
                 }
                 state.advance(self, start, &chunk);
@@ -328,12 +333,12 @@
         };
         self.handle.metrics.request(&self.route.class, name);
         if state.usage.tokens > 0 || whole {
-            self.handle.tell(Event::Count(Item {
+            self.handle.tell(Event::Count(Record {
                 customer: self.customer.clone(),
                 class: self.route.class.clone(),
-                prompt: state.usage.prompt,
-                tokens: u64::from(state.usage.tokens),
-                whole,
+                prompt_tokens: state.usage.prompt,
+                output_tokens: u64::from(state.usage.tokens),
+                completed: whole,
             }));
         }
         tracing::info!(
@@ -381,7 +386,7 @@
 }
 
 impl Progress {
-    fn advance(&mut self, job: &Job, start: &Start, chunk: &Chunk) {
+    fn advance(&mut self, job: &Job, start: &Assignment, chunk: &Chunk) {
         if let Some(head) = self.head.take() {
             let _ = head.send(Ok(start.name.clone()));
             let class = Class {
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -11,7 +11,7 @@
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::peer::Card;
-use radishstair_core::promise::Secret;
+use radishstair_core::reservation::Secret;
 use tokio::sync::oneshot;
 
 use crate::clock::Clock;
@@ -89,7 +89,7 @@
 
     /// Signs the promise of a refusal, if it holds one.
     pub fn sign(&self, mut refusal: Refusal, customer: &str, class: &str) -> Refusal {
-        if let Some(after) = refusal.after.filter(|_| refusal.promised) {
+        if let Some(after) = refusal.retry_after.filter(|_| refusal.reserved) {
             refusal.token = Some(self.promises.sign(customer, class, self.clock.now() + after));
         }
         refusal
@@ -97,7 +97,7 @@
 
     /// Whether a request comes back as it was promised.
     pub fn is_promised(&self, token: Option<&str>, customer: &str, class: &str) -> bool {
-        token.is_some_and(|token| self.promises.holds(self.clock.now(), token, customer, class))
+        token.is_some_and(|token| self.promises.verify(self.clock.now(), token, customer, class))
     }
 
     /// Whether the process is to stop.
--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -168,7 +168,7 @@
         version = job.admission.version,
         outcome,
         status,
-        sent = tries.runs.sent(),
+        sent = tries.runs.sends(),
         runner = tries.last,
         after_ms,
         proof_ms,
@@ -183,7 +183,7 @@
     let admission = state
         .admit(now, &ask(parts, head))
         .map_err(|refusal| match refusal.kind {
-            Kind::Stale => refusal.after(come_back(head.timeout, rand::random())),
+            Kind::Stale => refusal.retry_after(come_back(head.timeout, rand::random())),
             _ => refusal,
         })?;
     state.budgets.count(now, &admission.service);
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -9,7 +9,7 @@
 use radishstair_core::proxy::place::Demand;
 use radishstair_core::proxy::route::Mode;
 use radishstair_core::proxy::{Admission, Ask};
-use radishstair_core::repeat::{self, Rule};
+use radishstair_core::retry::{self, Rule};
 use radishstair_core::time::Moment;
 
 use super::adapter::Metadata;
@@ -58,9 +58,9 @@
     /// How often it may be sent.
     pub fn rule(&self) -> Rule {
         Rule {
-            once: self.once(),
-            attempts: self.admission.route.attempts,
-            unreachable: UNREACHABLE,
+            at_most_once: self.once(),
+            max_attempts: self.admission.route.attempts,
+            max_unreachable: UNREACHABLE,
         }
     }
 
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tries {
     /// Runners, and whether it may have run.
-    pub runs: repeat::Tries<Key>,
+    pub runs: retry::History<Key>,
     /// Id of the runner that was chosen last.
     pub last: Option<String>,
     /// Runners that this one was chosen among.
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -11,15 +11,15 @@
 
 use anyhow::Result;
 use argh::FromArgs;
+use radishstair_core::at_most_once::{Answer, Completion, Records, Verdict};
 use radishstair_core::config::change::{self, Entry, Op, Section};
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Customer, Document, Key, Labels, check};
-use radishstair_core::dispatch::{Dispatch, Outcome, Policy, Seek};
+use radishstair_core::dispatch::{Dispatcher, Outcome, Policy, Submission};
 use radishstair_core::id::{Call, Incarnation};
-use radishstair_core::once::{Answer, End, Records, Verdict};
-use radishstair_core::runner::Listed;
+use radishstair_core::runner::Listing;
 use radishstair_core::time::Moment;
-use radishstair_core::usage::{Item, Meter};
+use radishstair_core::usage::{Meter, Record};
 
 /// Print what decisions, heartbeats and state cost at several sizes.
 #[derive(Debug, FromArgs)]
@@ -64,9 +64,9 @@
     Ok(())
 }
 
-fn listed(count: usize, zones: usize) -> Vec<Listed> {
+fn listed(count: usize, zones: usize) -> Vec<Listing> {
     (0..count)
-        .map(|at| Listed {
+        .map(|at| Listing {
             name: format!("runner-{at:04}"),
             pool: format!("pool-{}", at % 9),
             zone: format!("zone-{}", at % zones),
@@ -102,26 +102,26 @@
     document
 }
 
-fn seek(call: u64) -> Seek {
-    Seek {
+fn seek(call: u64) -> Submission {
+    Submission {
         call: Call(call),
         tier: "t1".into(),
         customer: format!("customer-{:04}", call % 50),
         key: format!("customer-{:04}-key-0", call % 50),
         class: "class".into(),
         pools: vec![format!("pool-{}", call % 9)].into(),
-        tokens: 200,
-        prefix: Some(call % 97),
+        max_tokens: 200,
+        prefix_hash: Some(call % 97),
         avoid: Vec::new(),
-        promised: false,
+        reserved: false,
     }
 }
 
 /// Time of one decision: a call that seeks, starts and is released.
 fn decisions(runners: usize, waiting: usize) {
-    let mut dispatch = Dispatch::new("zone-0", 1, Policy::Full);
+    let mut dispatch = Dispatcher::new("zone-0", 1, Policy::Full);
     dispatch.set_view(Arc::new(View::new(1, sample(50))));
-    dispatch.runners.list(listed(runners, 13));
+    dispatch.runners.set_listings(listed(runners, 13));
     let mut now = Moment::at_ms(1_000_000);
     // Calls for a pool of one full runner wait behind everything else.
     let mut full = listed(1, 1);
@@ -130,23 +130,23 @@
     full[0].slots = 1;
     let mut all = listed(runners, 13);
     all.append(&mut full);
-    dispatch.runners.list(all);
+    dispatch.runners.set_listings(all);
     for call in 0..=waiting as u64 {
         let mut stuck = seek(10_000_000 + call);
         stuck.pools = vec!["full".to_string()].into();
         stuck.tier = "t0".into();
         if waiting > 0 {
-            dispatch.seek(now, stuck);
+            dispatch.submit(now, stuck);
         }
     }
     let rounds = 20_000;
     let began = Instant::now();
-    let mut running: VecDeque<(Seek, radishstair_core::runner::Key)> = VecDeque::new();
+    let mut running: VecDeque<(Submission, radishstair_core::runner::Key)> = VecDeque::new();
     let mut started = 0;
     for call in 0..rounds {
         now = now + std::time::Duration::from_micros(200);
         let wanted = seek(call);
-        for decision in dispatch.seek(now, wanted.clone()) {
+        for decision in dispatch.submit(now, wanted.clone()) {
             if let radishstair_core::dispatch::Decision::Start(start) = decision {
                 started += 1;
                 running.push_back((wanted.clone(), start.runner));
@@ -155,24 +155,24 @@
         if running.len() > 120
             && let Some((seek, runner)) = running.pop_front()
         {
-            let outcome = Outcome::Whole {
+            let outcome = Outcome::Completed {
                 tokens: 200,
-                pace: 50.0,
+                ms_per_token: 50.0,
             };
-            dispatch.release(now, &seek, runner, &outcome);
+            dispatch.finish(now, &seek, runner, &outcome);
         }
     }
     let each = began.elapsed().as_secs_f64() * 1e6 / rounds as f64;
     println!("decision runners={runners} waiting={waiting} started={started} us_each={each:.2}");
 }
 
-fn item(at: u64) -> Item {
-    Item {
+fn item(at: u64) -> Record {
+    Record {
         customer: format!("customer-{:04}", at % 650),
         class: format!("class-{}", at % 3),
-        prompt: 200,
-        tokens: 200,
-        whole: true,
+        prompt_tokens: 200,
+        output_tokens: 200,
+        completed: true,
     }
 }
 
@@ -239,7 +239,7 @@
     let rounds = 100_000;
     let began = Instant::now();
     for at in 0..rounds {
-        meter.count(Moment::at_ms(at / 12), &item(at));
+        meter.record(Moment::at_ms(at / 12), &item(at));
     }
     let each = began.elapsed().as_secs_f64() * 1e6 / rounds as f64;
     println!("count rounds={rounds} us_each={each:.2}");
@@ -264,20 +264,20 @@
         };
         if let Verdict::Run(key) = records.begin_ticket(now, Call(call), &ticket, "customer-0001", call) {
             let body = Some("x".repeat(200));
-            records.end(key, End::Ran(Answer { status: 200, body }));
+            records.complete(key, Completion::Ran(Answer { status: 200, body }));
         }
     }
     tell("tickets_with_answers", 20_000);
     let view = View::new(1, sample(650));
     tell("customers_with_three_keys", view.document.customers.len());
-    let mut dispatch = Dispatch::new("zone-0", 1, Policy::Full);
-    dispatch.runners.list(listed(1_700, 13));
+    let mut dispatch = Dispatcher::new("zone-0", 1, Policy::Full);
+    dispatch.runners.set_listings(listed(1_700, 13));
     tell("runners", dispatch.runners.iter().count());
     let mut meter = Meter::new(Incarnation(1), now, std::time::Duration::from_secs(300));
     for at in 0..3_600 {
-        meter.count(Moment::at_ms(1_000_000 + at * 83), &item(at));
+        meter.record(Moment::at_ms(1_000_000 + at * 83), &item(at));
     }
-    tell("usage_chunks", meter.size());
+    tell("usage_chunks", meter.chunk_count());
 }
 
 fn resident() -> usize {
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -11,7 +11,7 @@
 
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Document, Key, Labels};
-use radishstair_core::dispatch::{Decision, Dispatch, Outcome, Policy, Seek, Start};
+use radishstair_core::dispatch::{Assignment, Decision, Dispatcher, Outcome, Policy, Submission};
 use radishstair_core::error::Refusal;
 use radishstair_core::id::Call;
 use radishstair_core::time::Moment;
@@ -64,7 +64,7 @@
     first: Option<u64>,
     done: u32,
     avoid: Vec<radishstair_core::runner::Key>,
-    seek: Option<Seek>,
+    seek: Option<Submission>,
     runner: Option<(usize, radishstair_core::runner::Key)>,
     started: u64,
     span: u64,
@@ -77,7 +77,7 @@
     scenario: &'a Scenario,
     now: u64,
     rng: ChaCha8Rng,
-    hosts: Vec<Dispatch>,
+    hosts: Vec<Dispatcher>,
     zones: Vec<usize>,
     /// What each host last said of its waiting calls, by pool.
     waiting: Vec<Vec<(String, u32)>>,
@@ -116,7 +116,7 @@
         let mut zones = Vec::new();
         for (at, zone) in scenario.zones.iter().enumerate() {
             for _ in 0..scenario.hosts {
-                let mut host = Dispatch::new(zone, rng.random(), policy);
+                let mut host = Dispatcher::new(zone, rng.random(), policy);
                 host.set_view(view.clone());
                 host.set_hosts(scenario.hosts, scenario.zones.len() * scenario.hosts, hosts.len());
                 hosts.push(host);
@@ -236,22 +236,22 @@
         let traffic = &self.scenario.traffic[item.traffic];
         let customer = &traffic.customers[item.customer].0;
         let (tier, pools) = self.measure.route(&traffic.class);
-        let seek = Seek {
+        let seek = Submission {
             call: Call(job as u64),
             tier,
             customer: customer.clone(),
             key: customer.clone(),
             class: traffic.class.clone(),
             pools,
-            tokens: if traffic.tokens == 0.0 { 1 } else { MOST_TOKENS },
-            prefix: (traffic.tokens > 0.0).then_some(item.prefix),
+            max_tokens: if traffic.tokens == 0.0 { 1 } else { MOST_TOKENS },
+            prefix_hash: (traffic.tokens > 0.0).then_some(item.prefix),
             avoid: item.avoid.clone(),
-            promised: item.promised,
+            reserved: item.promised,
         };
         let host = item.host;
         self.jobs[job].seek = Some(seek.clone());
         let now = self.moment();
-        let decisions = self.hosts[host].seek(now, seek);
+        let decisions = self.hosts[host].submit(now, seek);
         self.decide(decisions);
     }
 
@@ -264,7 +264,7 @@
         }
     }
 
-    fn start(&mut self, start: &Start) {
+    fn start(&mut self, start: &Assignment) {
         let job = start.call.0 as usize;
         let Some(engine) = self
             .engines
@@ -277,7 +277,7 @@
         self.jobs[job].priority = start.priority;
         self.jobs[job].tries += 1;
         if self.engines[engine].gone {
-            self.release(job, &Outcome::Refused);
+            self.release(job, &Outcome::ConnectionRefused);
             self.again(job);
             return;
         }
@@ -334,7 +334,13 @@
         let pace = self.jobs[job].span as f64 / MS as f64 / f64::from(made.max(1));
         self.vacate(engine, job);
         self.measure.work(&self.engines[engine].listed.pool, made);
-        self.release(job, &Outcome::Whole { tokens: made, pace });
+        self.release(
+            job,
+            &Outcome::Completed {
+                tokens: made,
+                ms_per_token: pace,
+            },
+        );
         let plain = self.scenario.traffic[self.jobs[job].traffic].tokens == 0.0;
         let first = if plain {
             self.now
@@ -367,7 +373,7 @@
         self.jobs[job].avoid.push(key);
         let host = self.jobs[job].host;
         let now = self.moment();
-        let decisions = self.hosts[host].release(now, &seek, key, outcome);
+        let decisions = self.hosts[host].finish(now, &seek, key, outcome);
         self.decide(decisions);
     }
 
@@ -392,13 +398,13 @@
             return;
         }
         self.measure.refusal(self.now - self.jobs[job].arrived);
-        match refusal.after {
+        match refusal.retry_after {
             Some(after) if !self.jobs[job].came_back => {
                 // One call, counted once, by what became of it in the end.
                 self.jobs[job].over = true;
                 let mut back = self.jobs[job].clone();
                 back.came_back = true;
-                back.promised = refusal.promised;
+                back.promised = refusal.reserved;
                 back.over = false;
                 back.avoid.clear();
                 back.tries = 0;
--- a/crates/load/src/play/faults.rs
+++ b/crates/load/src/play/faults.rs
@@ -2,7 +2,7 @@
 
 use radishstair_core::dispatch::Outcome;
 use radishstair_core::id::Incarnation;
-use radishstair_core::runner::Listed;
+use radishstair_core::runner::Listing;
 
 use super::engine::belongs;
 use super::{Event, MS, Play};
@@ -81,7 +81,7 @@
                 .map(|job| self.jobs[*job].host)
                 .collect();
             for host in seen {
-                self.hosts[host].runners.leave(now, &name);
+                self.hosts[host].runners.mark_leaving(now, &name);
             }
             self.plan(notice * MS, Event::Gone(at));
         }
@@ -103,20 +103,20 @@
             self.jobs[job].done += made.min(left.saturating_sub(1));
             self.measure.work(&pool, made);
             self.measure.broken_by_reclaim += 1;
-            self.release(job, &Outcome::Broken { tokens: made });
+            self.release(job, &Outcome::Failed { tokens: made });
             self.again(job);
         }
         for job in queued {
-            self.release(job, &Outcome::Refused);
+            self.release(job, &Outcome::ConnectionRefused);
             self.again(job);
         }
     }
 
     /// The list, which does not know yet who has just gone.
     pub(super) fn relist(&mut self) {
-        let all: Vec<Listed> = self.engines.iter().map(|engine| engine.listed.clone()).collect();
+        let all: Vec<Listing> = self.engines.iter().map(|engine| engine.listed.clone()).collect();
         for host in &mut self.hosts {
-            host.runners.list(all.clone());
+            host.runners.set_listings(all.clone());
         }
     }
 
@@ -127,23 +127,23 @@
         }
         let now = self.moment();
         let shares = self.hosts[host].runners.shares();
-        let news = self.hosts[host].runners.news(now);
+        let news = self.hosts[host].runners.leaving_names(now);
         self.waiting[host] = self.hosts[host].waiting_by_pool();
         for other in 0..self.hosts.len() {
             if other == host || self.zones[other] != self.zones[host] {
                 continue;
             }
             let runners = &mut self.hosts[other].runners;
-            runners.hear(now, Incarnation(host as u64), &shares);
+            runners.set_peer_shares(now, Incarnation(host as u64), &shares);
             for name in &news {
-                runners.leave(now, name);
+                runners.mark_leaving(now, name);
             }
             let (zones, waiting) = (&self.zones, &self.waiting);
             let mates = (0..zones.len()).filter(|mate| *mate != other && zones[*mate] == zones[other]);
             let pools = mates
                 .flat_map(|mate| &waiting[mate])
                 .map(|(pool, _)| pool.as_str());
-            self.hosts[other].set_waiting_mates(pools);
+            self.hosts[other].set_waiting_peers(pools);
         }
     }
 }
--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -9,10 +9,10 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+use radishstair_core::at_most_once::{Answer, Completion, Records, Verdict};
 use radishstair_core::error::Kind;
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
-use radishstair_core::once::{Answer, End, Records, Verdict};
 use radishstair_core::time::Moment;
 use rand::RngExt;
 
@@ -180,9 +180,9 @@
     let Verdict::Run(key) = first else {
         panic!("{first:?}");
     };
-    records.end(
+    records.complete(
         key,
-        End::Ran(Answer {
+        Completion::Ran(Answer {
             status: 200,
             body: None,
         }),
@@ -195,5 +195,5 @@
             "ran again after {minutes} minutes"
         );
     }
-    assert_eq!(records.size(), (0, 0), "the record itself is gone");
+    assert_eq!(records.counts(), (0, 0), "the record itself is gone");
 }
--- a/tests/suite/duties.rs
+++ b/tests/suite/duties.rs
@@ -1,8 +1,8 @@
 //! One process in charge: orders to upstreams.
 
-use radishstair_core::dispatch::Seek;
+use radishstair_core::dispatch::Submission;
 use radishstair_core::kernel::Event;
-use radishstair_core::runner::Listed;
+use radishstair_core::runner::Listing;
 use rand::RngExt;
 
 use crate::schedule::{all_hold, some_fail};
@@ -22,24 +22,24 @@
             continue;
         }
         let call = world.call();
-        let seek = Seek {
+        let seek = Submission {
             call,
             tier: "t".into(),
             customer: "c".into(),
             key: "k".into(),
             class: "x".into(),
             pools: vec!["p".to_string()].into(),
-            tokens: 10,
-            prefix: None,
+            max_tokens: 10,
+            prefix_hash: None,
             avoid: Vec::new(),
-            promised: false,
+            reserved: false,
         };
         world.handle(at, Event::Seek(seek));
     }
 }
 
 fn list(world: &mut World, at: usize) {
-    let runners = ["a", "b"].map(|zone| Listed {
+    let runners = ["a", "b"].map(|zone| Listing {
         name: format!("r-{zone}"),
         pool: "p".into(),
         zone: zone.into(),
--- a/tests/suite/parse.rs
+++ b/tests/suite/parse.rs
@@ -51,7 +51,7 @@
 fn keys_of_any_text_are_read_or_refused() {
     fn property(text: String) -> bool {
         let now = Moment::at_ms(1_800_000_000_000);
-        let _ = claim::check(now, &text);
+        let _ = claim::validate_key(now, &text);
         Ticket::parse(&text).is_none() && Ticket::parse(&format!("rst1-{text}")).is_none()
     }
     check(property as fn(String) -> bool);
@@ -133,11 +133,13 @@
             ..Default::default()
         };
         let (mut one, mut two) = (Vec::new(), Vec::new());
-        items.iter().for_each(|item| usage::merge(&mut one, &[row(item)]));
+        items
+            .iter()
+            .for_each(|item| usage::merge_rows(&mut one, &[row(item)]));
         items
             .iter()
             .rev()
-            .for_each(|item| usage::merge(&mut two, &[row(item)]));
+            .for_each(|item| usage::merge_rows(&mut two, &[row(item)]));
         one == two
     }
     check(property as fn(Vec<(u8, u16)>) -> bool);
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -6,11 +6,11 @@
 
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Document, check};
-use radishstair_core::dispatch::{Decision, Dispatch, Outcome, Policy, Seek};
+use radishstair_core::dispatch::{Decision, Dispatcher, Outcome, Policy, Submission};
 use radishstair_core::error::Kind;
 use radishstair_core::id::{Call, Incarnation};
-use radishstair_core::promise::Secret;
-use radishstair_core::runner::Listed;
+use radishstair_core::reservation::Secret;
+use radishstair_core::runner::Listing;
 use radishstair_core::time::Moment;
 use radishstair_load::measure::Measure;
 use radishstair_load::play::play;
@@ -129,14 +129,14 @@
   "keys": [{ "name": "k", "customer": "c", "hash": "0000000000000000000000000000000000000000000000000000000000000001" }]
 }"#;
 
-fn dispatch(document: &str, runners: &[(&str, &str, u32)]) -> Dispatch {
+fn dispatch(document: &str, runners: &[(&str, &str, u32)]) -> Dispatcher {
     dispatch_by(Policy::Full, document, runners)
 }
 
-fn dispatch_by(policy: Policy, document: &str, runners: &[(&str, &str, u32)]) -> Dispatch {
-    let mut dispatch = Dispatch::new("a", 7, policy);
+fn dispatch_by(policy: Policy, document: &str, runners: &[(&str, &str, u32)]) -> Dispatcher {
+    let mut dispatch = Dispatcher::new("a", 7, policy);
     dispatch.set_view(view(1, document));
-    let listed = |(pool, zone, slots): &(&str, &str, u32)| Listed {
+    let listed = |(pool, zone, slots): &(&str, &str, u32)| Listing {
         name: format!("{pool}-{zone}"),
         pool: pool.to_string(),
         zone: zone.to_string(),
@@ -144,7 +144,9 @@
         slots: *slots,
         leaving: false,
     };
-    dispatch.runners.list(runners.iter().map(listed).collect());
+    dispatch
+        .runners
+        .set_listings(runners.iter().map(listed).collect());
     dispatch
 }
 
@@ -155,18 +157,18 @@
     ))
 }
 
-fn seek(call: u64, tier: &str, pool: &str) -> Seek {
-    Seek {
+fn seek(call: u64, tier: &str, pool: &str) -> Submission {
+    Submission {
         call: Call(call),
         tier: tier.into(),
         customer: "c".into(),
         key: "k".into(),
         class: "x".into(),
         pools: vec![pool.to_string()].into(),
-        tokens: 100,
-        prefix: None,
+        max_tokens: 100,
+        prefix_hash: None,
         avoid: Vec::new(),
-        promised: false,
+        reserved: false,
     }
 }
 
@@ -185,9 +187,12 @@
     let mut dispatch = dispatch(DOCUMENT, &[("full", "a", 1), ("free", "a", 4)]);
     let now = Moment::at_ms(1_000);
     for call in 0..1_000 {
-        dispatch.seek(now, seek(call, "best", "full"));
+        dispatch.submit(now, seek(call, "best", "full"));
     }
-    assert_eq!(started(&dispatch.seek(now, seek(5_000, "rest", "free"))), [5_000]);
+    assert_eq!(
+        started(&dispatch.submit(now, seek(5_000, "rest", "free"))),
+        [5_000]
+    );
 }
 
 /// A key is withdrawn while its call waits for a runner: it is refused at
@@ -197,11 +202,11 @@
     let mut dispatch = dispatch(DOCUMENT, &[("p", "a", 1)]);
     let now = Moment::at_ms(1_000);
     let first = seek(1, "best", "p");
-    let runner = match &dispatch.seek(now, first.clone())[..] {
+    let runner = match &dispatch.submit(now, first.clone())[..] {
         [Decision::Start(start)] => start.runner,
         other => panic!("{other:?}"),
     };
-    assert!(dispatch.seek(now, seek(2, "best", "p")).is_empty(), "it waits");
+    assert!(dispatch.submit(now, seek(2, "best", "p")).is_empty(), "it waits");
     let withdrawn = DOCUMENT.replace(
         "\"customer\": \"c\",",
         "\"customer\": \"c\", \"withdrawn\": true,",
@@ -211,8 +216,11 @@
         matches!(&refused[..], [Decision::Refuse(Call(2), refusal)] if refusal.kind == Kind::KeyWithdrawn),
         "{refused:?}"
     );
-    let outcome = Outcome::Whole { tokens: 1, pace: 1.0 };
-    assert!(dispatch.release(now, &first, runner, &outcome).is_empty());
+    let outcome = Outcome::Completed {
+        tokens: 1,
+        ms_per_token: 1.0,
+    };
+    assert!(dispatch.finish(now, &first, runner, &outcome).is_empty());
 }
 
 /// A zone's runners of a pool refuse connections one after another while the
@@ -222,10 +230,10 @@
 fn a_reclaimed_zone_is_left_at_once() {
     let mut dispatch = dispatch(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
     let now = Moment::at_ms(1_000);
-    dispatch.runners.leave(now, "p-a");
+    dispatch.runners.mark_leaving(now, "p-a");
     dispatch.set_hosts(1, 2, 0);
     for call in 0..3 {
-        let decisions = dispatch.seek(now + Duration::from_millis(call * 10), seek(call, "best", "p"));
+        let decisions = dispatch.submit(now + Duration::from_millis(call * 10), seek(call, "best", "p"));
         for decision in decisions {
             match decision {
                 Decision::Start(start) => assert_eq!(start.name, "p-b"),
@@ -234,10 +242,10 @@
         }
     }
     let mut peer = self::dispatch(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
-    for name in dispatch.runners.news(now) {
-        peer.runners.leave(now, &name);
+    for name in dispatch.runners.leaving_names(now) {
+        peer.runners.mark_leaving(now, &name);
     }
-    let decisions = peer.seek(now, seek(9, "best", "p"));
+    let decisions = peer.submit(now, seek(9, "best", "p"));
     assert!(
         matches!(&decisions[..], [Decision::Start(start)] if start.name == "p-b"),
         "{decisions:?}"
@@ -252,11 +260,12 @@
     let mut one = dispatch(DOCUMENT, &[("p", "a", 8)]);
     let mut two = dispatch(DOCUMENT, &[("p", "a", 8)]);
     let begun = (0..20)
-        .flat_map(|call| started(&one.seek(now, seek(call, "best", "p"))))
+        .flat_map(|call| started(&one.submit(now, seek(call, "best", "p"))))
         .count();
-    two.runners.hear(now, Incarnation(1), &one.runners.shares());
+    two.runners
+        .set_peer_shares(now, Incarnation(1), &one.runners.shares());
     let more = (0..20)
-        .flat_map(|call| started(&two.seek(now, seek(call, "best", "p"))))
+        .flat_map(|call| started(&two.submit(now, seek(call, "best", "p"))))
         .count();
     assert_eq!((begun, more), (8, 0));
 }
@@ -267,7 +276,7 @@
 fn broken_without_first_hand_news() {
     let now = Moment::at_ms(1_000);
     let mut peer = dispatch(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
-    let decisions = peer.seek(now, seek(9, "best", "p"));
+    let decisions = peer.submit(now, seek(9, "best", "p"));
     assert!(
         matches!(&decisions[..], [Decision::Start(start)] if start.name == "p-a"),
         "without news the runner that leaves is chosen: {decisions:?}"
@@ -282,19 +291,19 @@
     let due = Moment::at_ms(100_000);
     let token = secret.sign("coop", "chat", due);
     let other_host = Secret::derive("token-of-the-suite");
-    assert!(other_host.holds(due, &token, "coop", "chat"));
-    assert!(!other_host.holds(due, &token, "other", "chat"));
-    assert!(!other_host.holds(due, &token, "coop", "posting"));
+    assert!(other_host.verify(due, &token, "coop", "chat"));
+    assert!(!other_host.verify(due, &token, "other", "chat"));
+    assert!(!other_host.verify(due, &token, "coop", "posting"));
     assert!(
-        !other_host.holds(Moment::at_ms(90_000), &token, "coop", "chat"),
+        !other_host.verify(Moment::at_ms(90_000), &token, "coop", "chat"),
         "too early"
     );
     assert!(
-        !other_host.holds(Moment::at_ms(110_000), &token, "coop", "chat"),
+        !other_host.verify(Moment::at_ms(110_000), &token, "coop", "chat"),
         "too late"
     );
-    assert!(!Secret::derive("another").holds(due, &token, "coop", "chat"));
-    assert!(!other_host.holds(due, "100000-00", "coop", "chat"));
+    assert!(!Secret::derive("another").verify(due, &token, "coop", "chat"));
+    assert!(!other_host.verify(due, "100000-00", "coop", "chat"));
 }
 
 /// At a peak that lasts, callers that are told when to come back and do so are
@@ -342,16 +351,16 @@
         host
     });
     let mut starts = [0, 0];
-    let mut running: Vec<(u64, usize, Seek, radishstair_core::runner::Key)> = Vec::new();
+    let mut running: Vec<(u64, usize, Submission, radishstair_core::runner::Key)> = Vec::new();
     for ms in (0..10_000).step_by(50) {
         let now = Moment::at_ms(1_000 + ms);
         if ms % 1_000 == 0 {
             for at in 0..2 {
                 let shares = hosts[at].runners.shares();
-                let waits = hosts[at].queue().any(|(_, length)| length > 0);
+                let waits = hosts[at].waiting_by_tier().any(|(_, length)| length > 0);
                 let mate = &mut hosts[1 - at];
-                mate.runners.hear(now, Incarnation(at as u64), &shares);
-                mate.set_waiting_mates(waits.then_some("p").into_iter());
+                mate.runners.set_peer_shares(now, Incarnation(at as u64), &shares);
+                mate.set_waiting_peers(waits.then_some("p").into_iter());
             }
         }
         let mut decisions: Vec<(usize, Vec<Decision>)> = Vec::new();
@@ -359,17 +368,17 @@
         if ms == 0 || ms == 1_000 {
             let at = usize::from(ms == 1_000);
             for call in ms..ms + 60 {
-                decisions.push((at, hosts[at].seek(now, seek(call, "rest", "p"))));
+                decisions.push((at, hosts[at].submit(now, seek(call, "rest", "p"))));
             }
         }
         let (ended, rest) = running.into_iter().partition(|(until, ..)| *until <= ms);
         running = rest;
         for (_, at, seek, key) in ended {
-            let whole = Outcome::Whole {
+            let whole = Outcome::Completed {
                 tokens: 10,
-                pace: 50.0,
+                ms_per_token: 50.0,
             };
-            decisions.push((at, hosts[at].release(now, &seek, key, &whole)));
+            decisions.push((at, hosts[at].finish(now, &seek, key, &whole)));
         }
         for (at, host) in hosts.iter_mut().enumerate() {
             decisions.push((at, host.tick(now)));
@@ -398,29 +407,32 @@
         ..Default::default()
     };
     let at = |ms: u64| Moment::at_ms(1_000 + ms);
-    dispatch.runners.hear(at(0), Incarnation(9), &mates);
-    assert!(dispatch.seek(at(0), seek(1, "best", "p")).is_empty(), "it waits");
+    dispatch.runners.set_peer_shares(at(0), Incarnation(9), &mates);
+    assert!(
+        dispatch.submit(at(0), seek(1, "best", "p")).is_empty(),
+        "it waits"
+    );
     assert!(
-        dispatch.seek(at(300), seek(2, "best", "p")).is_empty(),
+        dispatch.submit(at(300), seek(2, "best", "p")).is_empty(),
         "too early to tell"
     );
     // All that waits is late by then, and would let new calls go first.
     dispatch.tick(at(1_400));
-    let refused = dispatch.seek(at(1_500), seek(3, "best", "p"));
+    let refused = dispatch.submit(at(1_500), seek(3, "best", "p"));
     let [Decision::Refuse(call, refusal)] = &refused[..] else {
         panic!("{refused:?}");
     };
     assert_eq!((call.0, refusal.kind), (3, Kind::Overloaded));
-    assert!(refusal.promised);
-    let after = refusal.after.expect("a time to come back");
+    assert!(refusal.reserved);
+    let after = refusal.retry_after.expect("a time to come back");
     assert!(after <= Duration::from_secs(5), "{after:?}");
     let mut back = seek(4, "best", "p");
-    back.promised = true;
+    back.reserved = true;
     let now = at(1_500) + after;
-    assert!(dispatch.seek(now, back).is_empty(), "it is taken in");
+    assert!(dispatch.submit(now, back).is_empty(), "it is taken in");
     dispatch
         .runners
-        .hear(now, Incarnation(9), &radishstair_core::peer::Shares::default());
+        .set_peer_shares(now, Incarnation(9), &radishstair_core::peer::Shares::default());
     assert_eq!(started(&dispatch.tick(now))[0], 4, "and goes first");
 }
 
@@ -441,7 +453,7 @@
         // Calls take 100 ms on each of two slots; one comes every 50 ms, and four more
         // at the beginning.
         for more in 0..if step == 0 { 5 } else { 1 } {
-            let decisions = dispatch.seek(now, seek(step * 10 + more, "best", "p"));
+            let decisions = dispatch.submit(now, seek(step * 10 + more, "best", "p"));
             let refuses = |decision: &&Decision| matches!(decision, Decision::Refuse(..));
             refused += decisions.iter().filter(refuses).count();
             running.extend(started_at(&decisions, now));
@@ -451,11 +463,11 @@
             .is_some_and(|(_, _, since)| now.since(*since).as_millis() >= 100)
         {
             let (call, runner, _) = running.pop_front().expect("there is one");
-            let whole = Outcome::Whole {
+            let whole = Outcome::Completed {
                 tokens: 10,
-                pace: 10.0,
+                ms_per_token: 10.0,
             };
-            let decisions = dispatch.release(now, &seek(call, "best", "p"), runner, &whole);
+            let decisions = dispatch.finish(now, &seek(call, "best", "p"), runner, &whole);
             running.extend(started_at(&decisions, now));
         }
     }
--- a/tests/suite/seal.rs
+++ b/tests/suite/seal.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use radishstair_core::seal::{Outcome, Writer};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::target::Targets;
 use radishstair_core::time::Moment;
+use radishstair_core::write_once::{Outcome, Writer};
 
 fn at(ms: u64) -> Moment {
     Moment::at_ms(ms)
@@ -37,9 +37,12 @@
 fn a_lost_write_is_read_back() {
     let mut writer = writing();
     let get = Call::Get { key: "k".into() };
-    assert_eq!(writer.answer(at(1), &Answer::Lost), Some(Outcome::Ask(get)));
+    assert_eq!(
+        writer.on_answer(at(1), &Answer::Lost),
+        Some(Outcome::Pending(get))
+    );
     let found = Answer::Found(vec![entry(4, "9")]);
-    assert_eq!(writer.answer(at(2), &found), Some(Outcome::Stands(9, 4)));
+    assert_eq!(writer.on_answer(at(2), &found), Some(Outcome::Stored(9, 4)));
 }
 
 /// The same with two holders in turn: the second one finds the first one's figure in its
@@ -47,19 +50,22 @@
 #[test]
 fn what_another_wrote_is_adopted() {
     let conflict = Answer::Conflict(entry(3, "5"));
-    assert_eq!(writing().answer(at(1), &conflict), Some(Outcome::Stands(5, 3)));
+    assert_eq!(writing().on_answer(at(1), &conflict), Some(Outcome::Stored(5, 3)));
 }
 
 /// A figure is reported that no successor would find: the write was refused, or nothing
 /// stands after it was lost. Neither counts as written.
 #[test]
 fn what_does_not_stand_is_not_reported() {
-    assert_eq!(writing().answer(at(1), &Answer::Refused), Some(Outcome::Failed));
+    assert_eq!(
+        writing().on_answer(at(1), &Answer::Refused),
+        Some(Outcome::Failed)
+    );
     let mut lost = writing();
-    lost.answer(at(1), &Answer::Lost);
+    lost.on_answer(at(1), &Answer::Lost);
     let none = Answer::Found(vec![entry(0, "")]);
-    assert_eq!(lost.answer(at(2), &none), Some(Outcome::Missing));
-    assert_eq!(lost.answer(at(3), &none), None, "nothing was asked");
+    assert_eq!(lost.on_answer(at(2), &none), Some(Outcome::Missing));
+    assert_eq!(lost.on_answer(at(3), &none), None, "nothing was asked");
 }
 
 /// The duty stands still for ever. The answer to a write is lost on its way inside the
@@ -68,8 +74,8 @@
 fn a_wait_ends() {
     let mut writer = writing();
     let patience = Duration::from_secs(3);
-    assert!(!writer.give_up(at(2_900), patience) && writer.is_busy());
-    assert!(writer.give_up(at(3_000), patience) && !writer.is_busy());
+    assert!(!writer.time_out(at(2_900), patience) && writer.is_busy());
+    assert!(writer.time_out(at(3_000), patience) && !writer.is_busy());
 }
 
 /// Runners are paid for that nobody wants. An order whose answer was lost is carried out
@@ -77,13 +83,16 @@
 #[test]
 fn what_stands_is_said_again() {
     let mut targets = Targets::<&str, ()>::default();
-    targets.of("zone-a").want(3);
+    targets.entry("zone-a").set_desired(3);
     let again = Some(Duration::from_secs(15));
     let due = targets.due(at(100), again).expect("nothing was accepted");
     due.accept(at(100), 3);
     assert!(targets.due(at(15_000), again).is_none());
     assert!(targets.due(at(15_000), None).is_none());
-    assert_eq!(targets.due(at(15_100), again).map(|target| target.want), Some(3));
+    assert_eq!(
+        targets.due(at(15_100), again).map(|target| target.desired),
+        Some(3)
+    );
 }
 
 /// A burst meets too few runners. An order was refused and waits for its pause; a new
@@ -91,10 +100,10 @@
 #[test]
 fn a_new_number_does_not_wait() {
     let mut targets = Targets::<&str, ()>::default();
-    let target = targets.of("zone-a");
-    target.want(3);
-    target.next = at(5_000);
+    let target = targets.entry("zone-a");
+    target.set_desired(3);
+    target.next_attempt = at(5_000);
     assert!(targets.due(at(1_000), None).is_none());
-    targets.of("zone-a").want(4);
-    assert_eq!(targets.due(at(1_000), None).map(|target| target.want), Some(4));
+    targets.entry("zone-a").set_desired(4);
+    assert_eq!(targets.due(at(1_000), None).map(|target| target.desired), Some(4));
 }
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -5,8 +5,8 @@
 
 use radishstair_core::id::Incarnation;
 use radishstair_core::kernel::Event;
-use radishstair_core::usage::Item;
-use radishstair_core::usage::report::Seal;
+use radishstair_core::usage::Record;
+use radishstair_core::usage::report::SealedWindow;
 use rand::RngExt;
 
 use crate::schedule::{all_hold, some_fail};
@@ -41,12 +41,12 @@
         if !world.running(at) || !world.rng.random_bool(0.5) {
             continue;
         }
-        let item = Item {
+        let item = Record {
             customer: "c".into(),
             class: "x".into(),
-            prompt: 1,
-            tokens: 1,
-            whole: true,
+            prompt_tokens: 1,
+            output_tokens: 1,
+            completed: true,
         };
         world.handle(at, Event::Count(item));
         truth
@@ -103,8 +103,8 @@
 }
 
 /// Each seal's figures, provided that nobody reported others.
-fn sealed(world: &World) -> Result<BTreeMap<u64, Seal>, String> {
-    let mut seals: BTreeMap<u64, Seal> = BTreeMap::new();
+fn sealed(world: &World) -> Result<BTreeMap<u64, SealedWindow>, String> {
+    let mut seals: BTreeMap<u64, SealedWindow> = BTreeMap::new();
     let mut windows: BTreeMap<u64, u64> = BTreeMap::new();
     let mut fence = 0;
     for (time, sender, by, seal) in &world.seen.reports {
