--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -116,7 +116,7 @@
         /// A new view is in force (between services).
         View(Arc<View>),
         /// The members changed (between services).
-        Standing(Standing),
+        Membership(Standing),
         /// Heartbeats are about to leave: live zone mates, live peers of all
         /// zones, and this host's place among them (between services).
         Beating { mates: usize, peers: usize, index: usize },
@@ -421,7 +421,7 @@
 fn recipient(event: &Event) -> Recipient {
     match event {
         Event::Tick | Event::Hear(_) | Event::Status(_) | Event::Stop | Event::Drained => Recipient::All,
-        Event::View(_) | Event::Standing(_) | Event::Beating { .. } | Event::Summaries(_) => Recipient::All,
+        Event::View(_) | Event::Membership(_) | Event::Beating { .. } | Event::Summaries(_) => Recipient::All,
         Event::Issue { .. } | Event::Begin { .. } | Event::End { .. } | Event::Away { .. } => {
             Recipient::One(CALLS)
         }
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -86,7 +86,7 @@
                 .collect(),
         };
         for name in [CALLS, CONFIG, ORDERS, USAGE] {
-            out.post(name, Event::Standing(standing.clone()));
+            out.post(name, Event::Membership(standing.clone()));
         }
         out.act(Action::Members(self.members.all()));
     }
--- a/crates/core/src/kernel/orders.rs
+++ b/crates/core/src/kernel/orders.rs
@@ -52,7 +52,7 @@
             }
             Event::Stored(token, answer) => self.stored(now, *token, answer, out),
             Event::Ordered(accepted) => self.planner.ordered(now, *accepted),
-            Event::Standing(standing) => self.candidate = standing.orders,
+            Event::Membership(standing) => self.candidate = standing.orders,
             Event::View(view) => self.view = view.clone(),
             Event::Summaries(summaries) => self.summaries = summaries.clone(),
             Event::Stop => self.lease.stop(now),
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -71,7 +71,7 @@
                 let call = self.reporter.reported(now, *accepted);
                 self.report_request.ask(USAGE, call, out);
             }
-            Event::Standing(standing) => {
+            Event::Membership(standing) => {
                 self.standing = standing.clone();
                 self.meter
                     .retain_keepers(|keeper| standing.live.iter().any(|(live, _)| *live == keeper));
