--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -12,7 +12,7 @@
 use crate::error::Refusal;
 use crate::id::{Call, Incarnation};
 use crate::lease::Grant;
-use crate::member::Me;
+use crate::member::Identity;
 use crate::once::{End, Key, Verdict};
 use crate::order::Order;
 use crate::peer::{Card, Collect, Collected, Heartbeat, Pull, Pulled, ZoneSummary};
@@ -294,7 +294,7 @@
     /// What a kernel is built from.
     pub struct Setup {
         /// This process.
-        pub me: Me,
+        pub me: Identity,
         /// Addresses of some peers.
         pub seeds: Vec<String>,
         /// Secret of this incarnation.
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -3,7 +3,7 @@
 use super::{Action, CALLS, CONFIG, DISPATCH, Event, ORDERS, Outbox, Standing, Status, USAGE, ZoneStatus};
 use crate::config::service::WATCHERS;
 use crate::id::Incarnation;
-use crate::member::{Me, Members};
+use crate::member::{Identity, Members};
 use crate::peer::Heartbeat;
 use crate::time::Moment;
 use crate::usage::KEEPERS;
@@ -21,7 +21,7 @@
 
 impl Service {
     /// Knows itself and some addresses.
-    pub fn new(me: &Me, seeds: Vec<String>) -> Self {
+    pub fn new(me: &Identity, seeds: Vec<String>) -> Self {
         Self {
             members: Members::new(me, seeds),
             me: me.incarnation,
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -28,7 +28,7 @@
 
 plain! {
     /// What this process says of itself.
-    pub struct Me {
+    pub struct Identity {
         /// Incarnation.
         pub incarnation: Incarnation,
         /// Host name.
@@ -73,7 +73,7 @@
 
 impl Members {
     /// Knows itself and some addresses to begin with.
-    pub fn new(me: &Me, seeds: Vec<String>) -> Self {
+    pub fn new(me: &Identity, seeds: Vec<String>) -> Self {
         let card = Card {
             incarnation: me.incarnation.0,
             host: me.host.clone(),
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -9,7 +9,7 @@
 use crossbeam::channel::{Receiver, bounded, unbounded};
 use radishstair_core::id::Incarnation;
 use radishstair_core::kernel::{Event, Kernel, Setup};
-use radishstair_core::member::Me;
+use radishstair_core::member::Identity;
 use radishstair_core::promise::Secret;
 use radishstair_wire::platform::Client;
 use tokio::runtime::Runtime;
@@ -104,7 +104,7 @@
     peers: mpsc::UnboundedSender<Message>,
 ) -> Result<Receiver<()>> {
     let setup = Setup {
-        me: Me {
+        me: Identity {
             incarnation: handle.me,
             host: settings.host.clone(),
             zone: settings.zone.clone(),
--- a/crates/load/src/cmd/slopes/fleet.rs
+++ b/crates/load/src/cmd/slopes/fleet.rs
@@ -8,7 +8,7 @@
 use radishstair_core::dispatch::Policy;
 use radishstair_core::id::{Call as Question, Incarnation};
 use radishstair_core::kernel::{Action, Event, Kernel, Reply, Setup};
-use radishstair_core::member::Me;
+use radishstair_core::member::Identity;
 use radishstair_core::peer::Heartbeat;
 use radishstair_core::store::{Answer, Call, Entry as Value};
 use radishstair_core::time::Moment;
@@ -112,7 +112,7 @@
     fn new(total: usize, zones: usize) -> Self {
         let kernel = |at: usize| {
             let setup = Setup {
-                me: Me {
+                me: Identity {
                     incarnation: Incarnation(at as u64 + 1),
                     host: format!("entry-{at:03}"),
                     zone: format!("zone-{}", at % zones),
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -14,7 +14,7 @@
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::kernel::{Action, Event, Kernel, Reply, Setup, Status};
 use radishstair_core::lease::Grant;
-use radishstair_core::member::Me;
+use radishstair_core::member::Identity;
 use radishstair_core::order::Order;
 use radishstair_core::store::{Call as Ask, Token};
 use radishstair_core::time::Moment;
@@ -268,7 +268,7 @@
         let mut secret = [0; 32];
         self.rng.fill_bytes(&mut secret);
         let setup = Setup {
-            me: Me {
+            me: Identity {
                 incarnation: me,
                 host: format!("host-{at}"),
                 zone: self.nodes[at].zone.clone(),
