--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -15,7 +15,7 @@
 use crate::member::Identity;
 use crate::once::{End, Key, Verdict};
 use crate::order::Order;
-use crate::peer::{Card, Collect, Collected, Heartbeat, Pull, Pulled, ZoneSummary};
+use crate::peer::{Collect, Collected, Heartbeat, Member, Pull, Pulled, ZoneSummary};
 use crate::runner::Listed;
 use crate::store::{self, Token};
 use crate::ticket::Secret;
@@ -203,7 +203,7 @@
         /// Publish the view to the traffic threads.
         View(Arc<View>),
         /// Publish the members to the traffic threads.
-        Members(Vec<Card>),
+        Members(Vec<Member>),
         /// Whether keys may be trusted, for the traffic threads.
         Trusted(bool),
         /// Send a report if the grant still covers the moment of sending.
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::id::{self, Incarnation};
-use crate::peer::{Card, Demand, Heartbeat, ZoneSummary};
+use crate::peer::{Demand, Heartbeat, Member, ZoneSummary};
 use crate::time::Moment;
 
 /// How often to beat.
@@ -44,7 +44,7 @@
     /// One other process.
     pub struct Peer {
         /// Its card.
-        pub card: Card,
+        pub card: Member,
         /// Configuration version that it said was in force.
         pub version: u64,
         /// When it last beat here.
@@ -58,7 +58,7 @@
 /// The members as this process sees them.
 #[derive(Debug)]
 pub struct Members {
-    me: Card,
+    me: Member,
     seeds: Vec<String>,
     peers: Vec<Peer>,
     summaries: Vec<ZoneSummary>,
@@ -74,7 +74,7 @@
 impl Members {
     /// Knows itself and some addresses to begin with.
     pub fn new(me: &Identity, seeds: Vec<String>) -> Self {
-        let card = Card {
+        let card = Member {
             incarnation: me.incarnation.0,
             host: me.host.clone(),
             zone: me.zone.clone(),
@@ -139,10 +139,10 @@
         self.peers[at].differs = if same { 0 } else { self.peers[at].differs + 1 };
         if same {
             // Whoever knows the same cards knows this one.
-            beat.card = Card {
+            beat.card = Member {
                 incarnation: self.me.incarnation,
                 epoch: self.me.epoch,
-                ..Card::default()
+                ..Member::default()
             };
         } else {
             let all = self.peers[at].differs > PATIENCE;
@@ -180,7 +180,7 @@
             return false;
         };
         let known = &self.peers[at].card;
-        beat.card = Card {
+        beat.card = Member {
             epoch: beat.card.epoch,
             gone: beat.card.gone,
             ..known.clone()
@@ -241,7 +241,7 @@
     }
 
     /// All cards, gone ones too.
-    pub fn all(&self) -> Vec<Card> {
+    pub fn all(&self) -> Vec<Member> {
         self.peers.iter().map(|peer| peer.card.clone()).collect()
     }
 
@@ -338,7 +338,7 @@
                 .count()
     }
 
-    fn learn(&mut self, now: Moment, card: &Card) {
+    fn learn(&mut self, now: Moment, card: &Member) {
         if card.incarnation == self.me.incarnation {
             // Believed dead after a pause: refute it, or nobody would beat
             // here and this host would fall behind.
@@ -385,7 +385,7 @@
 
     /// A new process at a known address: its former self is gone. Only a
     /// direct heartbeat counts, as hearsay may be about the former self.
-    fn replace_former(&mut self, now: Moment, card: &Card) {
+    fn replace_former(&mut self, now: Moment, card: &Member) {
         if card.gone {
             return;
         }
@@ -439,7 +439,7 @@
         }
     }
 
-    fn cards(&self, now: Moment, all: bool) -> Vec<Card> {
+    fn cards(&self, now: Moment, all: bool) -> Vec<Member> {
         self.peers
             .iter()
             .filter(|peer| all || now.since(peer.changed) < RECENT)
@@ -458,7 +458,7 @@
     }
 
     fn compute_digest(&self) -> u64 {
-        let of = |card: &Card| id::weight(card.incarnation, card.epoch * 2 + u64::from(card.gone));
+        let of = |card: &Member| id::weight(card.incarnation, card.epoch * 2 + u64::from(card.gone));
         self.peers
             .iter()
             .map(|peer| of(&peer.card))
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -17,7 +17,7 @@
 message! {
     /// Who a process is; a higher epoch replaces a lower one. A heartbeat to a
     /// peer that knows the sender leaves the texts out.
-    pub struct Card {
+    pub struct Member {
         /// Incarnation.
         #[prost(fixed64, tag = "1")]
         pub incarnation: u64,
@@ -113,7 +113,7 @@
     pub struct Heartbeat {
         /// The sender.
         #[prost(message, required, tag = "1")]
-        pub card: Card,
+        pub card: Member,
         /// Configuration version in force at the sender.
         #[prost(uint64, tag = "2")]
         pub version: u64,
@@ -126,7 +126,7 @@
         pub digest: u64,
         /// Cards that the receiver seems to lack.
         #[prost(message, repeated, tag = "5")]
-        pub cards: Vec<Card>,
+        pub cards: Vec<Member>,
         /// What the zones have in force.
         #[prost(message, repeated, tag = "6")]
         pub summaries: Vec<ZoneSummary>,
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -10,7 +10,7 @@
 use radishstair_core::error::Refusal;
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
-use radishstair_core::peer::Card;
+use radishstair_core::peer::Member;
 use radishstair_core::promise::Secret;
 use tokio::sync::oneshot;
 
@@ -37,7 +37,7 @@
     /// Configuration in force.
     pub view: ArcSwap<View>,
     /// Peers, gone ones too.
-    pub members: ArcSwap<Vec<Card>>,
+    pub members: ArcSwap<Vec<Member>>,
     /// Whether keys may be trusted.
     pub trusted: AtomicBool,
     /// Whether the process is to stop.
