--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use crate::error::{Kind, Refusal};
-use crate::id::{Call, Incarnation};
+use crate::id::{CallId, Incarnation};
 use crate::once::{Claim, Records, Verdict};
 use crate::store::{Answer, Call as Ask, Entry, Token};
 use crate::time::Moment;
@@ -49,7 +49,7 @@
 
 plain! {
     struct Pending {
-        call: Call,
+        call: CallId,
         claim: Claim,
         place: String,
         customer: String,
@@ -128,7 +128,7 @@
         now: Moment,
         records: &mut Records,
         token: Token,
-        (call, key): (Call, &str),
+        (call, key): (CallId, &str),
         (customer, body): (&str, u64),
     ) -> Result<Verdict, Ask> {
         let claim = digest(customer, key);
@@ -171,7 +171,7 @@
         token: Token,
         again: Token,
         answer: &Answer,
-    ) -> Option<(Call, Result<Verdict, Ask>)> {
+    ) -> Option<(CallId, Result<Verdict, Ask>)> {
         let at = self.pending.iter().position(|(have, _)| *have == token)?;
         let (_, mut pending) = self.pending.swap_remove(at);
         let call = pending.call;
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -15,7 +15,7 @@
 use crate::config::view::View;
 use crate::config::{Pool, Tier};
 use crate::error::{Kind, Refusal};
-use crate::id::Call;
+use crate::id::CallId;
 use crate::runner::{Key, Runners};
 use crate::time::Moment;
 
@@ -38,7 +38,7 @@
     /// A call that seeks a runner.
     pub struct Seek {
         /// The call.
-        pub call: Call,
+        pub call: CallId,
         /// Tier by name, so that it outlives a change of the view.
         pub tier: String,
         /// Customer by name.
@@ -84,7 +84,7 @@
     /// Where a call starts.
     pub struct Start {
         /// The call.
-        pub call: Call,
+        pub call: CallId,
         /// The runner, to be named at the end.
         pub runner: Key,
         /// Its name.
@@ -102,7 +102,7 @@
         /// It starts.
         Start(Start),
         /// It is refused.
-        Refuse(Call, Refusal),
+        Refuse(CallId, Refusal),
     }
 }
 
@@ -279,7 +279,7 @@
     }
 
     /// A waiting call whose caller went away.
-    pub fn forget(&mut self, call: Call) {
+    pub fn forget(&mut self, call: CallId) {
         for lane in &mut self.lanes {
             if lane.remove(call) {
                 self.waiting -= 1;
--- a/crates/core/src/dispatch/lane.rs
+++ b/crates/core/src/dispatch/lane.rs
@@ -10,7 +10,7 @@
 
 use super::choose::Rivals;
 use super::{Policy, Seek};
-use crate::id::Call;
+use crate::id::CallId;
 use crate::runner::Key;
 use crate::time::Moment;
 
@@ -320,7 +320,7 @@
     }
 
     /// Takes a call out by name.
-    pub fn remove(&mut self, call: Call) -> bool {
+    pub fn remove(&mut self, call: CallId) -> bool {
         if let Some(at) = self.back.iter().position(|item| item.seek.call == call) {
             self.back.remove(at);
             self.len -= 1;
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -30,7 +30,7 @@
 
 key! {
     /// One call in this process, new for each attempt at a decision.
-    Call(u64)
+    CallId(u64)
 }
 
 /// Weight of `node` for `item`: the highest weights own the item
--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -10,7 +10,7 @@
 use crate::config::view::View;
 use crate::dispatch::{Outcome, Policy, Seek, Start};
 use crate::error::Refusal;
-use crate::id::{Call, Incarnation};
+use crate::id::{CallId, Incarnation};
 use crate::lease::Grant;
 use crate::member::Identity;
 use crate::once::{End, Key, Verdict};
@@ -74,19 +74,19 @@
         /// A heartbeat came.
         Hear(Heartbeat),
         /// A customer wants tickets.
-        Issue { call: Call, customer: String, count: u32 },
+        Issue { call: CallId, customer: String, count: u32 },
         /// A copy of an at-most-once call came.
-        Begin { call: Call, customer: String, once: String, body: u64 },
+        Begin { call: CallId, customer: String, once: String, body: u64 },
         /// An at-most-once call ended.
         End { key: Key, end: End },
         /// The owner of a call cannot be reached.
-        Away { call: Call, owner: Incarnation, key: Key },
+        Away { call: CallId, owner: Incarnation, key: Key },
         /// A call seeks a runner.
         Seek(Seek),
         /// A call on a runner ended.
-        Release { call: Call, outcome: Outcome },
+        Release { call: CallId, outcome: Outcome },
         /// A waiting call's caller went away.
-        Forget(Call),
+        Forget(CallId),
         /// A runner said, or showed, that it leaves.
         Leaving(String),
         /// Something to count.
@@ -94,11 +94,11 @@
         /// The store answered.
         Stored(Token, store::Answer),
         /// A peer asks for configuration.
-        Pull(Call, Pull),
+        Pull(CallId, Pull),
         /// A peer sent configuration.
         Pulled(Pulled),
         /// The reporter asks for usage.
-        Collect(Call, Collect),
+        Collect(CallId, Collect),
         /// A host sent its usage.
         Collected(Collected),
         /// The platform's list.
@@ -108,7 +108,7 @@
         /// The ordering interface answered.
         Ordered(bool),
         /// An operator or test asks how things stand.
-        Status(Call),
+        Status(CallId),
         /// The process is to stop.
         Stop,
         /// No call is left in this process.
@@ -199,7 +199,7 @@
         /// Ask an address for usage.
         Collect(String, Collect),
         /// Answer a call.
-        Reply(Call, Box<Reply>),
+        Reply(CallId, Box<Reply>),
         /// Publish the view to the traffic threads.
         View(Arc<View>),
         /// Publish the members to the traffic threads.
@@ -231,7 +231,7 @@
     }
 
     /// Answers a call.
-    pub fn reply(&mut self, call: Call, reply: Reply) {
+    pub fn reply(&mut self, call: CallId, reply: Reply) {
         self.act(Action::Reply(call, Box::new(reply)));
     }
 
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -3,7 +3,7 @@
 use super::{Action, CALLS, Event, Outbox, Reply, Status};
 use crate::claim::{self, Registry};
 use crate::error::{Kind, Refusal};
-use crate::id::{Call, Incarnation};
+use crate::id::{CallId, Incarnation};
 use crate::once::{Key, Records, Tombstone, Verdict};
 use crate::peer::Heartbeat;
 use crate::store::{self, Answer, Token};
@@ -21,8 +21,8 @@
     me: Incarnation,
     records: Records,
     registry: Registry,
-    waiting: Vec<(Call, Key)>,
-    inquiries: Vec<(Token, Call, Key)>,
+    waiting: Vec<(CallId, Key)>,
+    inquiries: Vec<(Token, CallId, Key)>,
     tombstone: Option<Token>,
     drained: bool,
     done: bool,
@@ -88,7 +88,7 @@
     fn begin(
         &mut self,
         now: Moment,
-        call: Call,
+        call: CallId,
         once: &str,
         (customer, body): (&str, u64),
         out: &mut Outbox,
@@ -142,7 +142,7 @@
         }
     }
 
-    fn tell(&mut self, call: Call, verdict: Verdict, out: &mut Outbox) {
+    fn tell(&mut self, call: CallId, verdict: Verdict, out: &mut Outbox) {
         if verdict != Verdict::Wait {
             out.reply(call, Reply::Verdict(verdict));
         }
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -6,7 +6,7 @@
 
 use super::{Event, MEMBER, Outbox, Reply, Status};
 use crate::dispatch::{Decision, Dispatch, Outcome, Policy, Seek};
-use crate::id::{Call, Incarnation};
+use crate::id::{CallId, Incarnation};
 use crate::peer::{Demand, Heartbeat, Shares, Waiting, ZoneSummary};
 use crate::runner::Key;
 use crate::time::Moment;
@@ -32,8 +32,8 @@
 pub struct Service {
     inner: Dispatch,
     zone: String,
-    seeking: Vec<(Call, Seek)>,
-    running: Vec<(Call, Seek, Key)>,
+    seeking: Vec<(CallId, Seek)>,
+    running: Vec<(CallId, Seek, Key)>,
     /// Sorted by mate.
     queued: Vec<Queued>,
     shares: Option<Shares>,
@@ -121,7 +121,7 @@
 
     /// The caller may go away in the moment in which its call starts; the
     /// runner's place is given back then, or it would stay taken for ever.
-    fn forget(&mut self, now: Moment, call: Call) -> Vec<Decision> {
+    fn forget(&mut self, now: Moment, call: CallId) -> Vec<Decision> {
         self.take_seeking(call);
         self.inner.forget(call);
         match self.take_running(call) {
@@ -167,12 +167,12 @@
         self.inner.set_waiting_mates(pools);
     }
 
-    fn take_seeking(&mut self, call: Call) -> Option<Seek> {
+    fn take_seeking(&mut self, call: CallId) -> Option<Seek> {
         let at = self.seeking.binary_search_by(|(have, _)| have.cmp(&call)).ok()?;
         Some(self.seeking.remove(at).1)
     }
 
-    fn take_running(&mut self, call: Call) -> Option<(Call, Seek, Key)> {
+    fn take_running(&mut self, call: CallId) -> Option<(CallId, Seek, Key)> {
         let at = self.running.binary_search_by(|(have, ..)| have.cmp(&call)).ok()?;
         Some(self.running.remove(at))
     }
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -5,7 +5,7 @@
 use super::request::Request;
 use super::{Action, Event, Outbox, Reply, Standing, Status, USAGE};
 use crate::config::Settings;
-use crate::id::{Call, Incarnation};
+use crate::id::{CallId, Incarnation};
 use crate::lease::Lease;
 use crate::peer::{Collect, Collected, Heartbeat};
 use crate::store::{Answer, Token};
@@ -132,7 +132,7 @@
         }
     }
 
-    fn gather(&mut self, now: Moment, call: Option<Call>, ask: &Collect, out: &mut Outbox) {
+    fn gather(&mut self, now: Moment, call: Option<CallId>, ask: &Collect, out: &mut Outbox) {
         let ask = Collect {
             zone: false,
             ..ask.clone()
--- a/crates/core/src/once.rs
+++ b/crates/core/src/once.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::error::{Kind, Refusal};
-use crate::id::{Call, Incarnation};
+use crate::id::{CallId, Incarnation};
 use crate::ticket::{Secret, Ticket};
 use crate::time::Moment;
 
@@ -86,7 +86,7 @@
 plain! {
     enum State {
         Open,
-        Running { body: u64, waiting: Vec<Call> },
+        Running { body: u64, waiting: Vec<CallId> },
         Ended { body: u64, end: End },
     }
 }
@@ -156,7 +156,7 @@
     pub fn begin_ticket(
         &mut self,
         now: Moment,
-        call: Call,
+        call: CallId,
         ticket: &Ticket,
         customer: &str,
         body: u64,
@@ -180,7 +180,7 @@
     pub fn begin_claim(
         &mut self,
         now: Moment,
-        call: Call,
+        call: CallId,
         claim: Claim,
         customer: &str,
         body: u64,
@@ -220,7 +220,7 @@
     }
 
     /// Records an end; returns the copies that wait for it.
-    pub fn end(&mut self, key: Key, mut end: End) -> Vec<Call> {
+    pub fn end(&mut self, key: Key, mut end: End) -> Vec<CallId> {
         if let End::Ran(answer) = &mut end
             && answer.body.as_ref().is_some_and(|body| body.len() > ANSWER_BYTES)
         {
@@ -363,7 +363,7 @@
     }
 }
 
-fn begin(now: Moment, call: Call, key: Key, record: &mut Record, body: u64, sealed: bool) -> Verdict {
+fn begin(now: Moment, call: CallId, key: Key, record: &mut Record, body: u64, sealed: bool) -> Verdict {
     match &mut record.state {
         State::Open
             if sealed || (matches!(key, Key::Ticket(_)) && now.since(record.issued) >= TICKET_LIFE) =>
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::merge;
-use crate::id::Call;
+use crate::id::CallId;
 use crate::peer::{Bundle, Collected, Part, Span, Sum};
 use crate::time::Moment;
 
@@ -19,14 +19,14 @@
 #[derive(Debug)]
 pub struct Gather {
     /// Whom to answer; the reporter of this process when absent.
-    pub call: Option<Call>,
+    pub call: Option<CallId>,
     since: Moment,
     sums: Vec<Sum>,
 }
 
 impl Gather {
     /// Begins with what this host knows itself.
-    pub fn new(now: Moment, call: Option<Call>, own: Collected) -> Self {
+    pub fn new(now: Moment, call: Option<CallId>, own: Collected) -> Self {
         let mut gather = Self {
             call,
             since: now,
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
-use radishstair_core::id::Call;
+use radishstair_core::id::CallId;
 use radishstair_core::kernel::{Action, Event, Kernel, Reply};
 use radishstair_core::once::{End, Verdict};
 use radishstair_core::store;
@@ -36,7 +36,7 @@
     handle: Arc<Handle>,
     kernel: Kernel,
     lines: Lines,
-    waiters: Vec<(Call, oneshot::Sender<Reply>)>,
+    waiters: Vec<(CallId, oneshot::Sender<Reply>)>,
 }
 
 impl Control {
@@ -144,7 +144,7 @@
         let _ = self.lines.peers.send(message);
     }
 
-    fn reply(&mut self, call: Call, reply: Reply) {
+    fn reply(&mut self, call: CallId, reply: Reply) {
         if let Ok(at) = self.waiters.binary_search_by(|(have, _)| have.cmp(&call)) {
             let (_, sender) = self.waiters.remove(at);
             if let Err(unheard) = sender.send(reply) {
--- a/crates/entry/src/front/call/guard.rs
+++ b/crates/entry/src/front/call/guard.rs
@@ -4,7 +4,7 @@
 
 use radishstair_core::dispatch::{Outcome, Seek, Start};
 use radishstair_core::error::{Kind, Refusal};
-use radishstair_core::id::Call;
+use radishstair_core::id::CallId;
 use radishstair_core::kernel::{Event, Reply};
 
 use crate::handle::Handle;
@@ -12,7 +12,7 @@
 /// A call that waits for a runner; forgotten when its caller goes away.
 pub struct Waiting<'a> {
     pub handle: &'a Arc<Handle>,
-    pub call: Call,
+    pub call: CallId,
     pub done: bool,
 }
 
@@ -39,7 +39,7 @@
 /// A call on a runner; its place is given back however it ends.
 pub struct Running<'a> {
     pub handle: &'a Arc<Handle>,
-    pub call: Call,
+    pub call: CallId,
     pub outcome: Outcome,
 }
 
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -10,7 +10,7 @@
 use radishstair_core::config::view::Route;
 use radishstair_core::dispatch::{Outcome, Seek, Start};
 use radishstair_core::error::{Kind, Ran, Refusal};
-use radishstair_core::id::Call;
+use radishstair_core::id::CallId;
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::repeat::{Fault, Rule, Tries};
 use radishstair_core::runner;
@@ -205,7 +205,7 @@
         attempt
     }
 
-    fn release(&self, call: Call, outcome: Outcome) {
+    fn release(&self, call: CallId, outcome: Outcome) {
         self.handle.tell(Event::Release { call, outcome });
     }
 
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -8,7 +8,7 @@
 use crossbeam::channel::Sender;
 use radishstair_core::config::view::View;
 use radishstair_core::error::Refusal;
-use radishstair_core::id::{Call, Incarnation};
+use radishstair_core::id::{CallId, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::peer::Member;
 use radishstair_core::promise::Secret;
@@ -24,7 +24,7 @@
     /// The event.
     pub event: Event,
     /// The call it makes and where the reply goes.
-    pub waiter: Option<(Call, oneshot::Sender<Reply>)>,
+    pub waiter: Option<(CallId, oneshot::Sender<Reply>)>,
 }
 
 /// Shared by all threads of the process.
@@ -70,8 +70,8 @@
     }
 
     /// A new call.
-    pub fn call(&self) -> Call {
-        Call(self.next.fetch_add(1, Ordering::Relaxed))
+    pub fn call(&self) -> CallId {
+        CallId(self.next.fetch_add(1, Ordering::Relaxed))
     }
 
     /// Tells the control thread something.
@@ -80,7 +80,7 @@
     }
 
     /// Asks the control thread; `None` when it has ended.
-    pub fn ask(&self, call: Call, event: Event) -> oneshot::Receiver<Reply> {
+    pub fn ask(&self, call: CallId, event: Event) -> oneshot::Receiver<Reply> {
         let (sender, receiver) = oneshot::channel();
         let waiter = Some((call, sender));
         let _ = self.inputs.send(Input { event, waiter });
--- a/crates/entry/src/peers/serve.rs
+++ b/crates/entry/src/peers/serve.rs
@@ -27,7 +27,7 @@
 }
 
 impl Service {
-    async fn ask(&self, make: impl FnOnce(radishstair_core::id::Call) -> Event) -> Result<Reply, Status> {
+    async fn ask(&self, make: impl FnOnce(radishstair_core::id::CallId) -> Event) -> Result<Reply, Status> {
         let call = self.handle.call();
         let reply = self.handle.ask(call, make(call));
         reply.await.map_err(|_| Status::unavailable("stopping"))
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -15,7 +15,7 @@
 use radishstair_core::config::view::View;
 use radishstair_core::config::{Customer, Document, Key, Labels, check};
 use radishstair_core::dispatch::{Dispatch, Outcome, Policy, Seek};
-use radishstair_core::id::{Call, Incarnation};
+use radishstair_core::id::{CallId, Incarnation};
 use radishstair_core::once::{Answer, End, Records, Verdict};
 use radishstair_core::runner::Listed;
 use radishstair_core::time::Moment;
@@ -104,7 +104,7 @@
 
 fn seek(call: u64) -> Seek {
     Seek {
-        call: Call(call),
+        call: CallId(call),
         tier: "t1".into(),
         customer: format!("customer-{:04}", call % 50),
         key: format!("customer-{:04}-key-0", call % 50),
@@ -222,7 +222,7 @@
             continue;
         };
         if let Some(ticket) = radishstair_core::ticket::Ticket::parse(&tickets[0]) {
-            records.begin_ticket(now, Call(call), &ticket, "customer-0001", call);
+            records.begin_ticket(now, CallId(call), &ticket, "customer-0001", call);
         }
     }
     let each = began.elapsed().as_secs_f64() * 1e6 / rounds as f64;
@@ -262,7 +262,7 @@
         let Some(ticket) = radishstair_core::ticket::Ticket::parse(&tickets[0]) else {
             continue;
         };
-        if let Verdict::Run(key) = records.begin_ticket(now, Call(call), &ticket, "customer-0001", call) {
+        if let Verdict::Run(key) = records.begin_ticket(now, CallId(call), &ticket, "customer-0001", call) {
             let body = Some("x".repeat(200));
             records.end(key, End::Ran(Answer { status: 200, body }));
         }
--- a/crates/load/src/cmd/slopes/fleet.rs
+++ b/crates/load/src/cmd/slopes/fleet.rs
@@ -6,7 +6,7 @@
 use prost::Message;
 use radishstair_core::config::change::{self, Entry, Op, Section, Snapshot};
 use radishstair_core::dispatch::Policy;
-use radishstair_core::id::{Call as Question, Incarnation};
+use radishstair_core::id::{CallId as Question, Incarnation};
 use radishstair_core::kernel::{Action, Event, Kernel, Reply, Setup};
 use radishstair_core::member::Identity;
 use radishstair_core::peer::Heartbeat;
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -13,7 +13,7 @@
 use radishstair_core::config::{Document, Key, Labels};
 use radishstair_core::dispatch::{Decision, Dispatch, Outcome, Policy, Seek, Start};
 use radishstair_core::error::Refusal;
-use radishstair_core::id::Call;
+use radishstair_core::id::CallId;
 use radishstair_core::time::Moment;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -237,7 +237,7 @@
         let customer = &traffic.customers[item.customer].0;
         let (tier, pools) = self.measure.route(&traffic.class);
         let seek = Seek {
-            call: Call(job as u64),
+            call: CallId(job as u64),
             tier,
             customer: customer.clone(),
             key: customer.clone(),
--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use radishstair_core::error::Kind;
-use radishstair_core::id::{Call, Incarnation};
+use radishstair_core::id::{CallId, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::once::{Answer, End, Records, Verdict};
 use radishstair_core::time::Moment;
@@ -176,7 +176,7 @@
 fn a_forgotten_answer_does_not_open_its_key() {
     let mut records = Records::new(Incarnation(1), [1; 32]);
     let claim = radishstair_core::claim::digest(CUSTOMER, "own-key");
-    let first = records.begin_claim(Moment::at_ms(1_000), Call(1), claim, CUSTOMER, 7);
+    let first = records.begin_claim(Moment::at_ms(1_000), CallId(1), claim, CUSTOMER, 7);
     let Verdict::Run(key) = first else {
         panic!("{first:?}");
     };
@@ -189,7 +189,7 @@
     );
     for minutes in [20, 60, 24 * 60] {
         let later = Moment::at_ms(minutes * 60 * SECOND);
-        let again = records.begin_claim(later, Call(2), claim, CUSTOMER, 7);
+        let again = records.begin_claim(later, CallId(2), claim, CUSTOMER, 7);
         assert!(
             !matches!(again, Verdict::Run(_)),
             "ran again after {minutes} minutes"
--- a/tests/suite/calls/postings.rs
+++ b/tests/suite/calls/postings.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use radishstair_core::error::{Kind, Ran, Refusal, Repeat};
-use radishstair_core::id::{Call, Incarnation};
+use radishstair_core::id::{CallId, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::once::{Answer, End, Key, Verdict};
 use radishstair_core::ticket::Ticket;
@@ -37,7 +37,7 @@
     Begin {
         posting: usize,
         key: String,
-        origin: Option<(usize, Call)>,
+        origin: Option<(usize, CallId)>,
     },
     Away {
         posting: usize,
@@ -54,7 +54,7 @@
     stages: BTreeMap<u64, Stage>,
     /// Runs at the ledger service: posting and key.
     pub runs: Vec<(usize, String)>,
-    running: BTreeMap<u64, (usize, u64, Key, usize, String, Call)>,
+    running: BTreeMap<u64, (usize, u64, Key, usize, String, CallId)>,
     history: Vec<(u64, Option<ClaimOp>, u64)>,
     wakes: u64,
 }
@@ -161,7 +161,14 @@
         }
     }
 
-    fn begin(&mut self, node: usize, after: u64, posting: usize, key: String, origin: Option<(usize, Call)>) {
+    fn begin(
+        &mut self,
+        node: usize,
+        after: u64,
+        posting: usize,
+        key: String,
+        origin: Option<(usize, CallId)>,
+    ) {
         let call = self.stage(Stage::Begin {
             posting,
             key: key.clone(),
@@ -177,7 +184,7 @@
         self.world.give(node, after, event);
     }
 
-    fn stage(&mut self, stage: Stage) -> Call {
+    fn stage(&mut self, stage: Stage) -> CallId {
         let call = self.world.call();
         self.stages.insert(call.0, stage);
         call
@@ -200,7 +207,7 @@
         }
     }
 
-    fn reply(&mut self, node: usize, call: Call, stage: Stage, reply: Reply) {
+    fn reply(&mut self, node: usize, call: CallId, stage: Stage, reply: Reply) {
         match (stage, reply) {
             (Stage::Ticket { posting }, Reply::Tickets(Ok(tickets)))
                 if self.postings[posting].key.is_none() =>
@@ -222,10 +229,10 @@
     fn verdict(
         &mut self,
         node: usize,
-        call: Call,
+        call: CallId,
         posting: usize,
         key: String,
-        origin: Option<(usize, Call)>,
+        origin: Option<(usize, CallId)>,
         verdict: Verdict,
     ) {
         let verdict = match (self.world.broken, verdict) {
@@ -246,7 +253,7 @@
 
     /// The owner runs it: the runner takes a while, may refuse the connection,
     /// and the answer may break off after the run.
-    fn start(&mut self, node: usize, call: Call, posting: usize, key: String, record: Key) {
+    fn start(&mut self, node: usize, call: CallId, posting: usize, key: String, record: Key) {
         self.wakes += 1;
         let wake = u64::MAX - self.wakes;
         let serial = self.world.nodes[node].me.0;
@@ -256,7 +263,7 @@
         self.world.wake(delay, wake);
     }
 
-    fn finish(&mut self, (node, me, record, posting, key, call): (usize, u64, Key, usize, String, Call)) {
+    fn finish(&mut self, (node, me, record, posting, key, call): (usize, u64, Key, usize, String, CallId)) {
         if self.world.nodes[node].me != Incarnation(me) || self.world.nodes[node].kernel.is_none() {
             return;
         }
@@ -300,14 +307,14 @@
         posting: usize,
         key: String,
         owner: Incarnation,
-        origin: Option<(usize, Call)>,
+        origin: Option<(usize, CallId)>,
     ) {
         let to = (0..self.world.nodes.len())
             .find(|at| self.world.nodes[*at].me == owner && self.world.nodes[*at].kernel.is_some());
         match to.filter(|to| self.world.linked(node, *to) && origin.is_none()) {
             Some(to) => {
                 let delay = self.world.rng.random_range(0..50);
-                self.begin(to, delay, posting, key, Some((node, Call(0))));
+                self.begin(to, delay, posting, key, Some((node, CallId(0))));
             }
             None => {
                 let record = match Ticket::parse(&key) {
@@ -364,7 +371,7 @@
     }
 
     /// Records claims of one key for the linearizability checker.
-    fn note(&mut self, node: usize, call: Call, key: &str, verdict: Option<&Verdict>) {
+    fn note(&mut self, node: usize, call: CallId, key: &str, verdict: Option<&Verdict>) {
         if key != "own-0-1" {
             return;
         }
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -8,7 +8,7 @@
 use radishstair_core::config::{Document, check};
 use radishstair_core::dispatch::{Decision, Dispatch, Outcome, Policy, Seek};
 use radishstair_core::error::Kind;
-use radishstair_core::id::{Call, Incarnation};
+use radishstair_core::id::{CallId, Incarnation};
 use radishstair_core::promise::Secret;
 use radishstair_core::runner::Listed;
 use radishstair_core::time::Moment;
@@ -157,7 +157,7 @@
 
 fn seek(call: u64, tier: &str, pool: &str) -> Seek {
     Seek {
-        call: Call(call),
+        call: CallId(call),
         tier: tier.into(),
         customer: "c".into(),
         key: "k".into(),
@@ -208,7 +208,7 @@
     );
     let refused = dispatch.set_view(view(2, &withdrawn));
     assert!(
-        matches!(&refused[..], [Decision::Refuse(Call(2), refusal)] if refusal.kind == Kind::KeyWithdrawn),
+        matches!(&refused[..], [Decision::Refuse(CallId(2), refusal)] if refusal.kind == Kind::KeyWithdrawn),
         "{refused:?}"
     );
     let outcome = Outcome::Whole { tokens: 1, pace: 1.0 };
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use radishstair_core::dispatch::Policy;
-use radishstair_core::id::{Call, Incarnation};
+use radishstair_core::id::{CallId, Incarnation};
 use radishstair_core::kernel::{Action, Event, Kernel, Reply, Setup, Status};
 use radishstair_core::lease::Grant;
 use radishstair_core::member::Identity;
@@ -120,7 +120,7 @@
     /// Node.
     pub node: usize,
     /// Call.
-    pub call: Call,
+    pub call: CallId,
     /// Reply.
     pub reply: Reply,
 }
@@ -323,9 +323,9 @@
     }
 
     /// A new call id.
-    pub fn call(&mut self) -> Call {
+    pub fn call(&mut self) -> CallId {
         self.calls += 1;
-        Call(self.calls)
+        CallId(self.calls)
     }
 
     /// Asks for a word at a time from now.
@@ -461,13 +461,13 @@
     }
 
     /// A call that stands for a question between nodes.
-    fn internal(&mut self, at: usize) -> Call {
+    fn internal(&mut self, at: usize) -> CallId {
         let call = self.call();
         self.internal.insert(call.0, (at, self.nodes[at].serial));
         call
     }
 
-    fn reply(&mut self, at: usize, call: Call, reply: Reply) {
+    fn reply(&mut self, at: usize, call: CallId, reply: Reply) {
         let Some((asker, serial)) = self.internal.get(&call.0).copied() else {
             self.replies.push(Replied {
                 node: at,
