--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -72,27 +72,27 @@
         /// Time passes.
         Tick,
         /// A heartbeat came.
-        Hear(Heartbeat),
+        Heartbeat(Heartbeat),
         /// A customer wants tickets.
-        Issue { call: CallId, customer: String, count: u32 },
+        IssueTickets { call: CallId, customer: String, count: u32 },
         /// A copy of an at-most-once call came.
-        Begin { call: CallId, customer: String, once: String, body: u64 },
+        BeginCall { call: CallId, customer: String, once: String, body: u64 },
         /// An at-most-once call ended.
-        End { key: Key, end: End },
+        EndCall { key: Key, end: End },
         /// The owner of a call cannot be reached.
-        Away { call: CallId, owner: Incarnation, key: Key },
+        OwnerUnreachable { call: CallId, owner: Incarnation, key: Key },
         /// A call seeks a runner.
-        Seek(Seek),
+        Acquire(Seek),
         /// A call on a runner ended.
         Release { call: CallId, outcome: Outcome },
         /// A waiting call's caller went away.
-        Forget(CallId),
+        Cancel(CallId),
         /// A runner said, or showed, that it leaves.
-        Leaving(String),
+        RunnerLeaving(String),
         /// Something to count.
-        Count(Item),
+        RecordUsage(Item),
         /// The store answered.
-        Stored(Token, store::Answer),
+        StoreAnswer(Token, store::Answer),
         /// A peer asks for configuration.
         Pull(CallId, Pull),
         /// A peer sent configuration.
@@ -102,11 +102,11 @@
         /// A host sent its usage.
         Collected(Collected),
         /// The platform's list.
-        Listed(Vec<Listed>),
+        RunnerList(Vec<Listed>),
         /// The usage interface answered.
-        Reported(bool),
+        ReportAnswer(bool),
         /// The ordering interface answered.
-        Ordered(bool),
+        OrderAnswer(bool),
         /// An operator or test asks how things stand.
         Status(CallId),
         /// The process is to stop.
@@ -119,9 +119,9 @@
         Membership(Standing),
         /// Heartbeats are about to leave: live zone mates, live peers of all
         /// zones, and this host's place among them (between services).
-        Beating { mates: usize, peers: usize, index: usize },
+        HeartbeatRound { mates: usize, peers: usize, index: usize },
         /// Zones' words and own demand (between services).
-        Summaries(Vec<ZoneSummary>),
+        ZoneSummaries(Vec<ZoneSummary>),
     }
 }
 
@@ -205,7 +205,7 @@
         /// Publish the members to the traffic threads.
         Members(Vec<Member>),
         /// Whether keys may be trusted, for the traffic threads.
-        Trusted(bool),
+        KeysTrusted(bool),
         /// Send a report if the grant still covers the moment of sending.
         Report(Grant, Seal),
         /// Send an order if the grant still covers the moment of sending.
@@ -369,7 +369,7 @@
     /// Fills in what a heartbeat left out because this host knows it; false
     /// when it does not, and the sender will find that out by the digests.
     fn complete(&mut self, event: &mut Event) -> bool {
-        let Event::Hear(beat) = event else {
+        let Event::Heartbeat(beat) = event else {
             return true;
         };
         self.services.iter().any(|(_, service)| match service {
@@ -420,19 +420,24 @@
 
 fn recipient(event: &Event) -> Recipient {
     match event {
-        Event::Tick | Event::Hear(_) | Event::Status(_) | Event::Stop | Event::Drained => Recipient::All,
-        Event::View(_) | Event::Membership(_) | Event::Beating { .. } | Event::Summaries(_) => Recipient::All,
-        Event::Issue { .. } | Event::Begin { .. } | Event::End { .. } | Event::Away { .. } => {
-            Recipient::One(CALLS)
+        Event::Tick | Event::Heartbeat(_) | Event::Status(_) | Event::Stop | Event::Drained => Recipient::All,
+        Event::View(_) | Event::Membership(_) | Event::HeartbeatRound { .. } | Event::ZoneSummaries(_) => {
+            Recipient::All
         }
-        Event::Seek(_) | Event::Release { .. } | Event::Forget(_) | Event::Leaving(_) | Event::Listed(_) => {
-            Recipient::One(DISPATCH)
-        }
-        Event::Count(_) | Event::Collect(..) | Event::Collected(_) | Event::Reported(_) => {
+        Event::IssueTickets { .. }
+        | Event::BeginCall { .. }
+        | Event::EndCall { .. }
+        | Event::OwnerUnreachable { .. } => Recipient::One(CALLS),
+        Event::Acquire(_)
+        | Event::Release { .. }
+        | Event::Cancel(_)
+        | Event::RunnerLeaving(_)
+        | Event::RunnerList(_) => Recipient::One(DISPATCH),
+        Event::RecordUsage(_) | Event::Collect(..) | Event::Collected(_) | Event::ReportAnswer(_) => {
             Recipient::One(USAGE)
         }
         Event::Pull(..) | Event::Pulled(_) => Recipient::One(CONFIG),
-        Event::Ordered(_) => Recipient::One(ORDERS),
-        Event::Stored(token, _) => Recipient::Asker(*token),
+        Event::OrderAnswer(_) => Recipient::One(ORDERS),
+        Event::StoreAnswer(token, _) => Recipient::Asker(*token),
     }
 }
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -46,7 +46,7 @@
     /// Takes an event in.
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
         match event {
-            Event::Issue {
+            Event::IssueTickets {
                 call,
                 customer,
                 count,
@@ -54,27 +54,27 @@
                 let tickets = self.records.issue(now, customer, *count);
                 out.reply(*call, Reply::Tickets(tickets));
             }
-            Event::Begin {
+            Event::BeginCall {
                 call,
                 customer,
                 once,
                 body,
             } => self.begin(now, *call, once, (customer, *body), out),
-            Event::End { key, end } => {
+            Event::EndCall { key, end } => {
                 for call in self.records.end(*key, end.clone()) {
                     let verdict = self.records.outcome(*key);
                     self.waiting.retain(|(have, _)| *have != call);
                     out.reply(call, Reply::Verdict(verdict));
                 }
             }
-            Event::Away { call, owner, key } => {
+            Event::OwnerUnreachable { call, owner, key } => {
                 let ask = store::Call::Get {
                     key: format!("{TOMBSTONE}{owner}"),
                 };
                 let token = out.store(CALLS, ask);
                 self.inquiries.push((token, *call, *key));
             }
-            Event::Stored(token, answer) => self.stored(now, *token, answer, out),
+            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
             Event::Stop => self.records.close(),
             Event::Drained => self.write_tombstone(out),
             _ => {}
--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -26,12 +26,12 @@
                 self.tell_trust(now, out);
             }
             Event::Membership(standing) => self.watcher = standing.watcher,
-            Event::Stored(token, answer) if self.request.takes(*token) => {
+            Event::StoreAnswer(token, answer) if self.request.takes(*token) => {
                 let (_, call) = self.inner.answer(now, answer);
                 self.request.ask(CONFIG, call, out);
                 self.publish(now, out);
             }
-            Event::Hear(beat) => {
+            Event::Heartbeat(beat) => {
                 if let Some(pull) = self.inner.hear(now, beat) {
                     out.act(Action::Pull(beat.card.address.clone(), pull));
                 }
@@ -62,7 +62,7 @@
         let trusted = self.inner.trusted(now);
         if self.trusted != Some(trusted) {
             self.trusted = Some(trusted);
-            out.act(Action::Trusted(trusted));
+            out.act(Action::KeysTrusted(trusted));
         }
     }
 
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -67,18 +67,18 @@
                 self.summarize(now, out);
                 self.inner.tick(now)
             }
-            Event::Beating { mates, peers, index } => {
+            Event::HeartbeatRound { mates, peers, index } => {
                 self.mates = *mates;
                 self.inner.set_hosts(mates + 1, peers + 1, *index);
                 self.refresh_shares(now);
                 Vec::new()
             }
             Event::View(view) => self.inner.set_view(view.clone()),
-            Event::Listed(listed) => {
+            Event::RunnerList(listed) => {
                 self.inner.runners.list(listed.clone());
                 self.inner.tick(now)
             }
-            Event::Seek(seek) => {
+            Event::Acquire(seek) => {
                 let at = self.seeking.partition_point(|(call, _)| *call < seek.call);
                 self.seeking.insert(at, (seek.call, seek.clone()));
                 self.inner.seek(now, seek.clone())
@@ -87,12 +87,12 @@
                 Some((_, seek, runner)) => self.inner.release(now, &seek, runner, outcome),
                 None => Vec::new(),
             },
-            Event::Forget(call) => self.forget(now, *call),
-            Event::Leaving(name) => {
+            Event::Cancel(call) => self.forget(now, *call),
+            Event::RunnerLeaving(name) => {
                 self.inner.runners.leave(now, name);
                 Vec::new()
             }
-            Event::Hear(beat) => {
+            Event::Heartbeat(beat) => {
                 self.hear(now, beat);
                 Vec::new()
             }
@@ -188,7 +188,7 @@
             demands: self.demands(now),
             ..ZoneSummary::default()
         };
-        out.post(MEMBER, Event::Summaries(vec![summary]));
+        out.post(MEMBER, Event::ZoneSummaries(vec![summary]));
     }
 
     fn demands(&self, now: Moment) -> Vec<Demand> {
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -33,9 +33,9 @@
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
         match event {
             Event::Tick => self.beat(now, out),
-            Event::Hear(beat) => self.members.hear(now, beat),
+            Event::Heartbeat(beat) => self.members.hear(now, beat),
             Event::View(view) => self.members.set_version(view.version),
-            Event::Summaries(own) => {
+            Event::ZoneSummaries(own) => {
                 if let Some(summary) = own.first() {
                     self.members.set_demands(summary.demands.clone());
                 }
@@ -54,13 +54,13 @@
         for address in due {
             out.act(Action::Heartbeat(address, Box::default()));
         }
-        let beating = Event::Beating {
+        let beating = Event::HeartbeatRound {
             mates: self.members.mates().count(),
             peers: self.members.live().count(),
             index: self.members.index(),
         };
         out.post(DISPATCH, beating);
-        out.post(ORDERS, Event::Summaries(self.members.summaries().to_vec()));
+        out.post(ORDERS, Event::ZoneSummaries(self.members.summaries().to_vec()));
     }
 
     fn publish(&mut self, out: &mut Outbox) {
--- a/crates/core/src/kernel/orders.rs
+++ b/crates/core/src/kernel/orders.rs
@@ -50,11 +50,11 @@
                     .tick(now, grant, &self.view.document.pools, &self.summaries);
                 self.act(step, out);
             }
-            Event::Stored(token, answer) => self.stored(now, *token, answer, out),
-            Event::Ordered(accepted) => self.planner.ordered(now, *accepted),
+            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
+            Event::OrderAnswer(accepted) => self.planner.ordered(now, *accepted),
             Event::Membership(standing) => self.candidate = standing.orders,
             Event::View(view) => self.view = view.clone(),
-            Event::Summaries(summaries) => self.summaries = summaries.clone(),
+            Event::ZoneSummaries(summaries) => self.summaries = summaries.clone(),
             Event::Stop => self.lease.stop(now),
             _ => {}
         }
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -58,16 +58,16 @@
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Count(item) => self.meter.count(now, item),
-            Event::Hear(beat) => self.hear(beat),
+            Event::RecordUsage(item) => self.meter.count(now, item),
+            Event::Heartbeat(beat) => self.hear(beat),
             Event::Collect(call, ask) if ask.zone => self.gather(now, Some(*call), ask, out),
             Event::Collect(call, ask) => {
                 let answer = self.sum_up(now, ask);
                 out.reply(*call, Reply::Collected(answer));
             }
             Event::Collected(answer) => self.collected(answer),
-            Event::Stored(token, answer) => self.stored(now, *token, answer, out),
-            Event::Reported(accepted) => {
+            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
+            Event::ReportAnswer(accepted) => {
                 let call = self.reporter.reported(now, *accepted);
                 self.report_request.ask(USAGE, call, out);
             }
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -111,7 +111,7 @@
                 );
                 self.handle.members.store(Arc::new(cards));
             }
-            Action::Trusted(trusted) => {
+            Action::KeysTrusted(trusted) => {
                 tracing::info!(event = "keys-trusted", trusted);
                 self.handle.metrics.trusted.set(i64::from(trusted));
                 self.handle
@@ -134,8 +134,8 @@
     /// and a call that nobody runs would count as running, for ever.
     fn take_back(&mut self, unheard: Reply) {
         match unheard {
-            Reply::Start(start) => self.step(Event::Forget(start.call)),
-            Reply::Verdict(Verdict::Run(key)) => self.step(Event::End { key, end: End::Void }),
+            Reply::Start(start) => self.step(Event::Cancel(start.call)),
+            Reply::Verdict(Verdict::Run(key)) => self.step(Event::EndCall { key, end: End::Void }),
             _ => {}
         }
     }
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -178,7 +178,7 @@
     match handle
         .ask(
             call,
-            Event::Issue {
+            Event::IssueTickets {
                 call,
                 customer,
                 count,
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -194,7 +194,7 @@
     /// Asks this process's records what to do with a copy.
     async fn begin(&self, job: &Job, once: &str) -> Verdict {
         let call = self.handle.call();
-        let event = Event::Begin {
+        let event = Event::BeginCall {
             call,
             customer: job.customer.clone(),
             once: once.to_string(),
@@ -253,7 +253,7 @@
     }
 
     fn end(&self, key: Key, end: End) {
-        self.handle.tell(Event::End { key, end });
+        self.handle.tell(Event::EndCall { key, end });
     }
 
     /// Passes a call on to the one process that may run it.
@@ -285,7 +285,11 @@
     /// What may be said when the owner cannot be asked.
     async fn away(&self, owner: Incarnation, key: Key) -> Refusal {
         let call = self.handle.call();
-        match self.handle.ask(call, Event::Away { call, owner, key }).await {
+        match self
+            .handle
+            .ask(call, Event::OwnerUnreachable { call, owner, key })
+            .await
+        {
             Ok(Reply::Verdict(Verdict::Refuse(refusal))) => match refusal.repeat {
                 Repeat::SameKey => refusal.after(Duration::from_secs(2)),
                 _ => refusal,
@@ -400,7 +404,7 @@
             Failure::Broken => (failure, Kind::UpstreamBroken.into()),
         })?;
         if leaves(&answer) {
-            self.handle.tell(Event::Leaving(start.name.clone()));
+            self.handle.tell(Event::RunnerLeaving(start.name.clone()));
         }
         let named = answer
             .headers()
@@ -421,7 +425,7 @@
     }
 
     fn count(&self, job: &Job) {
-        self.handle.tell(Event::Count(Item {
+        self.handle.tell(Event::RecordUsage(Item {
             customer: job.customer.clone(),
             class: job.route.class.clone(),
             prompt: 0,
--- a/crates/entry/src/front/call/guard.rs
+++ b/crates/entry/src/front/call/guard.rs
@@ -18,7 +18,7 @@
 
 impl Waiting<'_> {
     pub async fn wait(mut self, seek: Seek) -> Result<Start, Refusal> {
-        let reply = self.handle.ask(self.call, Event::Seek(seek)).await;
+        let reply = self.handle.ask(self.call, Event::Acquire(seek)).await;
         self.done = true;
         match reply {
             Ok(Reply::Start(start)) => Ok(start),
@@ -31,7 +31,7 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if !self.done {
-            self.handle.tell(Event::Forget(self.call));
+            self.handle.tell(Event::Cancel(self.call));
         }
     }
 }
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -170,7 +170,7 @@
             avoid: avoid.to_vec(),
             promised: self.promised,
         };
-        let reply = self.handle.ask(call, Event::Seek(seek));
+        let reply = self.handle.ask(call, Event::Acquire(seek));
         tokio::select! {
             reply = reply => match reply {
                 Ok(Reply::Start(start)) => Ok(start),
@@ -178,7 +178,7 @@
                 _ => Err(Kind::Stopping.into()),
             },
             () = state.caller_gone(pieces) => {
-                self.handle.tell(Event::Forget(call));
+                self.handle.tell(Event::Cancel(call));
                 Err(End::CallerGone)
             }
         }
@@ -225,7 +225,7 @@
             Failure::Broken => Kind::UpstreamBroken,
         })?;
         if leaves(&answer) {
-            self.handle.tell(Event::Leaving(start.name.clone()));
+            self.handle.tell(Event::RunnerLeaving(start.name.clone()));
         }
         if answer.status() != hyper::StatusCode::OK {
             let detail = format!("the runner answered {}", answer.status());
@@ -328,7 +328,7 @@
         };
         self.handle.metrics.request(&self.route.class, name);
         if state.usage.tokens > 0 || whole {
-            self.handle.tell(Event::Count(Item {
+            self.handle.tell(Event::RecordUsage(Item {
                 customer: self.customer.clone(),
                 class: self.route.class.clone(),
                 prompt: state.usage.prompt,
--- a/crates/entry/src/peers/serve.rs
+++ b/crates/entry/src/peers/serve.rs
@@ -37,7 +37,7 @@
 #[tonic::async_trait]
 impl Peer for Service {
     async fn heartbeat(&self, request: Request<Heartbeat>) -> Result<Response<Ack>, Status> {
-        self.handle.tell(Event::Hear(request.into_inner()));
+        self.handle.tell(Event::Heartbeat(request.into_inner()));
         Ok(Response::new(Ack {}))
     }
 
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -60,10 +60,10 @@
             Job::Store(token, call) => {
                 let answer = client.store(&call, leases.of(client, &call));
                 count(handle, call.name(), answer.outcome());
-                Event::Stored(token, answer)
+                Event::StoreAnswer(token, answer)
             }
-            Job::Report(grant, seal) => Event::Reported(report(handle, client, grant, seal)),
-            Job::Order(grant, order) => Event::Ordered(send_order(handle, client, grant, &order)),
+            Job::Report(grant, seal) => Event::ReportAnswer(report(handle, client, grant, seal)),
+            Job::Order(grant, order) => Event::OrderAnswer(send_order(handle, client, grant, &order)),
         };
         handle.tell(event);
     }
@@ -134,7 +134,7 @@
                 revision = hosts.revision;
                 if let Some(runners) = hosts.runners {
                     tracing::info!(event = "runners-listed", revision, runners = runners.len());
-                    handle.tell(Event::Listed(runners));
+                    handle.tell(Event::RunnerList(runners));
                 }
                 count(handle, "hosts", "ok");
             }
--- a/crates/load/src/cmd/slopes/fleet.rs
+++ b/crates/load/src/cmd/slopes/fleet.rs
@@ -62,14 +62,14 @@
         .filter(|item| item.zone == "zone-0")
         .collect();
     for kernel in &mut fleet.kernels {
-        kernel.handle(start, Event::Listed(mine.clone()));
+        kernel.handle(start, Event::RunnerList(mine.clone()));
     }
     for step in 0..(SETTLE + seconds) * 1_000 / STEP {
         fleet.counting = step >= SETTLE * 1_000 / STEP;
         let now = Moment::at_ms(1_000_000 + step * STEP);
         if step == SETTLE * 1_000 / STEP {
             // A busy host has ten seconds of twelve requests a second in flight.
-            (0..120).for_each(|call| drop(fleet.kernels[0].handle(now, Event::Seek(seek(call)))));
+            (0..120).for_each(|call| drop(fleet.kernels[0].handle(now, Event::Acquire(seek(call)))));
         }
         if fleet.counting && step % 10 == 0 {
             for kernel in 0..fleet.kernels.len() as u64 {
@@ -77,7 +77,7 @@
                 (0..12).for_each(|at| {
                     drop(
                         fleet.kernels[kernel as usize]
-                            .handle(now, Event::Count(item(step * 7 + kernel * 12 + at))),
+                            .handle(now, Event::RecordUsage(item(step * 7 + kernel * 12 + at))),
                     )
                 });
             }
@@ -212,7 +212,7 @@
                 self.send(&address, Event::Collect(call, ask));
             }
             Action::Reply(call, reply) => self.reply(at, call, *reply),
-            Action::Report(..) => self.mail.push((at, Event::Reported(true))),
+            Action::Report(..) => self.mail.push((at, Event::ReportAnswer(true))),
             _ => {}
         }
     }
@@ -222,7 +222,7 @@
         if self.counting {
             self.costs[at].beats += 1;
         }
-        self.send(address, Event::Hear(beat));
+        self.send(address, Event::Heartbeat(beat));
     }
 
     fn send(&mut self, address: &str, event: Event) {
@@ -287,13 +287,13 @@
             }
             Call::Range { prefix, after, limit } => self.scan(prefix, after, *limit as usize),
             Call::Watch { prefix, .. } => {
-                let event = Event::Stored(token, Answer::Found(Vec::new()));
+                let event = Event::StoreAnswer(token, Answer::Found(Vec::new()));
                 self.watches.push((at, event, prefix.clone()));
                 return;
             }
             Call::Remove { .. } => Answer::Written(0),
         };
-        self.mail.push((at, Event::Stored(token, answer)));
+        self.mail.push((at, Event::StoreAnswer(token, answer)));
     }
 
     fn scan(&self, prefix: &str, after: &str, limit: usize) -> Answer {
--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -137,7 +137,7 @@
 fn tickets_cannot_be_forged_or_lent() {
     let mut world = Builder::new(1).build(CONFIGURATION);
     let call = world.call();
-    let event = Event::Issue {
+    let event = Event::IssueTickets {
         call,
         customer: CUSTOMER.into(),
         count: 1,
@@ -154,7 +154,7 @@
     forged.push(last);
     for (customer, key) in [("other", &ticket), (CUSTOMER, &forged)] {
         let call = world.call();
-        let event = Event::Begin {
+        let event = Event::BeginCall {
             call,
             customer: customer.into(),
             once: key.clone(),
--- a/tests/suite/calls/postings.rs
+++ b/tests/suite/calls/postings.rs
@@ -127,7 +127,7 @@
             }
             None => {
                 let call = self.stage(Stage::Ticket { posting });
-                let event = Event::Issue {
+                let event = Event::IssueTickets {
                     call,
                     customer: CUSTOMER.into(),
                     count: 1,
@@ -175,7 +175,7 @@
             origin,
         });
         self.note(node, call, &key, None);
-        let event = Event::Begin {
+        let event = Event::BeginCall {
             call,
             customer: CUSTOMER.into(),
             once: key,
@@ -289,7 +289,7 @@
                 })
             }
         };
-        let event = Event::End {
+        let event = Event::EndCall {
             key: record,
             end: end.clone(),
         };
@@ -325,7 +325,7 @@
                 self.world.give(
                     node,
                     0,
-                    Event::Away {
+                    Event::OwnerUnreachable {
                         call,
                         owner,
                         key: record,
--- a/tests/suite/duties.rs
+++ b/tests/suite/duties.rs
@@ -34,7 +34,7 @@
             avoid: Vec::new(),
             promised: false,
         };
-        world.handle(at, Event::Seek(seek));
+        world.handle(at, Event::Acquire(seek));
     }
 }
 
@@ -47,7 +47,7 @@
         slots: 4,
         leaving: false,
     });
-    world.give(at, 0, Event::Listed(runners.to_vec()));
+    world.give(at, 0, Event::RunnerList(runners.to_vec()));
 }
 
 /// Kills, freezes, cuts and outages, mostly of whoever is in charge.
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -48,7 +48,7 @@
             tokens: 1,
             whole: true,
         };
-        world.handle(at, Event::Count(item));
+        world.handle(at, Event::RecordUsage(item));
         truth
             .counted
             .entry(world.nodes[at].me)
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -444,7 +444,7 @@
                 let delay = self.rng.random_range(0..=self.faults.delay);
                 self.plan(delay, Task::Store(at, serial, token, call));
             }
-            Action::Heartbeat(address, beat) => self.deliver(at, &address, Event::Hear(*beat)),
+            Action::Heartbeat(address, beat) => self.deliver(at, &address, Event::Heartbeat(*beat)),
             Action::Pull(address, pull) => {
                 let call = self.internal(at);
                 self.deliver(at, &address, Event::Pull(call, pull));
@@ -456,7 +456,7 @@
             Action::Reply(call, reply) => self.reply(at, call, *reply),
             Action::Order(grant, order) => self.plan_job(at, serial, Job::Order(grant, order)),
             Action::Report(grant, seal) => self.plan_job(at, serial, Job::Report(grant, seal)),
-            Action::View(_) | Action::Members(_) | Action::Trusted(_) | Action::Exit => {}
+            Action::View(_) | Action::Members(_) | Action::KeysTrusted(_) | Action::Exit => {}
         }
     }
 
--- a/tests/suite/world/jobs.rs
+++ b/tests/suite/world/jobs.rs
@@ -48,8 +48,8 @@
         let lost = self.rng.random_bool(self.faults.lose);
         let event = match &job {
             _ if lost => refused(&job),
-            Job::Order(..) => Event::Ordered(true),
-            Job::Report(..) => Event::Reported(true),
+            Job::Order(..) => Event::OrderAnswer(true),
+            Job::Report(..) => Event::ReportAnswer(true),
         };
         self.give(at, 0, event);
     }
@@ -57,7 +57,7 @@
 
 fn refused(job: &Job) -> Event {
     match job {
-        Job::Order(..) => Event::Ordered(false),
-        Job::Report(..) => Event::Reported(false),
+        Job::Order(..) => Event::OrderAnswer(false),
+        Job::Report(..) => Event::ReportAnswer(false),
     }
 }
--- a/tests/suite/world/store.rs
+++ b/tests/suite/world/store.rs
@@ -39,7 +39,7 @@
                 Answer::Lost => 2_000,
                 _ => self.rng.random_range(0..=self.faults.delay),
             };
-            self.give(at, delay, Event::Stored(token, answer));
+            self.give(at, delay, Event::StoreAnswer(token, answer));
         }
     }
 
