--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -76,7 +76,7 @@
         /// A customer wants tickets.
         IssueTickets { call: CallId, customer: String, count: u32 },
         /// A copy of an at-most-once call came.
-        BeginCall { call: CallId, customer: String, once: String, body: u64 },
+        BeginCall { call: CallId, customer: String, idempotency_key: String, body_hash: u64 },
         /// An at-most-once call ended.
         EndCall { key: Key, end: End },
         /// The owner of a call cannot be reached.
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -57,8 +57,8 @@
             Event::BeginCall {
                 call,
                 customer,
-                once,
-                body,
+                idempotency_key: once,
+                body_hash: body,
             } => self.begin(now, *call, once, (customer, *body), out),
             Event::EndCall { key, end } => {
                 for call in self.records.end(*key, end.clone()) {
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -197,8 +197,8 @@
         let event = Event::BeginCall {
             call,
             customer: job.customer.clone(),
-            once: once.to_string(),
-            body: digest(&[job.path.as_bytes(), b"\n", &job.body].concat()),
+            idempotency_key: once.to_string(),
+            body_hash: digest(&[job.path.as_bytes(), b"\n", &job.body].concat()),
         };
         let mut reply = self.handle.ask(call, event);
         let reply = match tokio::time::timeout(COPY, &mut reply).await {
--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -157,8 +157,8 @@
         let event = Event::BeginCall {
             call,
             customer: customer.into(),
-            once: key.clone(),
-            body: 1,
+            idempotency_key: key.clone(),
+            body_hash: 1,
         };
         world.handle(0, event);
         let replied = world.replies.pop().expect("a verdict");
--- a/tests/suite/calls/postings.rs
+++ b/tests/suite/calls/postings.rs
@@ -178,8 +178,8 @@
         let event = Event::BeginCall {
             call,
             customer: CUSTOMER.into(),
-            once: key,
-            body: posting as u64,
+            idempotency_key: key,
+            body_hash: posting as u64,
         };
         self.world.give(node, after, event);
     }
