--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -138,7 +138,7 @@
         pub leaving: Vec<String>,
         /// Usage chunks for safe keeping.
         #[prost(message, repeated, tag = "9")]
-        pub chunks: Vec<Chunk>,
+        pub chunks: Vec<UsageChunk>,
         /// Highest chunk of the receiver that the sender keeps.
         #[prost(uint64, tag = "10")]
         pub kept: u64,
@@ -153,7 +153,7 @@
 
 message! {
     /// Usage of one customer and class.
-    pub struct Row {
+    pub struct UsageRow {
         /// Customer.
         #[prost(string, tag = "1")]
         pub customer: String,
@@ -177,7 +177,7 @@
 
 message! {
     /// What one process counted in a few seconds of one window; never changes.
-    pub struct Chunk {
+    pub struct UsageChunk {
         /// Incarnation that counted.
         #[prost(fixed64, tag = "1")]
         pub source: u64,
@@ -189,7 +189,7 @@
         pub window: u64,
         /// Figures.
         #[prost(message, repeated, tag = "4")]
-        pub rows: Vec<Row>,
+        pub rows: Vec<UsageRow>,
     }
 }
 
@@ -243,19 +243,19 @@
 
 message! {
     /// Usage of one source in one window.
-    pub struct Part {
+    pub struct WindowUsage {
         /// Window in which it was counted.
         #[prost(uint64, tag = "1")]
         pub window: u64,
         /// Figures.
         #[prost(message, repeated, tag = "2")]
-        pub rows: Vec<Row>,
+        pub rows: Vec<UsageRow>,
     }
 }
 
 message! {
     /// What a host knows of one source.
-    pub struct Sum {
+    pub struct SourceUsage {
         /// Incarnation that counted.
         #[prost(fixed64, tag = "1")]
         pub source: u64,
@@ -264,7 +264,7 @@
         pub number: u64,
         /// Figures by window.
         #[prost(message, repeated, tag = "3")]
-        pub parts: Vec<Part>,
+        pub parts: Vec<WindowUsage>,
         /// Last chunk that is not in the parts, as it was sealed before.
         #[prost(uint64, tag = "4")]
         pub from: u64,
@@ -273,7 +273,7 @@
 
 message! {
     /// Which chunks of a source are in a bundle.
-    pub struct Span {
+    pub struct ChunkRange {
         /// Incarnation that counted.
         #[prost(fixed64, tag = "1")]
         pub source: u64,
@@ -288,13 +288,13 @@
 
 message! {
     /// Usage of a whole zone, summed over its sources.
-    pub struct Bundle {
+    pub struct ZoneUsage {
         /// Chunks that are in it, by source.
         #[prost(message, repeated, tag = "1")]
-        pub spans: Vec<Span>,
+        pub spans: Vec<ChunkRange>,
         /// Figures by window.
         #[prost(message, repeated, tag = "2")]
-        pub parts: Vec<Part>,
+        pub parts: Vec<WindowUsage>,
         /// Availability zone.
         #[prost(string, tag = "3")]
         pub zone: String,
@@ -306,10 +306,10 @@
     pub struct Collected {
         /// One host's knowledge, by source.
         #[prost(message, repeated, tag = "1")]
-        pub sums: Vec<Sum>,
+        pub sums: Vec<SourceUsage>,
         /// A zone's, when that was asked for.
         #[prost(message, optional, tag = "2")]
-        pub bundle: Option<Bundle>,
+        pub bundle: Option<ZoneUsage>,
     }
 }
 
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use crate::id::Incarnation;
-use crate::peer::{Chunk, Collect, Collected, Cursor, Part, Row, Sum};
+use crate::peer::{Collect, Collected, Cursor, SourceUsage, UsageChunk, UsageRow, WindowUsage};
 use crate::time::Moment;
 
 pub mod gather;
@@ -53,7 +53,7 @@
 }
 
 /// Adds rows of the same customer and class.
-pub fn merge(into: &mut Vec<Row>, rows: &[Row]) {
+pub fn merge(into: &mut Vec<UsageRow>, rows: &[UsageRow]) {
     for row in rows {
         match into.binary_search_by(|have| (&have.customer, &have.class).cmp(&(&row.customer, &row.class))) {
             Ok(at) => add(&mut into[at], row),
@@ -62,7 +62,7 @@
     }
 }
 
-fn add(into: &mut Row, row: &Row) {
+fn add(into: &mut UsageRow, row: &UsageRow) {
     into.calls += row.calls;
     into.prompt += row.prompt;
     into.tokens += row.tokens;
@@ -74,12 +74,12 @@
 pub struct Meter {
     me: Incarnation,
     length: Duration,
-    open: Vec<Row>,
+    open: Vec<UsageRow>,
     opened: Moment,
     window: u64,
     number: u64,
     sealed: u64,
-    chunks: Vec<Chunk>,
+    chunks: Vec<UsageChunk>,
     acked: Vec<(Incarnation, u64)>,
 }
 
@@ -107,7 +107,7 @@
     /// Counts one thing.
     pub fn count(&mut self, now: Moment, item: &Item) {
         self.tick(now);
-        let row = Row {
+        let row = UsageRow {
             customer: item.customer.clone(),
             class: item.class.clone(),
             calls: u64::from(item.whole),
@@ -130,7 +130,7 @@
     pub fn flush(&mut self, now: Moment) {
         if !self.open.is_empty() {
             self.number += 1;
-            let chunk = Chunk {
+            let chunk = UsageChunk {
                 source: self.me.0,
                 number: self.number,
                 window: self.window,
@@ -143,7 +143,7 @@
     }
 
     /// Chunks that a keeper has not confirmed yet.
-    pub fn offer(&self, keeper: Incarnation) -> Vec<Chunk> {
+    pub fn offer(&self, keeper: Incarnation) -> Vec<UsageChunk> {
         let acked = self.acked(keeper);
         self.own()
             .filter(|chunk| chunk.number > acked)
@@ -172,7 +172,7 @@
     }
 
     /// Takes a chunk in for safe keeping; a second copy changes nothing.
-    pub fn keep(&mut self, chunk: Chunk) {
+    pub fn keep(&mut self, chunk: UsageChunk) {
         if self.chunks.len() >= KEPT {
             return;
         }
@@ -214,7 +214,7 @@
         self.sealed = self.sealed.max(cursor(&ask.cursors, self.me.0));
         self.chunks
             .retain(|chunk| chunk.number > cursor(&ask.cursors, chunk.source));
-        let mut sums: Vec<Sum> = Vec::new();
+        let mut sums: Vec<SourceUsage> = Vec::new();
         for chunk in &self.chunks {
             let last = match sums.last() {
                 Some(sum) if sum.source == chunk.source => sum.number,
@@ -242,11 +242,11 @@
         }
     }
 
-    fn own(&self) -> impl Iterator<Item = &Chunk> {
+    fn own(&self) -> impl Iterator<Item = &UsageChunk> {
         self.of(self.me.0)
     }
 
-    fn of(&self, source: u64) -> impl Iterator<Item = &Chunk> {
+    fn of(&self, source: u64) -> impl Iterator<Item = &UsageChunk> {
         let from = self.chunks.partition_point(|chunk| chunk.source < source);
         self.chunks[from..]
             .iter()
@@ -262,19 +262,19 @@
     }
 }
 
-fn include(sums: &mut Vec<Sum>, chunk: &Chunk, from: u64) {
+fn include(sums: &mut Vec<SourceUsage>, chunk: &UsageChunk, from: u64) {
     if sums.last().is_none_or(|sum| sum.source != chunk.source) {
-        sums.push(Sum {
+        sums.push(SourceUsage {
             source: chunk.source,
             from,
-            ..Sum::default()
+            ..SourceUsage::default()
         });
     }
     if let Some(sum) = sums.last_mut() {
         sum.number = chunk.number;
         match sum.parts.iter_mut().find(|part| part.window == chunk.window) {
             Some(part) => merge(&mut part.rows, &chunk.rows),
-            None => sum.parts.push(Part {
+            None => sum.parts.push(WindowUsage {
                 window: chunk.window,
                 rows: chunk.rows.clone(),
             }),
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -9,7 +9,7 @@
 
 use super::merge;
 use crate::id::CallId;
-use crate::peer::{Bundle, Collected, Part, Span, Sum};
+use crate::peer::{ChunkRange, Collected, SourceUsage, WindowUsage, ZoneUsage};
 use crate::time::Moment;
 
 /// Wait for the mates' answers.
@@ -21,7 +21,7 @@
     /// Whom to answer; the reporter of this process when absent.
     pub call: Option<CallId>,
     since: Moment,
-    sums: Vec<Sum>,
+    sums: Vec<SourceUsage>,
 }
 
 impl Gather {
@@ -55,13 +55,13 @@
     }
 
     /// The zone's sum.
-    pub fn bundle(self, zone: &str) -> Bundle {
-        let mut bundle = Bundle {
+    pub fn bundle(self, zone: &str) -> ZoneUsage {
+        let mut bundle = ZoneUsage {
             zone: zone.to_string(),
-            ..Bundle::default()
+            ..ZoneUsage::default()
         };
         for sum in self.sums {
-            bundle.spans.push(Span {
+            bundle.spans.push(ChunkRange {
                 source: sum.source,
                 from: sum.from,
                 number: sum.number,
@@ -75,7 +75,7 @@
 }
 
 /// Adds a part to parts sorted by window.
-pub fn add_part(parts: &mut Vec<Part>, part: &Part) {
+pub fn add_part(parts: &mut Vec<WindowUsage>, part: &WindowUsage) {
     match parts.binary_search_by(|have| have.window.cmp(&part.window)) {
         Ok(at) => merge(&mut parts[at].rows, &part.rows),
         Err(at) => parts.insert(at, part.clone()),
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -9,7 +9,7 @@
 use super::cursor;
 use super::gather::add_part;
 use crate::lease::Grant;
-use crate::peer::{Bundle, Collect, Cursor, Part, Row, Span};
+use crate::peer::{ChunkRange, Collect, Cursor, UsageRow, WindowUsage, ZoneUsage};
 use crate::seal::{Outcome, Writer};
 use crate::store::{Answer, Call};
 use crate::time::Moment;
@@ -104,7 +104,7 @@
         ReadHead { since: Moment },
         ReadSeals { since: Moment, head: u64 },
         Ready,
-        Collecting { since: Moment, window: u64, bundle: Bundle },
+        Collecting { since: Moment, window: u64, bundle: ZoneUsage },
         Sealing,
         Reporting { since: Moment },
         Recording { since: Moment },
@@ -190,7 +190,7 @@
         self.state = State::Collecting {
             since: now,
             window,
-            bundle: Bundle::default(),
+            bundle: ZoneUsage::default(),
         };
         Some(Step::Collect(Collect {
             cursors: self.cursors(),
@@ -211,7 +211,7 @@
     }
 
     /// A zone's answer to the collection; taken whole or not at all.
-    pub fn collected(&mut self, answer: &Bundle) {
+    pub fn collected(&mut self, answer: &ZoneUsage) {
         let cursors = self.cursors();
         let State::Collecting { bundle, .. } = &mut self.state else {
             return;
@@ -219,13 +219,13 @@
         // A host that was frozen answers an earlier question late; its sums
         // begin before what has been sealed since and would count it again.
         // So would a second answer for the same sources.
-        let known = |span: &Span| {
+        let known = |span: &ChunkRange| {
             bundle
                 .spans
                 .binary_search_by(|have| have.source.cmp(&span.source))
                 .is_ok()
         };
-        let stale = |span: &Span| span.from < cursor(&cursors, span.source);
+        let stale = |span: &ChunkRange| span.from < cursor(&cursors, span.source);
         if answer.spans.iter().any(|span| known(span) || stale(span)) {
             return;
         }
@@ -346,15 +346,15 @@
             .collect()
     }
 
-    fn seal(&self, window: u64, bundle: &Bundle) -> Seal {
+    fn seal(&self, window: u64, bundle: &ZoneUsage) -> Seal {
         let mut marks = self.last.as_ref().map_or(Vec::new(), |seal| seal.marks.clone());
         marks.retain(|mark| mark.moved + FORGET > window);
         bundle
             .spans
             .iter()
             .for_each(|span| mark(&mut marks, span, window));
-        let counts = |part: &&Part| part.window + FORGET > window;
-        let parts: Vec<&Part> = bundle.parts.iter().filter(counts).collect();
+        let counts = |part: &&WindowUsage| part.window + FORGET > window;
+        let parts: Vec<&WindowUsage> = bundle.parts.iter().filter(counts).collect();
         Seal {
             number: self.last.as_ref().map_or(1, |seal| seal.number + 1),
             window,
@@ -385,7 +385,7 @@
     format!("{SEALED}{number:016}")
 }
 
-fn mark(marks: &mut Vec<Mark>, span: &Span, window: u64) {
+fn mark(marks: &mut Vec<Mark>, span: &ChunkRange, window: u64) {
     let source = crate::id::Incarnation(span.source);
     let mark = Mark {
         source,
@@ -398,8 +398,8 @@
     }
 }
 
-fn lines(window: u64, parts: &[&Part]) -> Vec<Line> {
-    let line = |part: &Part, row: &Row| Line {
+fn lines(window: u64, parts: &[&WindowUsage]) -> Vec<Line> {
+    let line = |part: &WindowUsage, row: &UsageRow| Line {
         customer: row.customer.clone(),
         class: row.class.clone(),
         calls: row.calls,
--- a/tests/suite/parse.rs
+++ b/tests/suite/parse.rs
@@ -126,7 +126,7 @@
 #[test]
 fn usage_merges_in_any_order() {
     fn property(items: Vec<(u8, u16)>) -> bool {
-        let row = |(customer, tokens): &(u8, u16)| radishstair_core::peer::Row {
+        let row = |(customer, tokens): &(u8, u16)| radishstair_core::peer::UsageRow {
             customer: format!("c{customer}"),
             tokens: u64::from(*tokens),
             calls: 1,
