--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -151,7 +151,7 @@
     }
 
     fn collected(&mut self, answer: &Collected) {
-        match &answer.bundle {
+        match &answer.zone_usage {
             Some(bundle) => {
                 self.answered.push(bundle.zone.clone());
                 self.reporter.collected(bundle);
@@ -173,8 +173,8 @@
                 None => self.reporter.collected(&bundle),
                 Some(call) => {
                     let answer = Collected {
-                        sums: Vec::new(),
-                        bundle: Some(bundle),
+                        sources: Vec::new(),
+                        zone_usage: Some(bundle),
                     };
                     out.reply(call, Reply::Collected(answer));
                 }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -264,10 +264,10 @@
         pub number: u64,
         /// Figures by window.
         #[prost(message, repeated, tag = "3")]
-        pub parts: Vec<WindowUsage>,
+        pub windows: Vec<WindowUsage>,
         /// Last chunk that is not in the parts, as it was sealed before.
         #[prost(uint64, tag = "4")]
-        pub from: u64,
+        pub after_chunk: u64,
     }
 }
 
@@ -279,7 +279,7 @@
         pub source: u64,
         /// Last chunk before the bundle's.
         #[prost(uint64, tag = "2")]
-        pub from: u64,
+        pub after_chunk: u64,
         /// Last chunk in the bundle.
         #[prost(uint64, tag = "3")]
         pub number: u64,
@@ -291,10 +291,10 @@
     pub struct ZoneUsage {
         /// Chunks that are in it, by source.
         #[prost(message, repeated, tag = "1")]
-        pub spans: Vec<ChunkRange>,
+        pub chunk_ranges: Vec<ChunkRange>,
         /// Figures by window.
         #[prost(message, repeated, tag = "2")]
-        pub parts: Vec<WindowUsage>,
+        pub windows: Vec<WindowUsage>,
         /// Availability zone.
         #[prost(string, tag = "3")]
         pub zone: String,
@@ -306,10 +306,10 @@
     pub struct Collected {
         /// One host's knowledge, by source.
         #[prost(message, repeated, tag = "1")]
-        pub sums: Vec<SourceUsage>,
+        pub sources: Vec<SourceUsage>,
         /// A zone's, when that was asked for.
         #[prost(message, optional, tag = "2")]
-        pub bundle: Option<ZoneUsage>,
+        pub zone_usage: Option<ZoneUsage>,
     }
 }
 
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -227,7 +227,10 @@
             }
             include(&mut sums, chunk, last);
         }
-        Collected { sums, bundle: None }
+        Collected {
+            sources: sums,
+            zone_usage: None,
+        }
     }
 
     /// Chunks kept, own and others'.
@@ -266,15 +269,15 @@
     if sums.last().is_none_or(|sum| sum.source != chunk.source) {
         sums.push(SourceUsage {
             source: chunk.source,
-            from,
+            after_chunk: from,
             ..SourceUsage::default()
         });
     }
     if let Some(sum) = sums.last_mut() {
         sum.number = chunk.number;
-        match sum.parts.iter_mut().find(|part| part.window == chunk.window) {
+        match sum.windows.iter_mut().find(|part| part.window == chunk.window) {
             Some(part) => merge(&mut part.rows, &chunk.rows),
-            None => sum.parts.push(WindowUsage {
+            None => sum.windows.push(WindowUsage {
                 window: chunk.window,
                 rows: chunk.rows.clone(),
             }),
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -38,7 +38,7 @@
 
     /// Takes a mate's answer in.
     pub fn add(&mut self, answer: Collected) {
-        for sum in answer.sums {
+        for sum in answer.sources {
             match self.sums.binary_search_by(|have| have.source.cmp(&sum.source)) {
                 // Of two hosts that know a source, the one that has more of
                 // it is believed; adding them would count chunks twice.
@@ -61,14 +61,14 @@
             ..ZoneUsage::default()
         };
         for sum in self.sums {
-            bundle.spans.push(ChunkRange {
+            bundle.chunk_ranges.push(ChunkRange {
                 source: sum.source,
-                from: sum.from,
+                after_chunk: sum.after_chunk,
                 number: sum.number,
             });
-            sum.parts
+            sum.windows
                 .iter()
-                .for_each(|part| add_part(&mut bundle.parts, part));
+                .for_each(|part| add_part(&mut bundle.windows, part));
         }
         bundle
     }
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -221,22 +221,24 @@
         // So would a second answer for the same sources.
         let known = |span: &ChunkRange| {
             bundle
-                .spans
+                .chunk_ranges
                 .binary_search_by(|have| have.source.cmp(&span.source))
                 .is_ok()
         };
-        let stale = |span: &ChunkRange| span.from < cursor(&cursors, span.source);
-        if answer.spans.iter().any(|span| known(span) || stale(span)) {
+        let stale = |span: &ChunkRange| span.after_chunk < cursor(&cursors, span.source);
+        if answer.chunk_ranges.iter().any(|span| known(span) || stale(span)) {
             return;
         }
-        for span in &answer.spans {
-            let at = bundle.spans.partition_point(|have| have.source < span.source);
-            bundle.spans.insert(at, span.clone());
+        for span in &answer.chunk_ranges {
+            let at = bundle
+                .chunk_ranges
+                .partition_point(|have| have.source < span.source);
+            bundle.chunk_ranges.insert(at, span.clone());
         }
         answer
-            .parts
+            .windows
             .iter()
-            .for_each(|part| add_part(&mut bundle.parts, part));
+            .for_each(|part| add_part(&mut bundle.windows, part));
     }
 
     /// The store's answer.
@@ -350,11 +352,11 @@
         let mut marks = self.last.as_ref().map_or(Vec::new(), |seal| seal.marks.clone());
         marks.retain(|mark| mark.moved + FORGET > window);
         bundle
-            .spans
+            .chunk_ranges
             .iter()
             .for_each(|span| mark(&mut marks, span, window));
         let counts = |part: &&WindowUsage| part.window + FORGET > window;
-        let parts: Vec<&WindowUsage> = bundle.parts.iter().filter(counts).collect();
+        let parts: Vec<&WindowUsage> = bundle.windows.iter().filter(counts).collect();
         Seal {
             number: self.last.as_ref().map_or(1, |seal| seal.number + 1),
             window,
