--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -7,7 +7,7 @@
 use super::{Event, MEMBER, Outbox, Reply, Status};
 use crate::dispatch::{Decision, Dispatch, Outcome, Policy, Seek};
 use crate::id::{CallId, Incarnation};
-use crate::peer::{Demand, Heartbeat, Shares, Waiting, ZoneSummary};
+use crate::peer::{Demand, Heartbeat, HostLoad, QueuedCalls, ZoneSummary};
 use crate::runner::Key;
 use crate::time::Moment;
 
@@ -23,7 +23,7 @@
     struct Queued {
         mate: Incarnation,
         heard: Moment,
-        waiting: Vec<Waiting>,
+        waiting: Vec<QueuedCalls>,
     }
 }
 
@@ -36,7 +36,7 @@
     running: Vec<(CallId, Seek, Key)>,
     /// Sorted by mate.
     queued: Vec<Queued>,
-    shares: Option<Shares>,
+    shares: Option<HostLoad>,
     next_shares: Moment,
     mates: usize,
     next_summary: Moment,
@@ -141,7 +141,7 @@
         for name in &beat.leaving {
             self.inner.runners.leave(now, name);
         }
-        if let Some(shares) = &beat.shares {
+        if let Some(shares) = &beat.load {
             self.inner.runners.hear(now, peer, shares);
             let queued = Queued {
                 mate: peer,
@@ -216,9 +216,9 @@
         demands
     }
 
-    fn queue_by_pool(&self) -> Vec<Waiting> {
+    fn queue_by_pool(&self) -> Vec<QueuedCalls> {
         let waiting = self.inner.waiting_by_pool().into_iter();
-        waiting.map(|(pool, count)| Waiting { pool, count }).collect()
+        waiting.map(|(pool, count)| QueuedCalls { pool, count }).collect()
     }
 
     /// Takes the shares for this round of heartbeats, if they are due. They go
@@ -240,7 +240,7 @@
 
     /// Adds to a heartbeat.
     pub fn compose(&mut self, now: Moment, _address: &str, beat: &mut Heartbeat) {
-        beat.shares = self.shares.clone();
+        beat.load = self.shares.clone();
         beat.leaving = self.inner.runners.news(now);
     }
 
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -83,7 +83,7 @@
 
 message! {
     /// Calls that one host has running, by runner; five bytes a runner.
-    pub struct Shares {
+    pub struct HostLoad {
         /// Hashes of the runners' names.
         #[prost(fixed32, repeated, tag = "1")]
         pub runners: Vec<u32>,
@@ -92,13 +92,13 @@
         pub running: Vec<u32>,
         /// Calls that wait, by pool.
         #[prost(message, repeated, tag = "3")]
-        pub waiting: Vec<Waiting>,
+        pub waiting: Vec<QueuedCalls>,
     }
 }
 
 message! {
     /// Calls of one host that wait for a pool.
-    pub struct Waiting {
+    pub struct QueuedCalls {
         /// Pool.
         #[prost(string, tag = "1")]
         pub pool: String,
@@ -132,7 +132,7 @@
         pub summaries: Vec<ZoneSummary>,
         /// The sender's calls on shared runners, in the beats that carry them.
         #[prost(message, optional, tag = "7")]
-        pub shares: Option<Shares>,
+        pub load: Option<HostLoad>,
         /// Runners that the sender saw leaving or refusing.
         #[prost(string, repeated, tag = "8")]
         pub leaving: Vec<String>,
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::id::{self, Incarnation};
-use crate::peer::Shares;
+use crate::peer::HostLoad;
 use crate::time::Moment;
 
 key! {
@@ -252,8 +252,8 @@
     }
 
     /// This host's calls, for the peers.
-    pub fn shares(&self) -> Shares {
-        let mut shares = Shares::default();
+    pub fn shares(&self) -> HostLoad {
+        let mut shares = HostLoad::default();
         for runner in self.iter().filter(|runner| runner.running > 0) {
             shares.runners.push(short(&runner.listed.name));
             shares.running.push(runner.running);
@@ -262,7 +262,7 @@
     }
 
     /// A peer's calls.
-    pub fn hear(&mut self, now: Moment, peer: Incarnation, shares: &Shares) {
+    pub fn hear(&mut self, now: Moment, peer: Incarnation, shares: &HostLoad) {
         let pairs = shares.runners.iter().zip(&shares.running);
         let known = pairs.filter_map(|(runner, running)| {
             let at = self.shorts.binary_search_by(|(have, _)| have.cmp(runner)).ok()?;
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -392,7 +392,7 @@
 #[test]
 fn a_host_that_starts_nothing_lets_nobody_wait() {
     let mut dispatch = dispatch(DOCUMENT, &[("p", "a", 2)]);
-    let mates = radishstair_core::peer::Shares {
+    let mates = radishstair_core::peer::HostLoad {
         runners: vec![radishstair_core::id::digest(b"p-a") as u32],
         running: vec![2],
         ..Default::default()
@@ -420,7 +420,7 @@
     assert!(dispatch.seek(now, back).is_empty(), "it is taken in");
     dispatch
         .runners
-        .hear(now, Incarnation(9), &radishstair_core::peer::Shares::default());
+        .hear(now, Incarnation(9), &radishstair_core::peer::HostLoad::default());
     assert_eq!(started(&dispatch.tick(now))[0], 4, "and goes first");
 }
 
