--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -179,7 +179,7 @@
     pub fn hear(&mut self, now: Moment, beat: &Heartbeat) -> Option<Pull> {
         self.heard = self.heard.max(beat.version);
         if beat.version == self.view.version && beat.version > 0 {
-            self.freshen(now, beat.age);
+            self.freshen(now, beat.store_age_ms);
         }
         let due = self.pulled.is_none_or(|pulled| now.since(pulled) >= PULL);
         if beat.version <= self.view.version || !due {
--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -33,7 +33,7 @@
             }
             Event::Heartbeat(beat) => {
                 if let Some(pull) = self.inner.hear(now, beat) {
-                    out.act(Action::Pull(beat.card.address.clone(), pull));
+                    out.act(Action::Pull(beat.sender.address.clone(), pull));
                 }
             }
             Event::Pull(call, pull) => out.reply(*call, Reply::Pulled(self.inner.pull(pull))),
@@ -69,7 +69,7 @@
     /// Adds to a heartbeat.
     pub fn compose(&mut self, now: Moment, _address: &str, beat: &mut Heartbeat) {
         beat.version = self.inner.view().version;
-        beat.age = self.inner.age(now).map_or(u64::MAX, |age| age.as_millis() as u64);
+        beat.store_age_ms = self.inner.age(now).map_or(u64::MAX, |age| age.as_millis() as u64);
     }
 
     /// Adds to the status.
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -134,11 +134,11 @@
     }
 
     fn hear(&mut self, now: Moment, beat: &Heartbeat) {
-        if beat.card.zone != self.zone {
+        if beat.sender.zone != self.zone {
             return;
         }
-        let peer = Incarnation(beat.card.incarnation);
-        for name in &beat.leaving {
+        let peer = Incarnation(beat.sender.incarnation);
+        for name in &beat.leaving_runners {
             self.inner.runners.leave(now, name);
         }
         if let Some(shares) = &beat.load {
@@ -153,7 +153,7 @@
                 Err(at) => self.queued.insert(at, queued),
             }
         }
-        if beat.card.gone {
+        if beat.sender.gone {
             self.queued.retain(|queued| queued.mate != peer);
         }
         self.tell_waiting_mates();
@@ -241,7 +241,7 @@
     /// Adds to a heartbeat.
     pub fn compose(&mut self, now: Moment, _address: &str, beat: &mut Heartbeat) {
         beat.load = self.shares.clone();
-        beat.leaving = self.inner.runners.news(now);
+        beat.leaving_runners = self.inner.runners.news(now);
     }
 
     /// Adds to the status.
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -193,11 +193,12 @@
     }
 
     fn hear(&mut self, beat: &Heartbeat) {
-        for chunk in &beat.chunks {
+        for chunk in &beat.usage_chunks {
             self.meter.keep(chunk.clone());
         }
-        if beat.kept > 0 {
-            self.meter.confirm(Incarnation(beat.card.incarnation), beat.kept);
+        if beat.acked_chunk > 0 {
+            self.meter
+                .confirm(Incarnation(beat.sender.incarnation), beat.acked_chunk);
         }
     }
 
@@ -206,9 +207,9 @@
         let Some((peer, _)) = self.standing.live.iter().find(|(_, have)| have == address) else {
             return;
         };
-        beat.kept = self.meter.kept(*peer);
+        beat.acked_chunk = self.meter.kept(*peer);
         if self.standing.keepers.contains(peer) {
-            beat.chunks = self.meter.offer(*peer);
+            beat.usage_chunks = self.meter.offer(*peer);
         }
     }
 
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -125,28 +125,28 @@
 
     /// Fills in a beat to an address.
     pub fn compose(&mut self, now: Moment, address: &str, beat: &mut Heartbeat) {
-        beat.card = self.me.clone();
-        beat.digest = self.digest;
+        beat.sender = self.me.clone();
+        beat.member_digest = self.digest;
         let Some(at) = self
             .peers
             .iter()
             .position(|peer| peer.card.address == address && !peer.card.gone)
         else {
-            beat.cards = self.cards(now, true);
+            beat.members = self.cards(now, true);
             return;
         };
         let same = self.peers[at].digest == self.digest;
         self.peers[at].differs = if same { 0 } else { self.peers[at].differs + 1 };
         if same {
             // Whoever knows the same cards knows this one.
-            beat.card = Member {
+            beat.sender = Member {
                 incarnation: self.me.incarnation,
                 epoch: self.me.epoch,
                 ..Member::default()
             };
         } else {
             let all = self.peers[at].differs > PATIENCE;
-            beat.cards = self.cards(now, all);
+            beat.members = self.cards(now, all);
         }
         if self.sends_summaries {
             beat.summaries = self.summaries_for(&self.peers[at]);
@@ -173,16 +173,16 @@
     /// Fills in the texts of a card that the sender left out; false when this
     /// host does not know the sender.
     pub fn complete(&self, beat: &mut Heartbeat) -> bool {
-        if !beat.card.address.is_empty() {
+        if !beat.sender.address.is_empty() {
             return true;
         }
-        let Some(at) = self.find(Incarnation(beat.card.incarnation)) else {
+        let Some(at) = self.find(Incarnation(beat.sender.incarnation)) else {
             return false;
         };
         let known = &self.peers[at].card;
-        beat.card = Member {
-            epoch: beat.card.epoch,
-            gone: beat.card.gone,
+        beat.sender = Member {
+            epoch: beat.sender.epoch,
+            gone: beat.sender.gone,
             ..known.clone()
         };
         true
@@ -190,16 +190,16 @@
 
     /// Takes a beat in.
     pub fn hear(&mut self, now: Moment, beat: &Heartbeat) {
-        for card in beat.cards.iter().chain(std::iter::once(&beat.card)) {
+        for card in beat.members.iter().chain(std::iter::once(&beat.sender)) {
             self.learn(now, card);
         }
-        self.replace_former(now, &beat.card);
-        if let Some(at) = self.find(Incarnation(beat.card.incarnation)) {
+        self.replace_former(now, &beat.sender);
+        if let Some(at) = self.find(Incarnation(beat.sender.incarnation)) {
             self.note_unaware(at);
             let peer = &mut self.peers[at];
             peer.heard = Some(now);
             peer.version = beat.version;
-            peer.digest = beat.digest;
+            peer.digest = beat.member_digest;
         }
         for summary in &beat.summaries {
             self.note(summary);
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -113,20 +113,20 @@
     pub struct Heartbeat {
         /// The sender.
         #[prost(message, required, tag = "1")]
-        pub card: Member,
+        pub sender: Member,
         /// Configuration version in force at the sender.
         #[prost(uint64, tag = "2")]
         pub version: u64,
         /// Age of the sender's newest answer from the store, in milliseconds;
         /// the largest number when it never had one.
         #[prost(uint64, tag = "3")]
-        pub age: u64,
+        pub store_age_ms: u64,
         /// Hash of all cards that the sender knows.
         #[prost(fixed64, tag = "4")]
-        pub digest: u64,
+        pub member_digest: u64,
         /// Cards that the receiver seems to lack.
         #[prost(message, repeated, tag = "5")]
-        pub cards: Vec<Member>,
+        pub members: Vec<Member>,
         /// What the zones have in force.
         #[prost(message, repeated, tag = "6")]
         pub summaries: Vec<ZoneSummary>,
@@ -135,13 +135,13 @@
         pub load: Option<HostLoad>,
         /// Runners that the sender saw leaving or refusing.
         #[prost(string, repeated, tag = "8")]
-        pub leaving: Vec<String>,
+        pub leaving_runners: Vec<String>,
         /// Usage chunks for safe keeping.
         #[prost(message, repeated, tag = "9")]
-        pub chunks: Vec<UsageChunk>,
+        pub usage_chunks: Vec<UsageChunk>,
         /// Highest chunk of the receiver that the sender keeps.
         #[prost(uint64, tag = "10")]
-        pub kept: u64,
+        pub acked_chunk: u64,
 
     }
 }
