--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -187,21 +187,21 @@
         }
         self.pulled = Some(now);
         Some(Pull {
-            have: self.view.version,
+            version: self.view.version,
         })
     }
 
     /// Answers a peer that lags.
     pub fn pull(&self, pull: &Pull) -> Pulled {
-        let from = self.tail.partition_point(|entry| entry.version <= pull.have);
+        let from = self.tail.partition_point(|entry| entry.version <= pull.version);
         let entries = &self.tail[from..];
         let follows = entries
             .first()
-            .is_some_and(|entry| entry.version == pull.have + 1);
-        if pull.have >= self.view.version {
+            .is_some_and(|entry| entry.version == pull.version + 1);
+        if pull.version >= self.view.version {
             return Pulled::default();
         }
-        if follows && pull.have > 0 {
+        if follows && pull.version > 0 {
             let entries = entries
                 .iter()
                 .filter_map(|entry| serde_json::to_string(entry).ok());
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -200,7 +200,7 @@
             .filter(|runner| runner.listed.zone == self.zone);
         for runner in mine {
             let demand = demand(&mut demands, &runner.listed.pool);
-            demand.busy += runner.running + runner.others;
+            demand.running += runner.running + runner.others;
             if !runner.leaving(now) {
                 demand.runners += 1;
                 demand.slots += runner.listed.slots;
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -422,7 +422,7 @@
             zone: self.me.zone.clone(),
             version: lowest.min(self.version),
             hosts: self.mates().count() as u32 + u32::from(!self.me.gone),
-            stamp: now.wall,
+            timestamp_ms: now.wall,
             demands: self.demands.clone(),
         };
         self.note(&summary);
@@ -433,7 +433,9 @@
             .summaries
             .binary_search_by(|have| have.zone.cmp(&summary.zone))
         {
-            Ok(at) if self.summaries[at].stamp < summary.stamp => self.summaries[at] = summary.clone(),
+            Ok(at) if self.summaries[at].timestamp_ms < summary.timestamp_ms => {
+                self.summaries[at] = summary.clone()
+            }
             Ok(_) => {}
             Err(at) => self.summaries.insert(at, summary.clone()),
         }
--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -183,7 +183,7 @@
         for pool in pools.iter().filter(|pool| pool.most > 0) {
             for summary in summaries
                 .iter()
-                .filter(|summary| summary.stamp + SUMMARY_AGE >= now.wall)
+                .filter(|summary| summary.timestamp_ms + SUMMARY_AGE >= now.wall)
             {
                 let demand = summary.demands.iter().find(|demand| demand.pool == pool.name);
                 let want = demand.map_or(pool.least, |demand| want(pool, demand));
@@ -258,6 +258,6 @@
         0 => return pool.least.max(1),
         runners => (demand.slots / runners).max(1),
     };
-    let calls = demand.busy + demand.waiting;
+    let calls = demand.running + demand.waiting;
     (calls * 100).div_ceil(each * FILL)
 }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -4,7 +4,7 @@
 //! the wire crate. Any of them may come late, twice or never.
 
 /// Most bytes of one message.
-pub const MESSAGE_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 macro_rules! message {
     ($(#[$doc:meta])* pub struct $name:ident { $($body:tt)* }) => {
@@ -53,7 +53,7 @@
         pub hosts: u32,
         /// When it was said, in milliseconds since the Unix epoch.
         #[prost(uint64, tag = "4")]
-        pub stamp: u64,
+        pub timestamp_ms: u64,
         /// Demand for the zone's own runners.
         #[prost(message, repeated, tag = "5")]
         pub demands: Vec<Demand>,
@@ -68,7 +68,7 @@
         pub pool: String,
         /// Calls that run.
         #[prost(uint32, tag = "2")]
-        pub busy: u32,
+        pub running: u32,
         /// Calls that wait.
         #[prost(uint32, tag = "3")]
         pub waiting: u32,
@@ -165,7 +165,7 @@
         pub calls: u64,
         /// Prompt tokens.
         #[prost(uint64, tag = "4")]
-        pub prompt: u64,
+        pub prompt_tokens: u64,
         /// Generated tokens that went to the caller.
         #[prost(uint64, tag = "5")]
         pub tokens: u64,
@@ -198,7 +198,7 @@
     pub struct Pull {
         /// Version in force at the asker.
         #[prost(uint64, tag = "1")]
-        pub have: u64,
+        pub version: u64,
     }
 }
 
@@ -327,7 +327,7 @@
         pub class: String,
         /// Idempotency key.
         #[prost(string, tag = "4")]
-        pub once: String,
+        pub idempotency_key: String,
         /// Body.
         #[prost(bytes = "vec", tag = "5")]
         pub body: Vec<u8>,
@@ -348,6 +348,6 @@
         pub body: Vec<u8>,
         /// Milliseconds until the caller may come back; 0 for none.
         #[prost(uint64, tag = "3")]
-        pub after: u64,
+        pub retry_after_ms: u64,
     }
 }
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -64,7 +64,7 @@
 
 fn add(into: &mut UsageRow, row: &UsageRow) {
     into.calls += row.calls;
-    into.prompt += row.prompt;
+    into.prompt_tokens += row.prompt_tokens;
     into.tokens += row.tokens;
     into.broken += row.broken;
 }
@@ -111,7 +111,7 @@
             customer: item.customer.clone(),
             class: item.class.clone(),
             calls: u64::from(item.whole),
-            prompt: item.prompt,
+            prompt_tokens: item.prompt,
             tokens: item.tokens,
             broken: u64::from(!item.whole),
         };
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -405,7 +405,7 @@
         customer: row.customer.clone(),
         class: row.class.clone(),
         calls: row.calls,
-        prompt: row.prompt,
+        prompt: row.prompt_tokens,
         tokens: row.tokens,
         broken: row.broken,
         late_from: (part.window != window).then_some(part.window),
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -271,7 +271,7 @@
             customer: job.customer.clone(),
             key: job.key.clone(),
             class: job.route.class.clone(),
-            once,
+            idempotency_key: once,
             body: job.body.to_vec(),
             version: job.version,
         };
@@ -303,7 +303,7 @@
         let _flight = self.handle.flight();
         let answer = match self.admit_forwarded(&forward) {
             Ok(job) => {
-                let verdict = self.begin(&job, &forward.once).await;
+                let verdict = self.begin(&job, &forward.idempotency_key).await;
                 self.settle(&job, verdict).await
             }
             Err(refusal) => Err(unsettled(refusal)),
--- a/crates/entry/src/front/call/answer.rs
+++ b/crates/entry/src/front/call/answer.rs
@@ -39,10 +39,11 @@
 
 pub fn from_owner(forwarded: Forwarded) -> Response<Body> {
     let mut answer = text(forwarded.status as u16, forwarded.body.into());
-    if forwarded.after > 0 {
-        answer
-            .headers_mut()
-            .insert("retry-after", HeaderValue::from(forwarded.after.div_ceil(1_000)));
+    if forwarded.retry_after_ms > 0 {
+        answer.headers_mut().insert(
+            "retry-after",
+            HeaderValue::from(forwarded.retry_after_ms.div_ceil(1_000)),
+        );
     }
     answer
 }
@@ -61,6 +62,6 @@
     Forwarded {
         status,
         body: body.unwrap_or_default(),
-        after: after.unwrap_or(0) * 1_000,
+        retry_after_ms: after.unwrap_or(0) * 1_000,
     }
 }
--- a/crates/entry/src/peers/links.rs
+++ b/crates/entry/src/peers/links.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result};
-use radishstair_core::peer::MESSAGE_BYTES;
+use radishstair_core::peer::MAX_MESSAGE_BYTES;
 use radishstair_wire::PEER_TOKEN;
 use radishstair_wire::generated::peer_client::PeerClient;
 use tonic::metadata::{Ascii, MetadataValue};
@@ -67,8 +67,8 @@
 
     pub(super) fn over(&self, channel: Channel) -> Client {
         PeerClient::with_interceptor(channel, self.token.clone())
-            .max_decoding_message_size(MESSAGE_BYTES)
-            .max_encoding_message_size(MESSAGE_BYTES)
+            .max_decoding_message_size(MAX_MESSAGE_BYTES)
+            .max_encoding_message_size(MAX_MESSAGE_BYTES)
     }
 
     pub(super) fn channel(&self, address: &str) -> Option<(Channel, Arc<()>)> {
--- a/crates/entry/src/peers/serve.rs
+++ b/crates/entry/src/peers/serve.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context, Result};
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::peer::{
-    Ack, Collect, Collected, Forward, Forwarded, Heartbeat, MESSAGE_BYTES, Pull, Pulled,
+    Ack, Collect, Collected, Forward, Forwarded, Heartbeat, MAX_MESSAGE_BYTES, Pull, Pulled,
 };
 use radishstair_wire::PEER_TOKEN;
 use radishstair_wire::generated::peer_server::{Peer, PeerServer};
@@ -87,8 +87,8 @@
         traffic,
         caller,
     })
-    .max_decoding_message_size(MESSAGE_BYTES)
-    .max_encoding_message_size(MESSAGE_BYTES);
+    .max_decoding_message_size(MAX_MESSAGE_BYTES)
+    .max_encoding_message_size(MAX_MESSAGE_BYTES);
     let guard = move |request: Request<()>| admit(&token, request);
     Server::builder()
         .tcp_nodelay(true)
--- a/tests/suite/docs.rs
+++ b/tests/suite/docs.rs
@@ -107,7 +107,7 @@
         let links = Links::new(Token::new(TOKEN).expect("a token"));
         let mut client = links.client(&address).expect("an address");
         client
-            .pull(Pull { have: 0 })
+            .pull(Pull { version: 0 })
             .await
             .expect("an answer")
             .into_inner()
--- a/tests/suite/live.rs
+++ b/tests/suite/live.rs
@@ -399,7 +399,7 @@
             .expect("the port is open");
         let mut client = radishstair_wire::generated::peer_client::PeerClient::new(channel);
         client
-            .pull(radishstair_core::peer::Pull { have: 0 })
+            .pull(radishstair_core::peer::Pull { version: 0 })
             .await
             .expect_err("a stranger is refused")
     });
