--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -182,7 +182,7 @@
         if !now.reached(self.next_summary) {
             return;
         }
-        self.next_summary = now + crate::member::BEAT;
+        self.next_summary = now + crate::member::HEARTBEAT_INTERVAL;
         let summary = ZoneSummary {
             zone: self.zone.clone(),
             demands: self.demands(now),
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -12,15 +12,15 @@
 use crate::time::Moment;
 
 /// How often to beat.
-pub const BEAT: Duration = Duration::from_secs(1);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Silence after which a zone mate counts as gone.
-pub const SUSPECT: Duration = Duration::from_secs(6);
+pub const FAILURE_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long a card of one that is gone is kept.
-pub const KEEP_GONE: Duration = Duration::from_secs(600);
+pub const GONE_RETENTION: Duration = Duration::from_secs(600);
 /// How often delegates say what their zone has in force.
-pub const SUMMARIES: Duration = Duration::from_secs(3);
+pub const SUMMARY_INTERVAL: Duration = Duration::from_secs(3);
 /// Hosts of a zone that speak for it to other zones.
-pub const DELEGATES: usize = 2;
+pub const DELEGATES_PER_ZONE: usize = 2;
 /// Cards that changed this recently are sent first.
 const RECENT: Duration = Duration::from_secs(15);
 /// Beats with a differing digest after which all cards are sent.
@@ -104,11 +104,11 @@
         if !now.reached(self.next) {
             return Vec::new();
         }
-        self.next = now + BEAT;
+        self.next = now + HEARTBEAT_INTERVAL;
         self.expire(now);
         self.sends_summaries = self.is_delegate() && now.reached(self.next_summaries);
         if self.sends_summaries {
-            self.next_summaries = now + SUMMARIES;
+            self.next_summaries = now + SUMMARY_INTERVAL;
             self.summarize(now);
         }
         let mut addresses: Vec<String> = self
@@ -265,7 +265,7 @@
         let item = id::digest(item.as_bytes());
         let mine = id::weight(item, self.me.incarnation);
         let stronger = |peer: &&Peer| id::weight(item, peer.card.incarnation) > mine;
-        let is_delegate = |peer: &&Peer| self.rank_abroad(peer) < DELEGATES;
+        let is_delegate = |peer: &&Peer| self.rank_abroad(peer) < DELEGATES_PER_ZONE;
         self.is_delegate() && self.live().filter(stronger).filter(is_delegate).count() < count
     }
 
@@ -302,7 +302,7 @@
                     peer.card.address.as_str(),
                 )
             })
-            .filter(|(_, rank, _)| *rank < DELEGATES)
+            .filter(|(_, rank, _)| *rank < DELEGATES_PER_ZONE)
             .collect();
         ranked.sort_unstable();
         let zones = ranked.chunk_by(|a, b| a.0 == b.0);
@@ -314,7 +314,7 @@
     }
 
     fn is_delegate(&self) -> bool {
-        self.rank(&self.me.zone) < DELEGATES
+        self.rank(&self.me.zone) < DELEGATES_PER_ZONE
     }
 
     /// Delegates of the other zones, if this process is one of its own.
@@ -322,7 +322,7 @@
         let is_delegate = self.is_delegate();
         self.live()
             .filter(move |peer| is_delegate && peer.card.zone != self.me.zone)
-            .filter(|peer| self.rank_abroad(peer) < DELEGATES)
+            .filter(|peer| self.rank_abroad(peer) < DELEGATES_PER_ZONE)
     }
 
     /// Rank of a peer for speaking, among the hosts of its zone.
@@ -401,14 +401,14 @@
     fn expire(&mut self, now: Moment) {
         let zone = self.me.zone.clone();
         for peer in self.peers.iter_mut().filter(|peer| !peer.card.gone) {
-            let silent = peer.heard.is_none_or(|heard| now.since(heard) >= SUSPECT);
+            let silent = peer.heard.is_none_or(|heard| now.since(heard) >= FAILURE_TIMEOUT);
             if silent && peer.card.zone == zone {
                 peer.card.gone = true;
                 peer.changed = now;
             }
         }
         self.peers
-            .retain(|peer| !(peer.card.gone && now.since(peer.changed) >= KEEP_GONE));
+            .retain(|peer| !(peer.card.gone && now.since(peer.changed) >= GONE_RETENTION));
         self.digest = self.compute_digest();
     }
 
