--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -33,21 +33,21 @@
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
         match event {
             Event::Tick => self.beat(now, out),
-            Event::Heartbeat(beat) => self.members.hear(now, beat),
-            Event::View(view) => self.members.set_version(view.version),
+            Event::Heartbeat(beat) => self.members.on_heartbeat(now, beat),
+            Event::View(view) => self.members.set_config_version(view.version),
             Event::ZoneSummaries(own) => {
                 if let Some(summary) = own.first() {
                     self.members.set_demands(summary.demands.clone());
                 }
             }
-            Event::Drained => self.members.leave(),
+            Event::Drained => self.members.announce_leave(),
             _ => {}
         }
         self.publish(out);
     }
 
     fn beat(&mut self, now: Moment, out: &mut Outbox) {
-        let due = self.members.due(now);
+        let due = self.members.heartbeat_targets(now);
         if due.is_empty() {
             return;
         }
@@ -55,9 +55,9 @@
             out.act(Action::Heartbeat(address, Box::default()));
         }
         let beating = Event::HeartbeatRound {
-            mates: self.members.mates().count(),
-            peers: self.members.live().count(),
-            index: self.members.index(),
+            mates: self.members.zone_peers().count(),
+            peers: self.members.live_peers().count(),
+            index: self.members.member_index(),
         };
         out.post(DISPATCH, beating);
         out.post(ORDERS, Event::ZoneSummaries(self.members.summaries().to_vec()));
@@ -69,41 +69,41 @@
         }
         self.digest = self.members.digest();
         let standing = Standing {
-            watcher: self.members.rank(CONFIG) < WATCHERS,
-            orders: self.members.leads(ORDERS, CANDIDATES),
-            usage: self.members.leads(USAGE, CANDIDATES),
-            keepers: self.members.owners(self.me.0, KEEPERS),
+            watcher: self.members.zone_rank(CONFIG) < WATCHERS,
+            orders: self.members.is_leading_delegate(ORDERS, CANDIDATES),
+            usage: self.members.is_leading_delegate(USAGE, CANDIDATES),
+            keepers: self.members.zone_owners(self.me.0, KEEPERS),
             mates: self
                 .members
-                .mates()
-                .map(|peer| peer.card.address.clone())
+                .zone_peers()
+                .map(|peer| peer.member.address.clone())
                 .collect(),
             delegates: self.members.delegates(),
             live: self
                 .members
-                .live()
-                .map(|peer| (Incarnation(peer.card.incarnation), peer.card.address.clone()))
+                .live_peers()
+                .map(|peer| (Incarnation(peer.member.incarnation), peer.member.address.clone()))
                 .collect(),
         };
         for name in [CALLS, CONFIG, ORDERS, USAGE] {
             out.post(name, Event::Membership(standing.clone()));
         }
-        out.act(Action::Members(self.members.all()));
+        out.act(Action::Members(self.members.all_members()));
     }
 
     /// Fills in what a heartbeat left out.
     pub fn complete(&self, beat: &mut Heartbeat) -> bool {
-        self.members.complete(beat)
+        self.members.restore_sender(beat)
     }
 
     /// Adds to a heartbeat.
     pub fn compose(&mut self, now: Moment, address: &str, beat: &mut Heartbeat) {
-        self.members.compose(now, address, beat);
+        self.members.fill_heartbeat(now, address, beat);
     }
 
     /// Adds to the status.
     pub fn describe(&self, now: Moment, status: &mut Status) {
-        status.hosts = self.members.live().count() + 1;
+        status.hosts = self.members.live_peers().count() + 1;
         status.zones = self
             .members
             .summaries()
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -44,11 +44,11 @@
     /// One other process.
     pub struct Peer {
         /// Its card.
-        pub card: Member,
+        pub member: Member,
         /// Configuration version that it said was in force.
         pub version: u64,
         /// When it last beat here.
-        pub heard: Option<Moment>,
+        pub last_heartbeat: Option<Moment>,
         changed: Moment,
         digest: u64,
         differs: u32,
@@ -100,7 +100,7 @@
     }
 
     /// Addresses to beat to now; empty between beats.
-    pub fn due(&mut self, now: Moment) -> Vec<String> {
+    pub fn heartbeat_targets(&mut self, now: Moment) -> Vec<String> {
         if !now.reached(self.next) {
             return Vec::new();
         }
@@ -112,9 +112,9 @@
             self.summarize(now);
         }
         let mut addresses: Vec<String> = self
-            .mates()
+            .zone_peers()
             .chain(self.links())
-            .map(|peer| peer.card.address.clone())
+            .map(|peer| peer.member.address.clone())
             .collect();
         addresses.append(&mut self.unaware);
         addresses.extend(self.seeds.iter().filter(|seed| self.unknown(seed)).cloned());
@@ -124,13 +124,13 @@
     }
 
     /// Fills in a beat to an address.
-    pub fn compose(&mut self, now: Moment, address: &str, beat: &mut Heartbeat) {
+    pub fn fill_heartbeat(&mut self, now: Moment, address: &str, beat: &mut Heartbeat) {
         beat.sender = self.me.clone();
         beat.member_digest = self.digest;
         let Some(at) = self
             .peers
             .iter()
-            .position(|peer| peer.card.address == address && !peer.card.gone)
+            .position(|peer| peer.member.address == address && !peer.member.gone)
         else {
             beat.members = self.cards(now, true);
             return;
@@ -156,7 +156,7 @@
     /// Mates hear of all zones; other zones' delegates hear of this one, with
     /// its demand, which whoever is in charge of orders needs.
     fn summaries_for(&self, peer: &Peer) -> Vec<ZoneSummary> {
-        if peer.card.zone != self.me.zone {
+        if peer.member.zone != self.me.zone {
             let own = self
                 .summaries
                 .iter()
@@ -172,14 +172,14 @@
 
     /// Fills in the texts of a card that the sender left out; false when this
     /// host does not know the sender.
-    pub fn complete(&self, beat: &mut Heartbeat) -> bool {
+    pub fn restore_sender(&self, beat: &mut Heartbeat) -> bool {
         if !beat.sender.address.is_empty() {
             return true;
         }
         let Some(at) = self.find(Incarnation(beat.sender.incarnation)) else {
             return false;
         };
-        let known = &self.peers[at].card;
+        let known = &self.peers[at].member;
         beat.sender = Member {
             epoch: beat.sender.epoch,
             gone: beat.sender.gone,
@@ -189,7 +189,7 @@
     }
 
     /// Takes a beat in.
-    pub fn hear(&mut self, now: Moment, beat: &Heartbeat) {
+    pub fn on_heartbeat(&mut self, now: Moment, beat: &Heartbeat) {
         for card in beat.members.iter().chain(std::iter::once(&beat.sender)) {
             self.learn(now, card);
         }
@@ -197,7 +197,7 @@
         if let Some(at) = self.find(Incarnation(beat.sender.incarnation)) {
             self.note_unaware(at);
             let peer = &mut self.peers[at];
-            peer.heard = Some(now);
+            peer.last_heartbeat = Some(now);
             peer.version = beat.version;
             peer.digest = beat.member_digest;
         }
@@ -208,7 +208,7 @@
     }
 
     /// Version in force here, for the zone's summary.
-    pub fn set_version(&mut self, version: u64) {
+    pub fn set_config_version(&mut self, version: u64) {
         self.version = version;
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Says that this process leaves.
-    pub fn leave(&mut self) {
+    pub fn announce_leave(&mut self) {
         self.me.gone = true;
         self.me.epoch += 1;
         self.next = Moment::default();
@@ -231,18 +231,18 @@
     }
 
     /// Every peer that is not gone.
-    pub fn live(&self) -> impl Iterator<Item = &Peer> {
-        self.peers.iter().filter(|peer| !peer.card.gone)
+    pub fn live_peers(&self) -> impl Iterator<Item = &Peer> {
+        self.peers.iter().filter(|peer| !peer.member.gone)
     }
 
     /// Live peers of this zone.
-    pub fn mates(&self) -> impl Iterator<Item = &Peer> {
-        self.live().filter(|peer| peer.card.zone == self.me.zone)
+    pub fn zone_peers(&self) -> impl Iterator<Item = &Peer> {
+        self.live_peers().filter(|peer| peer.member.zone == self.me.zone)
     }
 
     /// All cards, gone ones too.
-    pub fn all(&self) -> Vec<Member> {
-        self.peers.iter().map(|peer| peer.card.clone()).collect()
+    pub fn all_members(&self) -> Vec<Member> {
+        self.peers.iter().map(|peer| peer.member.clone()).collect()
     }
 
     /// What zones said of themselves.
@@ -251,32 +251,32 @@
     }
 
     /// Rank of this process for an item among the zone's live hosts; 0 first.
-    pub fn rank(&self, item: &str) -> usize {
+    pub fn zone_rank(&self, item: &str) -> usize {
         let item = id::digest(item.as_bytes());
         let mine = id::weight(item, self.me.incarnation);
-        self.mates()
-            .filter(|peer| id::weight(item, peer.card.incarnation) > mine)
+        self.zone_peers()
+            .filter(|peer| id::weight(item, peer.member.incarnation) > mine)
             .count()
     }
 
     /// Whether this process is among the first few delegates for an item;
     /// they hear the other zones first-hand.
-    pub fn leads(&self, item: &str, count: usize) -> bool {
+    pub fn is_leading_delegate(&self, item: &str, count: usize) -> bool {
         let item = id::digest(item.as_bytes());
         let mine = id::weight(item, self.me.incarnation);
-        let stronger = |peer: &&Peer| id::weight(item, peer.card.incarnation) > mine;
+        let stronger = |peer: &&Peer| id::weight(item, peer.member.incarnation) > mine;
         let is_delegate = |peer: &&Peer| self.rank_abroad(peer) < DELEGATES_PER_ZONE;
-        self.is_delegate() && self.live().filter(stronger).filter(is_delegate).count() < count
+        self.is_delegate() && self.live_peers().filter(stronger).filter(is_delegate).count() < count
     }
 
     /// The zone mates that own an item, strongest first.
-    pub fn owners(&self, item: u64, count: usize) -> Vec<Incarnation> {
+    pub fn zone_owners(&self, item: u64, count: usize) -> Vec<Incarnation> {
         let mut ranked: Vec<(u64, Incarnation)> = self
-            .mates()
+            .zone_peers()
             .map(|peer| {
                 (
-                    id::weight(item, peer.card.incarnation),
-                    Incarnation(peer.card.incarnation),
+                    id::weight(item, peer.member.incarnation),
+                    Incarnation(peer.member.incarnation),
                 )
             })
             .collect();
@@ -286,20 +286,20 @@
     }
 
     /// This process's place among all live ones, by incarnation.
-    pub fn index(&self) -> usize {
-        let before = |peer: &&Peer| peer.card.incarnation < self.me.incarnation;
-        self.live().filter(before).count()
+    pub fn member_index(&self) -> usize {
+        let before = |peer: &&Peer| peer.member.incarnation < self.me.incarnation;
+        self.live_peers().filter(before).count()
     }
 
     /// The other zones and the addresses of their delegates, first ones first.
     pub fn delegates(&self) -> Vec<(String, Vec<String>)> {
-        let abroad = self.live().filter(|peer| peer.card.zone != self.me.zone);
+        let abroad = self.live_peers().filter(|peer| peer.member.zone != self.me.zone);
         let mut ranked: Vec<(&str, usize, &str)> = abroad
             .map(|peer| {
                 (
-                    peer.card.zone.as_str(),
+                    peer.member.zone.as_str(),
                     self.rank_abroad(peer),
-                    peer.card.address.as_str(),
+                    peer.member.address.as_str(),
                 )
             })
             .filter(|(_, rank, _)| *rank < DELEGATES_PER_ZONE)
@@ -314,27 +314,27 @@
     }
 
     fn is_delegate(&self) -> bool {
-        self.rank(&self.me.zone) < DELEGATES_PER_ZONE
+        self.zone_rank(&self.me.zone) < DELEGATES_PER_ZONE
     }
 
     /// Delegates of the other zones, if this process is one of its own.
     fn links(&self) -> impl Iterator<Item = &Peer> {
         let is_delegate = self.is_delegate();
-        self.live()
-            .filter(move |peer| is_delegate && peer.card.zone != self.me.zone)
+        self.live_peers()
+            .filter(move |peer| is_delegate && peer.member.zone != self.me.zone)
             .filter(|peer| self.rank_abroad(peer) < DELEGATES_PER_ZONE)
     }
 
     /// Rank of a peer for speaking, among the hosts of its zone.
     fn rank_abroad(&self, peer: &Peer) -> usize {
-        let item = id::digest(peer.card.zone.as_bytes());
-        let weight = id::weight(item, peer.card.incarnation);
-        let me = peer.card.zone == self.me.zone && id::weight(item, self.me.incarnation) > weight;
+        let item = id::digest(peer.member.zone.as_bytes());
+        let weight = id::weight(item, peer.member.incarnation);
+        let me = peer.member.zone == self.me.zone && id::weight(item, self.me.incarnation) > weight;
         usize::from(me)
             + self
-                .live()
-                .filter(|other| other.card.zone == peer.card.zone)
-                .filter(|other| id::weight(item, other.card.incarnation) > weight)
+                .live_peers()
+                .filter(|other| other.member.zone == peer.member.zone)
+                .filter(|other| id::weight(item, other.member.incarnation) > weight)
                 .count()
     }
 
@@ -349,22 +349,22 @@
         }
         match self
             .peers
-            .binary_search_by(|peer| peer.card.incarnation.cmp(&card.incarnation))
+            .binary_search_by(|peer| peer.member.incarnation.cmp(&card.incarnation))
         {
             Ok(at) => {
                 let peer = &mut self.peers[at];
-                let newer = card.epoch > peer.card.epoch;
-                if newer || (card.epoch == peer.card.epoch && card.gone && !peer.card.gone) {
-                    peer.card = card.clone();
+                let newer = card.epoch > peer.member.epoch;
+                if newer || (card.epoch == peer.member.epoch && card.gone && !peer.member.gone) {
+                    peer.member = card.clone();
                     peer.changed = now;
                 }
             }
             Err(at) => self.peers.insert(
                 at,
                 Peer {
-                    card: card.clone(),
+                    member: card.clone(),
                     version: 0,
-                    heard: Some(now),
+                    last_heartbeat: Some(now),
                     changed: now,
                     digest: 0,
                     differs: 0,
@@ -377,7 +377,7 @@
     /// not know. Without an answer that holds its card it would never learn,
     /// and stay a host that nobody tells anything.
     fn note_unaware(&mut self, at: usize) {
-        let card = &self.peers[at].card;
+        let card = &self.peers[at].member;
         if card.gone && !self.unaware.contains(&card.address) {
             self.unaware.push(card.address.clone());
         }
@@ -390,38 +390,42 @@
             return;
         }
         let former = self.peers.iter_mut().filter(|peer| {
-            !peer.card.gone && peer.card.address == card.address && peer.card.incarnation != card.incarnation
+            !peer.member.gone
+                && peer.member.address == card.address
+                && peer.member.incarnation != card.incarnation
         });
         for peer in former {
-            peer.card.gone = true;
+            peer.member.gone = true;
             peer.changed = now;
         }
     }
 
     fn expire(&mut self, now: Moment) {
         let zone = self.me.zone.clone();
-        for peer in self.peers.iter_mut().filter(|peer| !peer.card.gone) {
-            let silent = peer.heard.is_none_or(|heard| now.since(heard) >= FAILURE_TIMEOUT);
-            if silent && peer.card.zone == zone {
-                peer.card.gone = true;
+        for peer in self.peers.iter_mut().filter(|peer| !peer.member.gone) {
+            let silent = peer
+                .last_heartbeat
+                .is_none_or(|heard| now.since(heard) >= FAILURE_TIMEOUT);
+            if silent && peer.member.zone == zone {
+                peer.member.gone = true;
                 peer.changed = now;
             }
         }
         self.peers
-            .retain(|peer| !(peer.card.gone && now.since(peer.changed) >= GONE_RETENTION));
+            .retain(|peer| !(peer.member.gone && now.since(peer.changed) >= GONE_RETENTION));
         self.digest = self.compute_digest();
     }
 
     fn summarize(&mut self, now: Moment) {
         let lowest = self
-            .mates()
+            .zone_peers()
             .map(|peer| peer.version)
             .min()
             .unwrap_or(self.version);
         let summary = ZoneSummary {
             zone: self.me.zone.clone(),
             version: lowest.min(self.version),
-            hosts: self.mates().count() as u32 + u32::from(!self.me.gone),
+            hosts: self.zone_peers().count() as u32 + u32::from(!self.me.gone),
             timestamp_ms: now.wall,
             demands: self.demands.clone(),
         };
@@ -445,17 +449,17 @@
         self.peers
             .iter()
             .filter(|peer| all || now.since(peer.changed) < RECENT)
-            .map(|peer| peer.card.clone())
+            .map(|peer| peer.member.clone())
             .collect()
     }
 
     fn unknown(&self, seed: &str) -> bool {
-        seed != self.me.address && !self.live().any(|peer| peer.card.address == seed)
+        seed != self.me.address && !self.live_peers().any(|peer| peer.member.address == seed)
     }
 
     fn find(&self, incarnation: Incarnation) -> Option<usize> {
         self.peers
-            .binary_search_by(|peer| peer.card.incarnation.cmp(&incarnation.0))
+            .binary_search_by(|peer| peer.member.incarnation.cmp(&incarnation.0))
             .ok()
     }
 
@@ -463,7 +467,7 @@
         let of = |card: &Member| id::weight(card.incarnation, card.epoch * 2 + u64::from(card.gone));
         self.peers
             .iter()
-            .map(|peer| of(&peer.card))
+            .map(|peer| of(&peer.member))
             .fold(of(&self.me), |sum, one| sum.wrapping_add(one))
     }
 }
