--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -49,17 +49,17 @@
     #[derive(Default)]
     pub struct Standing {
         /// Watches the store for its zone.
-        pub watcher: bool,
+        pub watches_store: bool,
         /// May seek the ordering duty.
-        pub orders: bool,
+        pub orders_candidate: bool,
         /// May seek the reporting duty.
-        pub usage: bool,
+        pub usage_candidate: bool,
         /// Zone mates that keep this process's usage.
-        pub keepers: Vec<Incarnation>,
+        pub usage_replicas: Vec<Incarnation>,
         /// Live peers and their addresses.
-        pub live: Vec<(Incarnation, String)>,
+        pub live_peers: Vec<(Incarnation, String)>,
         /// Addresses of the live zone mates.
-        pub mates: Vec<String>,
+        pub zone_peers: Vec<String>,
         /// Other zones, each with the addresses of its delegates.
         pub delegates: Vec<(String, Vec<String>)>,
     }
@@ -294,7 +294,7 @@
     /// What a kernel is built from.
     pub struct Setup {
         /// This process.
-        pub me: Identity,
+        pub identity: Identity,
         /// Addresses of some peers.
         pub seeds: Vec<String>,
         /// Secret of this incarnation.
@@ -316,12 +316,12 @@
 impl Kernel {
     /// A process that has just started, with empty memory.
     pub fn new(now: Moment, setup: Setup) -> Self {
-        let me = setup.me.incarnation;
-        let zone = setup.me.zone.clone();
+        let me = setup.identity.incarnation;
+        let zone = setup.identity.zone.clone();
         let mut services = vec![
             (
                 MEMBER,
-                Service::Member(Box::new(member::Service::new(&setup.me, setup.seeds))),
+                Service::Member(Box::new(member::Service::new(&setup.identity, setup.seeds))),
             ),
             (CONFIG, Service::Config(Box::default())),
             (
--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -25,7 +25,7 @@
                 self.request.ask(CONFIG, call, out);
                 self.tell_trust(now, out);
             }
-            Event::Membership(standing) => self.watcher = standing.watcher,
+            Event::Membership(standing) => self.watcher = standing.watches_store,
             Event::StoreAnswer(token, answer) if self.request.takes(*token) => {
                 let (_, call) = self.inner.answer(now, answer);
                 self.request.ask(CONFIG, call, out);
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -69,17 +69,17 @@
         }
         self.digest = self.members.digest();
         let standing = Standing {
-            watcher: self.members.zone_rank(CONFIG) < WATCHERS,
-            orders: self.members.is_leading_delegate(ORDERS, CANDIDATES),
-            usage: self.members.is_leading_delegate(USAGE, CANDIDATES),
-            keepers: self.members.zone_owners(self.me.0, KEEPERS),
-            mates: self
+            watches_store: self.members.zone_rank(CONFIG) < WATCHERS,
+            orders_candidate: self.members.is_leading_delegate(ORDERS, CANDIDATES),
+            usage_candidate: self.members.is_leading_delegate(USAGE, CANDIDATES),
+            usage_replicas: self.members.zone_owners(self.me.0, KEEPERS),
+            zone_peers: self
                 .members
                 .zone_peers()
                 .map(|peer| peer.member.address.clone())
                 .collect(),
             delegates: self.members.delegates(),
-            live: self
+            live_peers: self
                 .members
                 .live_peers()
                 .map(|peer| (Incarnation(peer.member.incarnation), peer.member.address.clone()))
--- a/crates/core/src/kernel/orders.rs
+++ b/crates/core/src/kernel/orders.rs
@@ -52,7 +52,7 @@
             }
             Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
             Event::OrderAnswer(accepted) => self.planner.ordered(now, *accepted),
-            Event::Membership(standing) => self.candidate = standing.orders,
+            Event::Membership(standing) => self.candidate = standing.orders_candidate,
             Event::View(view) => self.view = view.clone(),
             Event::ZoneSummaries(summaries) => self.summaries = summaries.clone(),
             Event::Stop => self.lease.stop(now),
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -74,7 +74,7 @@
             Event::Membership(standing) => {
                 self.standing = standing.clone();
                 self.meter
-                    .retain_keepers(|keeper| standing.live.iter().any(|(live, _)| *live == keeper));
+                    .retain_keepers(|keeper| standing.live_peers.iter().any(|(live, _)| *live == keeper));
             }
             Event::View(view) => {
                 self.length = view.document.settings.usage_window;
@@ -91,7 +91,7 @@
         self.meter.tick(now);
         self.finish_gathers(now, out);
         self.ask_seconds(now, out);
-        let call = self.lease.tick(now, self.standing.usage);
+        let call = self.lease.tick(now, self.standing.usage_candidate);
         self.lease_request.ask(USAGE, call, out);
         let grant = self.lease.grant(now);
         match self.reporter.tick(now, grant, self.length, self.grace) {
@@ -139,13 +139,13 @@
         };
         let own = self.sum_up(now, &ask);
         self.gathers.push(Gather::new(now, call, own));
-        for address in &self.standing.mates {
+        for address in &self.standing.zone_peers {
             out.act(Action::Collect(address.clone(), ask.clone()));
         }
     }
 
     fn sum_up(&mut self, now: Moment, ask: &Collect) -> Collected {
-        let live = &self.standing.live;
+        let live = &self.standing.live_peers;
         self.meter
             .collect(now, ask, |source| live.iter().any(|(have, _)| *have == source))
     }
@@ -204,11 +204,11 @@
 
     /// Adds to a heartbeat.
     pub fn compose(&mut self, _now: Moment, address: &str, beat: &mut Heartbeat) {
-        let Some((peer, _)) = self.standing.live.iter().find(|(_, have)| have == address) else {
+        let Some((peer, _)) = self.standing.live_peers.iter().find(|(_, have)| have == address) else {
             return;
         };
         beat.acked_chunk = self.meter.kept(*peer);
-        if self.standing.keepers.contains(peer) {
+        if self.standing.usage_replicas.contains(peer) {
             beat.usage_chunks = self.meter.offer(*peer);
         }
     }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -104,7 +104,7 @@
     peers: mpsc::UnboundedSender<Message>,
 ) -> Result<Receiver<()>> {
     let setup = Setup {
-        me: Identity {
+        identity: Identity {
             incarnation: handle.me,
             host: settings.host.clone(),
             zone: settings.zone.clone(),
--- a/crates/load/src/cmd/slopes/fleet.rs
+++ b/crates/load/src/cmd/slopes/fleet.rs
@@ -112,7 +112,7 @@
     fn new(total: usize, zones: usize) -> Self {
         let kernel = |at: usize| {
             let setup = Setup {
-                me: Identity {
+                identity: Identity {
                     incarnation: Incarnation(at as u64 + 1),
                     host: format!("entry-{at:03}"),
                     zone: format!("zone-{}", at % zones),
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -268,7 +268,7 @@
         let mut secret = [0; 32];
         self.rng.fill_bytes(&mut secret);
         let setup = Setup {
-            me: Identity {
+            identity: Identity {
                 incarnation: me,
                 host: format!("host-{at}"),
                 zone: self.nodes[at].zone.clone(),
