--- a/crates/core/src/kernel/orders.rs
+++ b/crates/core/src/kernel/orders.rs
@@ -55,14 +55,14 @@
             Event::Membership(standing) => self.candidate = standing.orders_candidate,
             Event::View(view) => self.view = view.clone(),
             Event::ZoneSummaries(summaries) => self.summaries = summaries.clone(),
-            Event::Stop => self.lease.stop(now),
+            Event::Stop => self.lease.release(now),
             _ => {}
         }
     }
 
     fn stored(&mut self, now: Moment, token: Token, answer: &Answer, out: &mut Outbox) {
         if self.lease_request.takes(token) {
-            let call = self.lease.answer(now, answer);
+            let call = self.lease.on_answer(now, answer);
             self.lease_request.ask(ORDERS, call, out);
         } else if self.planner_request.takes(token) {
             let step = self.planner.answer(now, self.lease.grant(now), answer);
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -81,7 +81,7 @@
                 self.grace = view.document.settings.usage_grace;
                 self.meter.set_length(self.length);
             }
-            Event::Stop => self.lease.stop(now),
+            Event::Stop => self.lease.release(now),
             Event::Drained => self.meter.flush(now),
             _ => {}
         }
@@ -184,7 +184,7 @@
 
     fn stored(&mut self, now: Moment, token: Token, answer: &Answer, out: &mut Outbox) {
         if self.lease_request.takes(token) {
-            let call = self.lease.answer(now, answer);
+            let call = self.lease.on_answer(now, answer);
             self.lease_request.ask(USAGE, call, out);
         } else if self.report_request.takes(token) {
             let call = self.reporter.answer(now, answer);
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -14,45 +14,45 @@
 use crate::time::Moment;
 
 /// How often a candidate looks.
-pub const LOOK: Duration = Duration::from_secs(2);
+pub const READ_INTERVAL: Duration = Duration::from_secs(2);
 
 plain! {
     /// Spans of a lease; the same on all candidates.
     #[derive(Copy)]
-    pub struct Terms {
+    pub struct Timing {
         /// How long a renewal carries.
-        pub term: Duration,
+        pub duration: Duration,
         /// How often the holder renews.
-        pub renew: Duration,
+        pub renew_interval: Duration,
         /// Longest time one order or report may be in the air.
-        pub send: Duration,
+        pub max_send: Duration,
         /// Kept back for receivers that ignore fencing numbers: a pause of the
         /// holder between its last check and the bytes leaving is covered up
         /// to this long.
-        pub quiet: Duration,
+        pub quiet_period: Duration,
     }
 }
 
-impl Default for Terms {
+impl Default for Timing {
     fn default() -> Self {
         Self {
-            term: Duration::from_secs(6),
-            renew: Duration::from_secs(2),
-            send: Duration::from_secs(2),
-            quiet: Duration::from_secs(4),
+            duration: Duration::from_secs(6),
+            renew_interval: Duration::from_secs(2),
+            max_send: Duration::from_secs(2),
+            quiet_period: Duration::from_secs(4),
         }
     }
 }
 
-impl Terms {
+impl Timing {
     /// For receivers that check fencing numbers, with a term that the operator
     /// sets: three renewals in a term, so that one may be lost.
     pub fn fenced(term: Duration) -> Self {
         Self {
-            term,
-            renew: term / 3,
-            send: term / 4,
-            quiet: Duration::ZERO,
+            duration: term,
+            renew_interval: term / 3,
+            max_send: term / 4,
+            quiet_period: Duration::ZERO,
         }
     }
 }
@@ -92,7 +92,7 @@
         /// End of the right to act.
         pub until: Moment,
         /// Longest time that a send may take.
-        pub send: Duration,
+        pub max_send: Duration,
     }
 }
 
@@ -102,7 +102,7 @@
     /// Asked last thing before each send: a holder that was paused since its
     /// last look finds its time gone here.
     pub fn covers(&self, now: Moment) -> bool {
-        !(now + self.send).reached(self.until)
+        !(now + self.max_send).reached(self.until)
     }
 }
 
@@ -117,18 +117,18 @@
     held: Option<Grant>,
     next: Moment,
     stopping: bool,
-    terms: Terms,
+    terms: Timing,
     shown: bool,
 }
 
 impl Lease {
     /// A candidate that knows nothing yet, on the usual terms.
     pub fn new(me: Incarnation, duty: &str) -> Self {
-        Self::with(me, format!("duty/{duty}"), Terms::default())
+        Self::with_timing(me, format!("duty/{duty}"), Timing::default())
     }
 
     /// A candidate for the record under `key`.
-    pub fn with(me: Incarnation, key: String, terms: Terms) -> Self {
+    pub fn with_timing(me: Incarnation, key: String, terms: Timing) -> Self {
         Self {
             me,
             key,
@@ -168,7 +168,7 @@
             return None;
         }
         self.step = Step::Reading { sent: now };
-        self.next = now + LOOK;
+        self.next = now + READ_INTERVAL;
         Some(Call::Get {
             key: self.key.clone(),
         })
@@ -179,7 +179,7 @@
     ///
     /// The holder's own writes tell it more: a read that left before one of
     /// them would show it an older record.
-    pub fn show(&mut self, now: Moment, entry: Option<&Entry>) {
+    pub fn observe_read(&mut self, now: Moment, entry: Option<&Entry>) {
         if self.held.is_some() || self.step != Step::Idle {
             return;
         }
@@ -188,7 +188,7 @@
     }
 
     /// Takes the store's answer.
-    pub fn answer(&mut self, now: Moment, answer: &Answer) -> Option<Call> {
+    pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> Option<Call> {
         match std::mem::replace(&mut self.step, Step::Idle) {
             Step::Idle => None,
             Step::Reading { .. } => {
@@ -203,13 +203,13 @@
     }
 
     /// Gives the duty back at the next tick.
-    pub fn stop(&mut self, now: Moment) {
+    pub fn release(&mut self, now: Moment) {
         self.stopping = true;
         self.next = now;
     }
 
     /// Whether nothing is held or in the air any more.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.held.is_none() && self.step == Step::Idle
     }
 
@@ -263,12 +263,12 @@
     }
 
     fn confirm(&mut self, sent: Moment, record: Record) {
-        self.next = sent + self.terms.renew;
+        self.next = sent + self.terms.renew_interval;
         self.seen = Some((record.clone(), sent));
         self.held = (!record.released).then_some(Grant {
             fence: record.fence,
-            until: sent + self.terms.term,
-            send: self.terms.send,
+            until: sent + self.terms.duration,
+            max_send: self.terms.max_send,
         });
     }
 
@@ -299,7 +299,7 @@
 
     /// Time for which an unchanged record must be respected.
     fn wait(&self) -> Duration {
-        self.terms.term + self.terms.send + self.terms.quiet
+        self.terms.duration + self.terms.max_send + self.terms.quiet_period
     }
 
     fn write(&mut self, now: Moment, released: bool) -> Option<Call> {
@@ -317,7 +317,7 @@
         if released {
             self.held = None;
         }
-        self.next = now + self.terms.renew;
+        self.next = now + self.terms.renew_interval;
         let value = serde_json::to_string(&record).ok()?;
         self.step = Step::Writing { sent: now, record };
         Some(Call::Swap {
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use radishstair_core::lease::{Grant, Lease, Terms};
+use radishstair_core::lease::{Grant, Lease, Timing};
 use radishstair_core::proxy::report::{self, Reporter};
 use radishstair_core::proxy::supply::Planner;
 use radishstair_core::proxy::tally::Window;
@@ -44,10 +44,10 @@
 impl Duty {
     /// A host that holds nothing yet.
     pub fn new(shared: Arc<Shared>, store: Arc<Asker>) -> Self {
-        let terms = Terms::fenced(Duration::from_millis(shared.settings.load().bounds.lease_ms));
+        let terms = Timing::fenced(Duration::from_millis(shared.settings.load().bounds.lease_ms));
         Self {
             began: shared.now(),
-            lease: Lease::with(shared.me, format!("{PREFIX}duty"), terms),
+            lease: Lease::with_timing(shared.me, format!("{PREFIX}duty"), terms),
             records: Records::new(shared.clone(), store.clone()),
             shared,
             store,
@@ -105,7 +105,7 @@
         let now = self.shared.now();
         let duty = format!("{PREFIX}duty");
         let duty = own.entries.iter().find(|entry| entry.key == duty);
-        self.lease.show(now, duty);
+        self.lease.observe_read(now, duty);
         let sealed: Vec<Entry> = own
             .entries
             .iter()
@@ -126,17 +126,17 @@
         let mut call = self.lease.tick(now, candidate);
         while let Some(next) = call {
             let answer = call::ask(&self.shared, &self.store, &next, WRITE).await.answer;
-            call = self.lease.answer(self.shared.now(), &answer);
+            call = self.lease.on_answer(self.shared.now(), &answer);
         }
         self.tell();
     }
 
     async fn hand_back(&mut self) {
         let now = self.shared.now();
-        self.lease.stop(now);
+        self.lease.release(now);
         while let Some(call) = self.lease.tick(self.shared.now(), false) {
             let answer = call::ask(&self.shared, &self.store, &call, WRITE).await.answer;
-            self.lease.answer(self.shared.now(), &answer);
+            self.lease.on_answer(self.shared.now(), &answer);
         }
         self.tell();
     }
@@ -237,7 +237,7 @@
             return None;
         }
         let address = self.shared.settings.load().desk;
-        let asked = self.desk.ask(address, request, grant.send).await;
+        let asked = self.desk.ask(address, request, grant.max_send).await;
         let (outcome, status) = match asked {
             Asked::Answer(status, _) if status.is_success() => ("ok", Some(status.as_u16())),
             Asked::Answer(status, _) => ("refused", Some(status.as_u16())),
--- a/tests/suite/proxy/lease.rs
+++ b/tests/suite/proxy/lease.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use radishstair_core::id::Incarnation;
-use radishstair_core::lease::{Lease, Terms};
+use radishstair_core::lease::{Lease, Timing};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
 
@@ -42,18 +42,18 @@
 
 fn step(lease: &mut Lease, store: &mut Store, ms: u64) -> Option<u64> {
     let entry = store.entry();
-    lease.show(at(ms), entry.as_ref());
+    lease.observe_read(at(ms), entry.as_ref());
     let mut call = lease.tick(at(ms), true);
     while let Some(next) = call {
         let answer = store.call(&next);
-        call = lease.answer(at(ms), &answer);
+        call = lease.on_answer(at(ms), &answer);
     }
     lease.grant(at(ms)).map(|grant| grant.fence)
 }
 
 fn candidate(run: u64) -> Lease {
-    let terms = Terms::fenced(Duration::from_secs(3));
-    Lease::with(Incarnation(run), "duty".into(), terms)
+    let terms = Timing::fenced(Duration::from_secs(3));
+    Lease::with_timing(Incarnation(run), "duty".into(), terms)
 }
 
 /// Two hosts report one window. The holder is frozen and its lease runs out; a
@@ -87,7 +87,7 @@
     step(&mut holder, &mut store, 0);
     let old = store.entry();
     step(&mut holder, &mut store, 1_100);
-    holder.show(at(1_200), old.as_ref());
+    holder.observe_read(at(1_200), old.as_ref());
     assert!(holder.grant(at(1_300)).is_some());
     assert_eq!(step(&mut holder, &mut store, 2_300), Some(1));
 }
--- a/tests/suite/proxy/schedule.rs
+++ b/tests/suite/proxy/schedule.rs
@@ -10,7 +10,7 @@
 
 use radishstair_core::error::Kind;
 use radishstair_core::id::Incarnation;
-use radishstair_core::lease::{Lease, Terms};
+use radishstair_core::lease::{Lease, Timing};
 use radishstair_core::proxy::mirror::{Changes, Mirror, Page};
 use radishstair_core::proxy::report::{Plan, Reporter, Step};
 use radishstair_core::proxy::tally::{Ledger, Record, Tally, Window};
@@ -117,13 +117,13 @@
 
 impl Host {
     fn start(name: &str, run: u64, ms: u64) -> Self {
-        let terms = Terms::fenced(Duration::from_secs(3));
+        let terms = Timing::fenced(Duration::from_secs(3));
         Self {
             name: name.into(),
             run,
             began: ms,
             frozen_until: 0,
-            lease: Lease::with(Incarnation(run), "duty".into(), terms),
+            lease: Lease::with_timing(Incarnation(run), "duty".into(), terms),
             reporter: Reporter::default(),
             tally: Tally::default(),
             ledger: Ledger::default(),
@@ -315,7 +315,7 @@
             let mut call = host.lease.tick(now, ms >= host.began + 4_000);
             while let Some(next) = call {
                 let answer = store.call(ms, rng, &next);
-                call = host.lease.answer(now, &answer);
+                call = host.lease.on_answer(now, &answer);
             }
             self.report(ms, at_host);
         }
@@ -418,7 +418,7 @@
     host.state
         .configure(table(document.version, vec![customer("ana", keys)]));
     host.state.proof.renew(as_of);
-    host.lease.show(now, host.mirror.find("duty"));
+    host.lease.observe_read(now, host.mirror.find("duty"));
     let entries = host.mirror.under("").to_vec();
     let (sealed, others): (Vec<Entry>, Vec<Entry>) = entries
         .into_iter()
--- a/tests/suite/proxy/usage.rs
+++ b/tests/suite/proxy/usage.rs
@@ -24,7 +24,7 @@
     Grant {
         fence: 7,
         until: now + Duration::from_secs(3),
-        send: Duration::from_millis(750),
+        max_send: Duration::from_millis(750),
     }
 }
 
