--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -155,7 +155,7 @@
         };
         let place = pending.place.clone();
         self.pending.push((token, pending));
-        Err(Ask::Swap {
+        Err(Ask::CompareAndSwap {
             key: place,
             expect: 0,
             value: serde_json::to_string(&record).unwrap_or_default(),
--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -287,7 +287,7 @@
             version: self.view.version,
             document: self.view.document.clone(),
         };
-        Call::Swap {
+        Call::CompareAndSwap {
             key: change::SNAPSHOT.into(),
             expect: self.snapshot.1,
             value: serde_json::to_string(&snapshot).unwrap_or_default(),
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -158,7 +158,7 @@
         if self.records.size() == (0, 0) || value.len() > TOMBSTONE_BYTES {
             return;
         }
-        let call = store::Call::Swap {
+        let call = store::Call::CompareAndSwap {
             key: format!("{TOMBSTONE}{}", self.me),
             expect: 0,
             value,
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -320,7 +320,7 @@
         self.next = now + self.terms.renew_interval;
         let value = serde_json::to_string(&record).ok()?;
         self.step = Step::Writing { sent: now, record };
-        Some(Call::Swap {
+        Some(Call::CompareAndSwap {
             key: self.key.clone(),
             expect: self.version,
             value,
--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -219,7 +219,7 @@
             count: target.want,
             fence: grant.fence,
         };
-        let call = Call::Swap {
+        let call = Call::CompareAndSwap {
             key: format!("{PREFIX}{}/{}", order.pool, order.zone),
             expect: target.more.version,
             value: serde_json::to_string(&order).ok()?,
--- a/crates/core/src/seal.rs
+++ b/crates/core/src/seal.rs
@@ -47,7 +47,7 @@
 impl<V: Serialize + DeserializeOwned> Writer<V> {
     /// Writes a figure under its key unless one stands there.
     pub fn write(&mut self, now: Moment, key: String, value: V) -> Option<Call> {
-        let call = Call::Swap {
+        let call = Call::CompareAndSwap {
             key: key.clone(),
             expect: 0,
             // Names and numbers always become JSON.
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -14,13 +14,13 @@
     #[allow(missing_docs)]
     pub enum Call {
         /// Write if the version still is `expect`; 0 means absent.
-        Swap { key: String, expect: u64, value: String },
+        CompareAndSwap { key: String, expect: u64, value: String },
         /// Read one key.
         Get { key: String },
         /// Read one key, possibly as it was some time ago, for less.
-        Peek { key: String },
+        GetStale { key: String },
         /// Read one key unless its version still is `version`.
-        Renew { key: String, version: u64 },
+        GetIfChanged { key: String, version: u64 },
         /// Read keys under a prefix, after `after`, in order.
         Range { prefix: String, after: String, limit: u32 },
         /// Remove if the version still is `expect`.
@@ -64,10 +64,10 @@
     /// Name for counters.
     pub fn name(&self) -> &'static str {
         match self {
-            Call::Swap { .. } => "swap",
+            Call::CompareAndSwap { .. } => "swap",
             Call::Get { .. } => "get",
-            Call::Peek { .. } => "peek",
-            Call::Renew { .. } => "renew",
+            Call::GetStale { .. } => "peek",
+            Call::GetIfChanged { .. } => "renew",
             Call::Range { .. } => "range",
             Call::Remove { .. } => "remove",
             Call::Watch { .. } => "watch",
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -313,7 +313,7 @@
         let head = Head {
             reported: seal.number,
         };
-        Some(Call::Swap {
+        Some(Call::CompareAndSwap {
             key: HEAD.into(),
             expect: self.head_version,
             value: serde_json::to_string(&head).unwrap_or_default(),
--- a/crates/ctl/src/commit.rs
+++ b/crates/ctl/src/commit.rs
@@ -116,7 +116,7 @@
         value.len() < 900_000,
         "the change is too large for one value of the store"
     );
-    let call = Call::Swap {
+    let call = Call::CompareAndSwap {
         key,
         expect: 0,
         value,
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -39,7 +39,7 @@
 impl Leases {
     /// A lease for the keys that need one.
     fn of(&self, client: &Client, call: &Call) -> Option<u64> {
-        let Call::Swap { key, .. } = call else {
+        let Call::CompareAndSwap { key, .. } = call else {
             return None;
         };
         if !key.starts_with(claim::STAMPED) && !key.starts_with(calls::TOMBSTONE) {
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -90,7 +90,7 @@
         let key = self.shared.dialect.keys().document.to_string();
         let version = self.shared.document().version();
         let call = match step {
-            Step::Renew => Call::Renew { key, version },
+            Step::Renew => Call::GetIfChanged { key, version },
             Step::Read | Step::Rest(_) => Call::Get { key },
         };
         let page = call::ask_with(&self.shared, &self.store, &call, TRANSFER).await;
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -242,7 +242,7 @@
         // Text and numbers always become JSON.
         return false;
     };
-    let call = Call::Swap {
+    let call = Call::CompareAndSwap {
         key: written.key.clone(),
         expect: written.version,
         value,
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -291,7 +291,7 @@
         let now = shared.now();
         let key = NOTHING.to_string();
         if !shared.state().store_answered.covers(now, STORE_ASKED) {
-            call::ask(&shared, &store, &Call::Peek { key }, PAGE).await;
+            call::ask(&shared, &store, &Call::GetStale { key }, PAGE).await;
         }
         tokio::time::sleep(STORE_ASKED / 4).await;
     }
--- a/crates/load/src/cmd/slopes/fleet.rs
+++ b/crates/load/src/cmd/slopes/fleet.rs
@@ -266,13 +266,13 @@
     }
 
     fn ask(&mut self, at: usize, token: radishstair_core::store::Token, call: &Call) {
-        let write = matches!(call, Call::Swap { .. } | Call::Remove { .. });
+        let write = matches!(call, Call::CompareAndSwap { .. } | Call::Remove { .. });
         if self.counting {
             self.writes += usize::from(write);
             self.reads += usize::from(!write);
         }
         let answer = match call {
-            Call::Swap { key, expect, value } => {
+            Call::CompareAndSwap { key, expect, value } => {
                 let have = self.store.get(key).map_or(0, |(version, _)| *version);
                 if have == *expect {
                     self.version += 1;
@@ -282,7 +282,7 @@
                     Answer::Conflict(self.value(key))
                 }
             }
-            Call::Get { key } | Call::Peek { key } | Call::Renew { key, .. } => {
+            Call::Get { key } | Call::GetStale { key } | Call::GetIfChanged { key, .. } => {
                 Answer::Found(vec![self.value(key)])
             }
             Call::Range { prefix, after, limit } => self.scan(prefix, after, *limit as usize),
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -159,7 +159,7 @@
     /// Makes one call to the key-value service.
     pub fn store(&self, call: &Call, lease: Option<u64>) -> Answer {
         match call {
-            Call::Swap { key, expect, value } => {
+            Call::CompareAndSwap { key, expect, value } => {
                 let body = Swap {
                     key: key.clone(),
                     expect: *expect,
@@ -176,7 +176,7 @@
                 write_answer(key, self.post("/kv/remove", &body, CALL))
             }
             // The platform's own answers are never old, and always whole.
-            Call::Get { key } | Call::Peek { key } | Call::Renew { key, .. } => {
+            Call::Get { key } | Call::GetStale { key } | Call::GetIfChanged { key, .. } => {
                 read_answer(self.post("/kv/get", &Get { key: key.clone() }, CALL))
             }
             Call::Range { prefix, after, limit } => {
--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -115,7 +115,7 @@
     fn step(&mut self, world: &mut World) {
         for offer in &mut self.offers {
             if offer.result.is_none() && world.now >= offer.lands {
-                let call = Call::Swap {
+                let call = Call::CompareAndSwap {
                     key: change::log_key(offer.entry.version),
                     expect: 0,
                     value: serde_json::to_string(&offer.entry).expect("an entry is JSON"),
--- a/tests/suite/proxy/lease.rs
+++ b/tests/suite/proxy/lease.rs
@@ -29,12 +29,12 @@
 
     fn call(&mut self, call: &Call) -> Answer {
         match call {
-            Call::Swap { expect, value, .. } if *expect == self.version => {
+            Call::CompareAndSwap { expect, value, .. } if *expect == self.version => {
                 self.version += 1;
                 self.value = value.clone();
                 Answer::Written(self.version)
             }
-            Call::Swap { .. } => Answer::Conflict(self.entry().expect("somebody wrote")),
+            Call::CompareAndSwap { .. } => Answer::Conflict(self.entry().expect("somebody wrote")),
             _ => Answer::Found(self.entry().into_iter().collect()),
         }
     }
--- a/tests/suite/proxy/schedule.rs
+++ b/tests/suite/proxy/schedule.rs
@@ -64,7 +64,7 @@
             };
         }
         let answer = match call {
-            Call::Swap { key, expect, value } => self.swap(key, *expect, value),
+            Call::CompareAndSwap { key, expect, value } => self.swap(key, *expect, value),
             Call::Get { key } => Answer::Found(self.entry(key).into_iter().collect()),
             _ => Answer::Refused,
         };
@@ -435,7 +435,7 @@
     let Ok(value) = serde_json::to_string(&host.record(ms)) else {
         return;
     };
-    let call = Call::Swap {
+    let call = Call::CompareAndSwap {
         key: format!("host/{}/{}", host.name, host.run),
         expect: host.own_version,
         value,
--- a/tests/suite/proxy/usage.rs
+++ b/tests/suite/proxy/usage.rs
@@ -44,7 +44,7 @@
 }
 
 fn sealed(step: Option<Step>) -> Option<Window> {
-    let Some(Step::Store(Call::Swap { value, .. })) = step else {
+    let Some(Step::Store(Call::CompareAndSwap { value, .. })) = step else {
         return None;
     };
     serde_json::from_str(&value).ok()
--- a/tests/suite/seal.rs
+++ b/tests/suite/seal.rs
@@ -22,7 +22,7 @@
 fn writing() -> Writer<u64> {
     let mut writer = Writer::default();
     let call = writer.write(at(0), "k".into(), 7).expect("a number becomes JSON");
-    let expected = Call::Swap {
+    let expected = Call::CompareAndSwap {
         key: "k".into(),
         expect: 0,
         value: "7".into(),
--- a/tests/suite/world/store.rs
+++ b/tests/suite/world/store.rs
@@ -46,7 +46,7 @@
     /// What the store does, as one step.
     pub fn apply(&mut self, call: &store::Call) -> Answer {
         match call {
-            store::Call::Swap { key, expect, value } => {
+            store::Call::CompareAndSwap { key, expect, value } => {
                 let have = self.store.get(key).map_or(0, |(version, _)| *version);
                 if have != *expect && self.broken != Broken::Swap {
                     return Answer::Conflict(self.entry(key));
@@ -58,7 +58,9 @@
                 self.store.remove(key);
                 Answer::Written(0)
             }
-            store::Call::Get { key } | store::Call::Peek { key } | store::Call::Renew { key, .. } => {
+            store::Call::Get { key }
+            | store::Call::GetStale { key }
+            | store::Call::GetIfChanged { key, .. } => {
                 let keys = self.stale.as_ref().unwrap_or(&self.store);
                 let found = keys.get(key).map(|value| entry(key, value));
                 Answer::Found(found.into_iter().collect())
