--- a/crates/core/src/dispatch/choose.rs
+++ b/crates/core/src/dispatch/choose.rs
@@ -274,7 +274,7 @@
         let Some(prefix) = seek.prefix.filter(|_| self.policy.affinity()) else {
             return best;
         };
-        let home = all().max_by_key(|key| id::weight(prefix, u64::from(key.0)));
+        let home = all().max_by_key(|key| id::rendezvous_weight(prefix, u64::from(key.0)));
         let bound = runners.get(best).load() * AFFINITY_SLACK + 0.25;
         match home {
             Some(home)
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -35,7 +35,7 @@
 
 /// Weight of `node` for `item`: the highest weights own the item
 /// (rendezvous hashing, so a lost node moves only its own items).
-pub fn weight(item: u64, node: u64) -> u64 {
+pub fn rendezvous_weight(item: u64, node: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(&item.to_le_bytes(), node)
 }
 
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -253,9 +253,9 @@
     /// Rank of this process for an item among the zone's live hosts; 0 first.
     pub fn zone_rank(&self, item: &str) -> usize {
         let item = id::digest(item.as_bytes());
-        let mine = id::weight(item, self.me.incarnation);
+        let mine = id::rendezvous_weight(item, self.me.incarnation);
         self.zone_peers()
-            .filter(|peer| id::weight(item, peer.member.incarnation) > mine)
+            .filter(|peer| id::rendezvous_weight(item, peer.member.incarnation) > mine)
             .count()
     }
 
@@ -263,8 +263,8 @@
     /// they hear the other zones first-hand.
     pub fn is_leading_delegate(&self, item: &str, count: usize) -> bool {
         let item = id::digest(item.as_bytes());
-        let mine = id::weight(item, self.me.incarnation);
-        let stronger = |peer: &&Peer| id::weight(item, peer.member.incarnation) > mine;
+        let mine = id::rendezvous_weight(item, self.me.incarnation);
+        let stronger = |peer: &&Peer| id::rendezvous_weight(item, peer.member.incarnation) > mine;
         let is_delegate = |peer: &&Peer| self.rank_abroad(peer) < DELEGATES_PER_ZONE;
         self.is_delegate() && self.live_peers().filter(stronger).filter(is_delegate).count() < count
     }
@@ -275,7 +275,7 @@
             .zone_peers()
             .map(|peer| {
                 (
-                    id::weight(item, peer.member.incarnation),
+                    id::rendezvous_weight(item, peer.member.incarnation),
                     Incarnation(peer.member.incarnation),
                 )
             })
@@ -328,13 +328,14 @@
     /// Rank of a peer for speaking, among the hosts of its zone.
     fn rank_abroad(&self, peer: &Peer) -> usize {
         let item = id::digest(peer.member.zone.as_bytes());
-        let weight = id::weight(item, peer.member.incarnation);
-        let me = peer.member.zone == self.me.zone && id::weight(item, self.me.incarnation) > weight;
+        let weight = id::rendezvous_weight(item, peer.member.incarnation);
+        let me =
+            peer.member.zone == self.me.zone && id::rendezvous_weight(item, self.me.incarnation) > weight;
         usize::from(me)
             + self
                 .live_peers()
                 .filter(|other| other.member.zone == peer.member.zone)
-                .filter(|other| id::weight(item, other.member.incarnation) > weight)
+                .filter(|other| id::rendezvous_weight(item, other.member.incarnation) > weight)
                 .count()
     }
 
@@ -464,7 +465,8 @@
     }
 
     fn compute_digest(&self) -> u64 {
-        let of = |card: &Member| id::weight(card.incarnation, card.epoch * 2 + u64::from(card.gone));
+        let of =
+            |card: &Member| id::rendezvous_weight(card.incarnation, card.epoch * 2 + u64::from(card.gone));
         self.peers
             .iter()
             .map(|peer| of(&peer.member))
--- a/crates/core/src/proxy/mirror.rs
+++ b/crates/core/src/proxy/mirror.rs
@@ -16,7 +16,7 @@
 use prost::Message;
 
 use super::document::Notice;
-use crate::id::{digest, weight};
+use crate::id::{digest, rendezvous_weight};
 use crate::store::Entry;
 use crate::time::Moment;
 
@@ -269,7 +269,7 @@
 
 /// Checksum over keys and their versions, whatever their order.
 fn sum(entries: &[Entry]) -> u64 {
-    let one = |entry: &Entry| weight(digest(entry.key.as_bytes()), entry.version);
+    let one = |entry: &Entry| rendezvous_weight(digest(entry.key.as_bytes()), entry.version);
     entries.iter().map(one).fold(0, |sum, one| sum ^ one)
 }
 
--- a/crates/core/src/proxy/place.rs
+++ b/crates/core/src/proxy/place.rs
@@ -24,7 +24,7 @@
 use super::pace::{Outlook, Pace, ms};
 use super::parting::{self, Parting};
 use super::prefix::{Holder, Index};
-use crate::id::weight;
+use crate::id::rendezvous_weight;
 use crate::time::Moment;
 
 /// Times that reading a shared token again counts, beside the runner's own time: the
@@ -331,7 +331,7 @@
     let order = |runner: &Runner| {
         let near = runner.listed.zone == known.fleet.zone;
         let fits = runner.long == is_long;
-        (near, fits, weight(subject, runner.hash))
+        (near, fits, rendezvous_weight(subject, runner.hash))
     };
     let home = open.iter().max_by_key(|(_, runner)| order(runner));
     home.map(|(key, _)| *key)
@@ -357,7 +357,7 @@
             quiet,
             runner.load(),
             cold,
-            weight(demand.draw, u64::from(key.0)),
+            rendezvous_weight(demand.draw, u64::from(key.0)),
         )
     };
     let chosen = set.iter().min_by_key(|(key, runner)| order(*key, runner));
--- a/crates/core/src/proxy/share.rs
+++ b/crates/core/src/proxy/share.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::id::{digest, weight};
+use crate::id::{digest, rendezvous_weight};
 use crate::time::Moment;
 
 /// Hosts that read however few there are: one may die unseen for seconds.
@@ -116,7 +116,8 @@
         let zone = find(me, hosts).map_or(0, |host| host.zone);
         let rests = |host: &Host| self.resting.iter().any(|(have, _)| *have == host.address);
         let others = among.iter().filter(|host| host.address != me && !rests(host));
-        let nearest = others.max_by_key(|host| (host.zone == zone, weight(rank(&host.address), own)));
+        let nearest =
+            others.max_by_key(|host| (host.zone == zone, rendezvous_weight(rank(&host.address), own)));
         nearest.map(|host| host.address)
     }
 }
