--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -9,7 +9,7 @@
 
 use serde_with::serde_as;
 
-use crate::units::Span;
+use crate::units::DurationText;
 
 pub mod change;
 pub mod check;
@@ -32,10 +32,10 @@
     /// Lower goes first.
     pub priority: u8,
     /// First token, or whole answer of a plain call, within this.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub target: Duration,
     /// Longest wait for a runner; past it the call is refused.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub patience: Duration,
     /// Never shed or preempted for an unprotected tier.
     #[serde(default)]
@@ -163,15 +163,15 @@
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// How long a host cut off from every newer word goes on trusting keys.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(default = "default_horizon")]
     pub key_horizon: Duration,
     /// Length of a usage window.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(default = "default_window")]
     pub usage_window: Duration,
     /// Wait after a window's end before it is sealed.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(default = "default_grace")]
     pub usage_grace: Duration,
     /// Share of every runner kept free for protected tiers, in percent.
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -6,18 +6,18 @@
 use serde_with::{DeserializeAs, SerializeAs};
 
 /// A span written as `"250ms"`, `"5s"`, `"10m"` or `"2h"`.
-pub struct Span;
+pub struct DurationText;
 
-impl SerializeAs<Duration> for Span {
+impl SerializeAs<Duration> for DurationText {
     fn serialize_as<S: Serializer>(value: &Duration, ser: S) -> Result<S::Ok, S::Error> {
-        ser.serialize_str(&show(*value))
+        ser.serialize_str(&format_duration(*value))
     }
 }
 
-impl<'de> DeserializeAs<'de, Duration> for Span {
+impl<'de> DeserializeAs<'de, Duration> for DurationText {
     fn deserialize_as<D: Deserializer<'de>>(de: D) -> Result<Duration, D::Error> {
         let text: String = serde::Deserialize::deserialize(de)?;
-        parse(&text).ok_or_else(|| {
+        parse_duration(&text).ok_or_else(|| {
             D::Error::custom(format!(
                 "`{text}` is not a time span; write a whole number and ms, s, m or h, like \"250ms\""
             ))
@@ -26,7 +26,7 @@
 }
 
 /// Reads a span with its unit.
-pub fn parse(text: &str) -> Option<Duration> {
+pub fn parse_duration(text: &str) -> Option<Duration> {
     let split = text.find(|c: char| !c.is_ascii_digit())?;
     let count: u64 = text[..split].parse().ok()?;
     let unit = match &text[split..] {
@@ -40,7 +40,7 @@
 }
 
 /// Writes a span in its largest exact unit.
-pub fn show(span: Duration) -> String {
+pub fn format_duration(span: Duration) -> String {
     let ms = span.as_millis() as u64;
     match ms {
         0 => "0ms".into(),
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -6,7 +6,7 @@
 
 use anyhow::{Result, ensure};
 use radishstair_core::dispatch::Policy;
-use radishstair_core::units::Span;
+use radishstair_core::units::DurationText;
 use serde_with::serde_as;
 
 #[serde_as]
@@ -41,11 +41,11 @@
     #[serde(default = "default_threads")]
     pub threads: usize,
     /// How long to go on accepting after being told to stop.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(default = "default_linger")]
     pub linger: Duration,
     /// Longest time to let requests finish after that.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(default = "default_drain")]
     pub drain: Duration,
     /// How calls are ordered and placed; other than `full` for comparisons.
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context, Result, ensure};
 use radishstair_core::config::{Document, check};
 use radishstair_core::record;
-use radishstair_core::units::Span;
+use radishstair_core::units::DurationText;
 use serde_with::serde_as;
 
 record! {
@@ -79,7 +79,7 @@
 #[serde(deny_unknown_fields)]
 pub struct At {
     /// From the start.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub after: Duration,
     /// What.
     pub change: Change,
@@ -95,7 +95,7 @@
     /// The configuration, beside the scenario file.
     pub configuration: String,
     /// Length.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub length: Duration,
     /// Availability zones.
     pub zones: Vec<String>,
@@ -109,7 +109,7 @@
     #[serde(default)]
     pub events: Vec<At>,
     /// Age of what hosts know of each other's calls.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub lag: Duration,
     /// Seeds from here on are for a final look only.
     #[serde(default)]
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -15,7 +15,7 @@
 use hyper::{Method, Request, Response};
 use radishstair_core::id::digest;
 use radishstair_core::record;
-use radishstair_core::units::Span;
+use radishstair_core::units::DurationText;
 use radishstair_wire::http;
 use serde_with::serde_as;
 use tokio::sync::{mpsc, oneshot};
@@ -36,11 +36,11 @@
     #[serde(default = "default_slots")]
     pub slots: usize,
     /// Time a token when alone; twice that when full.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(default = "default_pace")]
     pub pace: Duration,
     /// Time to read a prompt that is not cached.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(default = "default_prefill")]
     pub prefill: Duration,
     /// Prompt prefixes that fit in its cache.
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -10,7 +10,7 @@
 use anyhow::Result;
 use hyper::{Method, Request, body::Incoming};
 use radishstair_core::record;
-use radishstair_core::units::Span;
+use radishstair_core::units::DurationText;
 use radishstair_wire::http;
 use serde_with::serde_as;
 
@@ -26,7 +26,7 @@
     /// IP address and port.
     pub listen: SocketAddr,
     /// Time that a call takes.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(default = "default_delay")]
     pub delay: Duration,
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -17,7 +17,7 @@
 use radishstair_core::order::Order;
 use radishstair_core::record;
 use radishstair_core::runner::Listed;
-use radishstair_core::units::Span;
+use radishstair_core::units::DurationText;
 use radishstair_wire::platform::{Get, Hosts, Item, Lease, Report};
 use serde_with::serde_as;
 
@@ -38,11 +38,11 @@
     #[serde(default = "default_reads")]
     pub reads: u32,
     /// How late the host list is.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(default = "default_lag")]
     pub lag: Duration,
     /// Time from an order to its runners' being listed.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(default = "default_lag")]
     pub boot: Duration,
     /// Runners that are listed from the start.
--- a/tests/suite/parse.rs
+++ b/tests/suite/parse.rs
@@ -78,7 +78,7 @@
 fn spans_read_back() {
     fn property(millis: u32) -> bool {
         let span = std::time::Duration::from_millis(u64::from(millis));
-        units::parse(&units::show(span)) == Some(span)
+        units::parse_duration(&units::format_duration(span)) == Some(span)
     }
     check(property as fn(u32) -> bool);
 }
