--- a/crates/core/src/proxy/document.rs
+++ b/crates/core/src/proxy/document.rs
@@ -153,7 +153,7 @@
     /// The age is counted back from the question, as the answer may have been under way
     /// for long.
     pub fn hear(&mut self, asked: Moment, notice: Notice) -> News {
-        let as_of = asked.back(Duration::from_micros(notice.age_us));
+        let as_of = asked.saturating_sub(Duration::from_micros(notice.age_us));
         if notice.version < self.version() {
             return News::Older;
         }
--- a/crates/core/src/proxy/mirror.rs
+++ b/crates/core/src/proxy/mirror.rs
@@ -207,7 +207,7 @@
     /// was frozen. The age it tells is counted back from the moment of the
     /// question, which errs on the old side by all such delays.
     pub fn take(&mut self, asked: Moment, changes: Changes) -> bool {
-        let as_of = asked.back(Duration::from_micros(changes.age_us));
+        let as_of = asked.saturating_sub(Duration::from_micros(changes.age_us));
         if changes.upto < self.upto {
             // What is known here is newer, and so as good as of that moment.
             self.see(changes.upto, as_of);
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -35,7 +35,7 @@
     }
 
     /// The moment `span` before; the clocks' beginning at the earliest.
-    pub fn back(self, span: Duration) -> Moment {
+    pub fn saturating_sub(self, span: Duration) -> Moment {
         Moment {
             mono: self.mono.saturating_sub(span.as_micros() as u64),
             wall: self.wall.saturating_sub(span.as_millis() as u64),
