--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -11,7 +11,7 @@
 use crate::time::Moment;
 
 /// Store prefix of what graceful exits leave.
-pub const TOMBSTONE: &str = "tombstone/";
+pub const TOMBSTONE_PREFIX: &str = "tombstone/";
 /// Bytes of a tombstone; a longer one is left out and its keys stay unknown.
 const TOMBSTONE_BYTES: usize = 900_000;
 
@@ -69,7 +69,7 @@
             }
             Event::OwnerUnreachable { call, owner, key } => {
                 let ask = store::Call::Get {
-                    key: format!("{TOMBSTONE}{owner}"),
+                    key: format!("{TOMBSTONE_PREFIX}{owner}"),
                 };
                 let token = out.store(CALLS, ask);
                 self.inquiries.push((token, *call, *key));
@@ -159,7 +159,7 @@
             return;
         }
         let call = store::Call::CompareAndSwap {
-            key: format!("{TOMBSTONE}{}", self.me),
+            key: format!("{TOMBSTONE_PREFIX}{}", self.me),
             expect: 0,
             value,
         };
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -42,7 +42,7 @@
         let Call::CompareAndSwap { key, .. } = call else {
             return None;
         };
-        if !key.starts_with(claim::STAMPED) && !key.starts_with(calls::TOMBSTONE) {
+        if !key.starts_with(claim::STAMPED) && !key.starts_with(calls::TOMBSTONE_PREFIX) {
             return None;
         }
         let mut held = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
