--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -94,10 +94,10 @@
     let Some(stamp) = stamp(key) else {
         return Ok(());
     };
-    if stamp > now.wall + AHEAD.as_millis() as u64 {
+    if stamp > now.wall_ms + AHEAD.as_millis() as u64 {
         return Err(Refusal::new(Kind::BadIdempotencyKey).detail("its time stamp lies ahead"));
     }
-    if stamp + (HORIZON.as_millis() as u64) < now.wall {
+    if stamp + (HORIZON.as_millis() as u64) < now.wall_ms {
         return Err(Kind::KeyExpired.into());
     }
     Ok(())
--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -321,12 +321,12 @@
     }
 
     fn freshen(&mut self, now: Moment, age: u64) {
-        let Some(mono) = now.mono.checked_sub(age.saturating_mul(1_000)) else {
+        let Some(mono) = now.mono_us.checked_sub(age.saturating_mul(1_000)) else {
             return;
         };
         let fresh = Moment {
-            mono,
-            wall: now.wall.saturating_sub(age),
+            mono_us: mono,
+            wall_ms: now.wall_ms.saturating_sub(age),
         };
         if self.fresh.is_none_or(|have| have < fresh) {
             self.fresh = Some(fresh);
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -112,7 +112,7 @@
                 zone: summary.zone.clone(),
                 version: summary.version,
                 hosts: summary.hosts,
-                age_ms: now.wall.saturating_sub(summary.timestamp_ms),
+                age_ms: now.wall_ms.saturating_sub(summary.timestamp_ms),
             })
             .collect();
     }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -427,7 +427,7 @@
             zone: self.me.zone.clone(),
             version: lowest.min(self.version),
             hosts: self.zone_peers().count() as u32 + u32::from(!self.me.gone),
-            timestamp_ms: now.wall,
+            timestamp_ms: now.wall_ms,
             demands: self.demands.clone(),
         };
         self.note(&summary);
--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -183,7 +183,7 @@
         for pool in pools.iter().filter(|pool| pool.most > 0) {
             for summary in summaries
                 .iter()
-                .filter(|summary| summary.timestamp_ms + SUMMARY_AGE >= now.wall)
+                .filter(|summary| summary.timestamp_ms + SUMMARY_AGE >= now.wall_ms)
             {
                 let demand = summary.demands.iter().find(|demand| demand.pool == pool.name);
                 let want = demand.map_or(pool.least, |demand| want(pool, demand));
--- a/crates/core/src/promise.rs
+++ b/crates/core/src/promise.rs
@@ -33,8 +33,12 @@
 
     /// A token for a customer to come back with.
     pub fn sign(&self, customer: &str, class: &str, due: Moment) -> String {
-        let mac: [u8; 32] = self.mac(customer, class, due.wall).finalize().into_bytes().into();
-        format!("{}-{}", due.wall, hex::encode(&mac[..16]))
+        let mac: [u8; 32] = self
+            .mac(customer, class, due.wall_ms)
+            .finalize()
+            .into_bytes()
+            .into();
+        format!("{}-{}", due.wall_ms, hex::encode(&mac[..16]))
     }
 
     /// Whether a token is this customer's for this class and it is its time.
@@ -47,7 +51,7 @@
         };
         let early = due.saturating_sub(EARLY.as_millis() as u64);
         let late = due.saturating_add(LATE.as_millis() as u64);
-        let in_time = (early..=late).contains(&now.wall);
+        let in_time = (early..=late).contains(&now.wall_ms);
         in_time && mac.len() == 16 && self.mac(customer, class, due).verify_truncated_left(&mac).is_ok()
     }
 
--- a/crates/core/src/proxy/budget.rs
+++ b/crates/core/src/proxy/budget.rs
@@ -35,7 +35,7 @@
 
 impl Service {
     fn step(&mut self, now: Moment) -> &mut Step {
-        let at = now.mono / STEP_US;
+        let at = now.mono_us / STEP_US;
         if self.steps.back().is_none_or(|step| step.at != at) {
             self.steps.push_back(Step {
                 at,
@@ -46,7 +46,7 @@
     }
 
     fn forget(&mut self, now: Moment, window_s: u64) {
-        let oldest = (now.mono / STEP_US).saturating_sub(window_s * 1_000_000 / STEP_US);
+        let oldest = (now.mono_us / STEP_US).saturating_sub(window_s * 1_000_000 / STEP_US);
         while self.steps.front().is_some_and(|step| step.at < oldest) {
             self.steps.pop_front();
         }
--- a/crates/core/src/proxy/civil.rs
+++ b/crates/core/src/proxy/civil.rs
@@ -17,8 +17,8 @@
 impl Civil {
     /// Milliseconds since the Unix epoch.
     pub fn now(&mut self, now: Moment) -> u64 {
-        let steady = (now.mono / 1_000) as i64;
-        let offset = *self.offset_ms.get_or_insert(now.wall as i64 - steady);
+        let steady = (now.mono_us / 1_000) as i64;
+        let offset = *self.offset_ms.get_or_insert(now.wall_ms as i64 - steady);
         (steady + offset).max(0) as u64
     }
 
--- a/crates/core/src/proxy/gossip.rs
+++ b/crates/core/src/proxy/gossip.rs
@@ -305,5 +305,5 @@
 }
 
 fn part(now: Moment) -> u64 {
-    now.mono / 1_000 / (SPAN_MS / PARTS)
+    now.mono_us / 1_000 / (SPAN_MS / PARTS)
 }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -10,23 +10,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment {
     /// Microseconds since the process started; never goes back.
-    pub mono: u64,
+    pub mono_us: u64,
     /// Milliseconds since the Unix epoch; may jump.
-    pub wall: u64,
+    pub wall_ms: u64,
 }
 
 impl Moment {
     /// A moment `ms` milliseconds after start, with the wall clock alike.
     pub fn at_ms(ms: u64) -> Self {
         Self {
-            mono: ms * 1_000,
-            wall: ms,
+            mono_us: ms * 1_000,
+            wall_ms: ms,
         }
     }
 
     /// Time since `earlier`, zero if `earlier` lies ahead.
     pub fn since(self, earlier: Moment) -> Duration {
-        Duration::from_micros(self.mono.saturating_sub(earlier.mono))
+        Duration::from_micros(self.mono_us.saturating_sub(earlier.mono_us))
     }
 
     /// Time left until `later`, zero if it has passed.
@@ -37,14 +37,14 @@
     /// The moment `span` before; the clocks' beginning at the earliest.
     pub fn saturating_sub(self, span: Duration) -> Moment {
         Moment {
-            mono: self.mono.saturating_sub(span.as_micros() as u64),
-            wall: self.wall.saturating_sub(span.as_millis() as u64),
+            mono_us: self.mono_us.saturating_sub(span.as_micros() as u64),
+            wall_ms: self.wall_ms.saturating_sub(span.as_millis() as u64),
         }
     }
 
     /// Whether `deadline` has been reached.
     pub fn reached(self, deadline: Moment) -> bool {
-        self.mono >= deadline.mono
+        self.mono_us >= deadline.mono_us
     }
 }
 
@@ -53,8 +53,8 @@
 
     fn add(self, span: Duration) -> Moment {
         Moment {
-            mono: self.mono.saturating_add(span.as_micros() as u64),
-            wall: self.wall.saturating_add(span.as_millis() as u64),
+            mono_us: self.mono_us.saturating_add(span.as_micros() as u64),
+            wall_ms: self.wall_ms.saturating_add(span.as_millis() as u64),
         }
     }
 }
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -49,7 +49,7 @@
 /// of it travels) do not name a window of another year.
 pub fn window(now: Moment, length: Duration) -> u64 {
     let length = (length.as_millis() as u64).max(1);
-    now.wall / length * length
+    now.wall_ms / length * length
 }
 
 /// Adds rows of the same customer and class.
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -184,7 +184,7 @@
         }
         let millis = length.as_millis() as u64;
         let window = self.next_window(now, millis);
-        if now.wall < window + millis + grace.as_millis() as u64 {
+        if now.wall_ms < window + millis + grace.as_millis() as u64 {
             return None;
         }
         self.state = State::Collecting {
@@ -203,7 +203,7 @@
     /// there for are skipped; their chunks come as late ones.
     fn next_window(&self, now: Moment, millis: u64) -> u64 {
         let millis = millis.max(1);
-        let ended = (now.wall / millis).saturating_sub(1) * millis;
+        let ended = (now.wall_ms / millis).saturating_sub(1) * millis;
         match &self.last {
             Some(seal) => ((seal.window / millis + 1) * millis).max(ended.saturating_sub(millis)),
             None => ended,
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -29,8 +29,8 @@
     pub fn now(&self) -> Moment {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Moment {
-            mono: START + (steady() - self.began).as_micros() as u64,
-            wall: wall.as_millis() as u64,
+            mono_us: START + (steady() - self.began).as_micros() as u64,
+            wall_ms: wall.as_millis() as u64,
         }
     }
 }
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -196,8 +196,8 @@
 
     fn moment(&self) -> Moment {
         Moment {
-            mono: 1_000_000_000 + self.now,
-            wall: 1_000_000 + self.now / MS,
+            mono_us: 1_000_000_000 + self.now,
+            wall_ms: 1_000_000 + self.now / MS,
         }
     }
 
--- a/tests/suite/proxy/usage.rs
+++ b/tests/suite/proxy/usage.rs
@@ -245,7 +245,7 @@
         length_s: 1,
         due_s: 10,
     };
-    let number = at(0).wall / 1_000;
+    let number = at(0).wall_ms / 1_000;
     let mut early = record("a", 1, 0, 7_400, 3);
     early.windows[0].number = number;
     let mut ledger = Ledger::default();
@@ -261,8 +261,8 @@
 fn a_jump_of_the_time_of_day_moves_no_window() {
     let mut civil = radishstair_core::proxy::civil::Civil::default();
     let moment = |steady_ms: u64, wall_ms: u64| Moment {
-        mono: steady_ms * 1_000,
-        wall: wall_ms,
+        mono_us: steady_ms * 1_000,
+        wall_ms: wall_ms,
     };
     assert_eq!(civil.now(moment(50, 1_000_000)), 1_000_000);
     assert_eq!(civil.now(moment(2_050, 1_006_000)), 1_002_000);
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -311,8 +311,8 @@
     /// A node's clocks.
     pub fn moment(&self, at: usize) -> Moment {
         Moment {
-            mono: (MONO + self.now) * 1_000,
-            wall: WALL + self.now + self.nodes[at].skew,
+            mono_us: (MONO + self.now) * 1_000,
+            wall_ms: WALL + self.now + self.nodes[at].skew,
         }
     }
 
