--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -226,13 +226,13 @@
 
 impl Outbox {
     /// Has the shell do something.
-    pub fn act(&mut self, action: Action) {
+    pub fn push_action(&mut self, action: Action) {
         self.actions.push(action);
     }
 
     /// Answers a call.
     pub fn reply(&mut self, call: CallId, reply: Reply) {
-        self.act(Action::Reply(call, Box::new(reply)));
+        self.push_action(Action::Reply(call, Box::new(reply)));
     }
 
     /// Posts an event to a service.
@@ -241,7 +241,7 @@
     }
 
     /// A token whose answer comes back to `from`.
-    pub fn token(&mut self, from: &'static str) -> Token {
+    pub fn new_token(&mut self, from: &'static str) -> Token {
         self.next += 1;
         let token = Token(self.next);
         self.tokens.push((token, from));
@@ -249,18 +249,18 @@
     }
 
     /// Asks the store on behalf of a service.
-    pub fn store(&mut self, from: &'static str, call: store::Call) -> Token {
-        let token = self.token(from);
-        self.act(Action::Store(token, call));
+    pub fn call_store(&mut self, from: &'static str, call: store::Call) -> Token {
+        let token = self.new_token(from);
+        self.push_action(Action::Store(token, call));
         token
     }
 
     /// Gives back a token that no question went out under.
-    pub fn discard(&mut self, token: Token) {
-        self.claim(token);
+    pub fn discard_token(&mut self, token: Token) {
+        self.take_token(token);
     }
 
-    fn claim(&mut self, token: Token) -> Option<&'static str> {
+    fn take_token(&mut self, token: Token) -> Option<&'static str> {
         let at = self.tokens.binary_search_by(|(have, _)| have.cmp(&token)).ok()?;
         Some(self.tokens.remove(at).1)
     }
@@ -354,7 +354,7 @@
             Recipient::All => self.deliver_all(now, &event),
             Recipient::One(name) => self.deliver(now, name, &event),
             Recipient::Asker(token) => {
-                if let Some(name) = self.out.claim(token) {
+                if let Some(name) = self.out.take_token(token) {
                     self.deliver(now, name, &event);
                 }
             }
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -71,7 +71,7 @@
                 let ask = store::Call::Get {
                     key: format!("{TOMBSTONE_PREFIX}{owner}"),
                 };
-                let token = out.store(CALLS, ask);
+                let token = out.call_store(CALLS, ask);
                 self.inquiries.push((token, *call, *key));
             }
             Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
@@ -81,7 +81,7 @@
         }
         if self.drained && self.tombstone.is_none() && !self.done {
             self.done = true;
-            out.act(Action::Exit);
+            out.push_action(Action::Exit);
         }
     }
 
@@ -105,16 +105,16 @@
             self.tell(call, Verdict::Refuse(refusal), out);
             return;
         }
-        let token = out.token(CALLS);
+        let token = out.new_token(CALLS);
         match self
             .registry
             .begin(now, &mut self.records, token, (call, once), (customer, body))
         {
             Ok(verdict) => {
-                out.discard(token);
+                out.discard_token(token);
                 self.tell(call, verdict, out);
             }
-            Err(ask) => out.act(Action::Store(token, ask)),
+            Err(ask) => out.push_action(Action::Store(token, ask)),
         }
     }
 
@@ -130,13 +130,13 @@
         }
         // The kernel hands each token out once; a second question of one
         // claim goes out under a new one.
-        let again = out.token(CALLS);
+        let again = out.new_token(CALLS);
         let step = self.registry.answer(now, &mut self.records, token, again, answer);
         if let Some((_, Err(ask))) = step {
-            out.act(Action::Store(again, ask));
+            out.push_action(Action::Store(again, ask));
             return;
         }
-        out.discard(again);
+        out.discard_token(again);
         if let Some((call, Ok(verdict))) = step {
             self.tell(call, verdict, out);
         }
@@ -163,7 +163,7 @@
             expect: 0,
             value,
         };
-        self.tombstone = Some(out.store(CALLS, call));
+        self.tombstone = Some(out.call_store(CALLS, call));
     }
 
     /// Adds nothing to a heartbeat.
--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -33,7 +33,7 @@
             }
             Event::Heartbeat(beat) => {
                 if let Some(pull) = self.inner.hear(now, beat) {
-                    out.act(Action::Pull(beat.sender.address.clone(), pull));
+                    out.push_action(Action::Pull(beat.sender.address.clone(), pull));
                 }
             }
             Event::Pull(call, pull) => out.reply(*call, Reply::Pulled(self.inner.pull(pull))),
@@ -54,7 +54,7 @@
         for name in [MEMBER, DISPATCH, CALLS, ORDERS, USAGE] {
             out.post(name, Event::View(view.clone()));
         }
-        out.act(Action::View(view));
+        out.push_action(Action::View(view));
         self.tell_trust(now, out);
     }
 
@@ -62,7 +62,7 @@
         let trusted = self.inner.trusted(now);
         if self.trusted != Some(trusted) {
             self.trusted = Some(trusted);
-            out.act(Action::KeysTrusted(trusted));
+            out.push_action(Action::KeysTrusted(trusted));
         }
     }
 
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -52,7 +52,7 @@
             return;
         }
         for address in due {
-            out.act(Action::Heartbeat(address, Box::default()));
+            out.push_action(Action::Heartbeat(address, Box::default()));
         }
         let beating = Event::HeartbeatRound {
             mates: self.members.zone_peers().count(),
@@ -88,7 +88,7 @@
         for name in [CALLS, CONFIG, ORDERS, USAGE] {
             out.post(name, Event::Membership(standing.clone()));
         }
-        out.act(Action::Members(self.members.all_members()));
+        out.push_action(Action::Members(self.members.all_members()));
     }
 
     /// Fills in what a heartbeat left out.
--- a/crates/core/src/kernel/orders.rs
+++ b/crates/core/src/kernel/orders.rs
@@ -73,7 +73,7 @@
     fn act(&mut self, step: Option<Step>, out: &mut Outbox) {
         match step {
             Some(Step::Store(call)) => self.planner_request.ask(ORDERS, Some(call), out),
-            Some(Step::Order(grant, order)) => out.act(Action::Order(grant, order)),
+            Some(Step::Order(grant, order)) => out.push_action(Action::Order(grant, order)),
             None => {}
         }
     }
--- a/crates/core/src/kernel/request.rs
+++ b/crates/core/src/kernel/request.rs
@@ -15,7 +15,7 @@
     /// Asks, if there is something to ask.
     pub fn ask(&mut self, from: &'static str, call: Option<Call>, out: &mut Outbox) {
         if let Some(call) = call {
-            self.0 = Some(out.store(from, call));
+            self.0 = Some(out.call_store(from, call));
         }
     }
 
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -97,7 +97,7 @@
         match self.reporter.tick(now, grant, self.length, self.grace) {
             Some(Step::Store(call)) => self.report_request.ask(USAGE, Some(call), out),
             Some(Step::Collect(ask)) => self.collect(now, ask, out),
-            Some(Step::Report(grant, seal)) => out.act(Action::Report(grant, seal)),
+            Some(Step::Report(grant, seal)) => out.push_action(Action::Report(grant, seal)),
             None => {}
         }
     }
@@ -111,7 +111,7 @@
             .iter()
             .filter_map(|(_, addresses)| addresses.first());
         for address in firsts {
-            out.act(Action::Collect(address.clone(), ask.clone()));
+            out.push_action(Action::Collect(address.clone(), ask.clone()));
         }
         self.answered.clear();
         self.gather(now, None, &ask, out);
@@ -128,7 +128,7 @@
             .iter()
             .filter(|(zone, _)| !self.answered.contains(zone));
         for address in silent.filter_map(|(_, addresses)| addresses.get(1)) {
-            out.act(Action::Collect(address.clone(), ask.clone()));
+            out.push_action(Action::Collect(address.clone(), ask.clone()));
         }
     }
 
@@ -140,7 +140,7 @@
         let own = self.sum_up(now, &ask);
         self.gathers.push(Gather::new(now, call, own));
         for address in &self.standing.zone_peers {
-            out.act(Action::Collect(address.clone(), ask.clone()));
+            out.push_action(Action::Collect(address.clone(), ask.clone()));
         }
     }
 
