--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -28,7 +28,7 @@
 pub mod dispatch;
 pub mod member;
 pub mod orders;
-pub mod request;
+pub mod pending;
 pub mod usage;
 
 /// Name of the membership service.
--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -1,6 +1,6 @@
 //! Configuration as a service of the kernel.
 
-use super::request::Request;
+use super::pending::Pending;
 use super::{Action, CALLS, CONFIG, DISPATCH, Event, MEMBER, ORDERS, Outbox, Reply, Status, USAGE};
 use crate::config::service;
 use crate::peer::Heartbeat;
@@ -13,7 +13,7 @@
     watcher: bool,
     trusted: Option<bool>,
     told: u64,
-    request: Request,
+    request: Pending,
 }
 
 impl Service {
@@ -22,13 +22,13 @@
         match event {
             Event::Tick => {
                 let call = self.inner.tick(now, self.watcher);
-                self.request.ask(CONFIG, call, out);
+                self.request.send(CONFIG, call, out);
                 self.tell_trust(now, out);
             }
             Event::Membership(standing) => self.watcher = standing.watches_store,
-            Event::StoreAnswer(token, answer) if self.request.takes(*token) => {
+            Event::StoreAnswer(token, answer) if self.request.accept(*token) => {
                 let (_, call) = self.inner.answer(now, answer);
-                self.request.ask(CONFIG, call, out);
+                self.request.send(CONFIG, call, out);
                 self.publish(now, out);
             }
             Event::Heartbeat(beat) => {
--- a/crates/core/src/kernel/orders.rs
+++ b/crates/core/src/kernel/orders.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::request::Request;
+use super::pending::Pending;
 use super::{Action, Event, ORDERS, Outbox, Status};
 use crate::config::view::View;
 use crate::id::Incarnation;
@@ -20,8 +20,8 @@
     candidate: bool,
     view: Arc<View>,
     summaries: Vec<ZoneSummary>,
-    lease_request: Request,
-    planner_request: Request,
+    lease_request: Pending,
+    planner_request: Pending,
 }
 
 impl Service {
@@ -33,8 +33,8 @@
             candidate: false,
             view: Arc::default(),
             summaries: Vec::new(),
-            lease_request: Request::default(),
-            planner_request: Request::default(),
+            lease_request: Pending::default(),
+            planner_request: Pending::default(),
         }
     }
 
@@ -43,7 +43,7 @@
         match event {
             Event::Tick => {
                 let call = self.lease.tick(now, self.candidate);
-                self.lease_request.ask(ORDERS, call, out);
+                self.lease_request.send(ORDERS, call, out);
                 let grant = self.lease.grant(now);
                 let step = self
                     .planner
@@ -61,10 +61,10 @@
     }
 
     fn stored(&mut self, now: Moment, token: Token, answer: &Answer, out: &mut Outbox) {
-        if self.lease_request.takes(token) {
+        if self.lease_request.accept(token) {
             let call = self.lease.on_answer(now, answer);
-            self.lease_request.ask(ORDERS, call, out);
-        } else if self.planner_request.takes(token) {
+            self.lease_request.send(ORDERS, call, out);
+        } else if self.planner_request.accept(token) {
             let step = self.planner.answer(now, self.lease.grant(now), answer);
             self.act(step, out);
         }
@@ -72,7 +72,7 @@
 
     fn act(&mut self, step: Option<Step>, out: &mut Outbox) {
         match step {
-            Some(Step::Store(call)) => self.planner_request.ask(ORDERS, Some(call), out),
+            Some(Step::Store(call)) => self.planner_request.send(ORDERS, Some(call), out),
             Some(Step::Order(grant, order)) => out.push_action(Action::Order(grant, order)),
             None => {}
         }
--- a/crates/core/src/kernel/request.rs
+++ b/crates/core/src/kernel/pending.rs
@@ -9,18 +9,18 @@
 /// to a newer question, an old "written" would make a holder of a process whose
 /// new write has not even arrived; so only the newest question's answer counts.
 #[derive(Debug, Default)]
-pub struct Request(Option<Token>);
+pub struct Pending(Option<Token>);
 
-impl Request {
+impl Pending {
     /// Asks, if there is something to ask.
-    pub fn ask(&mut self, from: &'static str, call: Option<Call>, out: &mut Outbox) {
+    pub fn send(&mut self, from: &'static str, call: Option<Call>, out: &mut Outbox) {
         if let Some(call) = call {
             self.0 = Some(out.call_store(from, call));
         }
     }
 
     /// Whether this is the awaited answer; it is awaited no longer.
-    pub fn takes(&mut self, token: Token) -> bool {
+    pub fn accept(&mut self, token: Token) -> bool {
         let awaited = self.0 == Some(token);
         if awaited {
             self.0 = None;
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::request::Request;
+use super::pending::Pending;
 use super::{Action, Event, Outbox, Reply, Standing, Status, USAGE};
 use crate::config::Settings;
 use crate::id::{CallId, Incarnation};
@@ -26,8 +26,8 @@
     standing: Standing,
     length: Duration,
     grace: Duration,
-    lease_request: Request,
-    report_request: Request,
+    lease_request: Pending,
+    report_request: Pending,
     gathers: Vec<Gather>,
     zone: String,
     answered: Vec<String>,
@@ -45,8 +45,8 @@
             standing: Standing::default(),
             length: settings.usage_window,
             grace: settings.usage_grace,
-            lease_request: Request::default(),
-            report_request: Request::default(),
+            lease_request: Pending::default(),
+            report_request: Pending::default(),
             gathers: Vec::new(),
             zone: zone.to_string(),
             answered: Vec::new(),
@@ -69,7 +69,7 @@
             Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
             Event::ReportAnswer(accepted) => {
                 let call = self.reporter.reported(now, *accepted);
-                self.report_request.ask(USAGE, call, out);
+                self.report_request.send(USAGE, call, out);
             }
             Event::Membership(standing) => {
                 self.standing = standing.clone();
@@ -92,10 +92,10 @@
         self.finish_gathers(now, out);
         self.ask_seconds(now, out);
         let call = self.lease.tick(now, self.standing.usage_candidate);
-        self.lease_request.ask(USAGE, call, out);
+        self.lease_request.send(USAGE, call, out);
         let grant = self.lease.grant(now);
         match self.reporter.tick(now, grant, self.length, self.grace) {
-            Some(Step::Store(call)) => self.report_request.ask(USAGE, Some(call), out),
+            Some(Step::Store(call)) => self.report_request.send(USAGE, Some(call), out),
             Some(Step::Collect(ask)) => self.collect(now, ask, out),
             Some(Step::Report(grant, seal)) => out.push_action(Action::Report(grant, seal)),
             None => {}
@@ -183,12 +183,12 @@
     }
 
     fn stored(&mut self, now: Moment, token: Token, answer: &Answer, out: &mut Outbox) {
-        if self.lease_request.takes(token) {
+        if self.lease_request.accept(token) {
             let call = self.lease.on_answer(now, answer);
-            self.lease_request.ask(USAGE, call, out);
-        } else if self.report_request.takes(token) {
+            self.lease_request.send(USAGE, call, out);
+        } else if self.report_request.accept(token) {
             let call = self.reporter.answer(now, answer);
-            self.report_request.ask(USAGE, call, out);
+            self.report_request.send(USAGE, call, out);
         }
     }
 
