--- a/crates/core/src/kernel/orders.rs
+++ b/crates/core/src/kernel/orders.rs
@@ -51,7 +51,7 @@
                 self.act(step, out);
             }
             Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
-            Event::OrderAnswer(accepted) => self.planner.ordered(now, *accepted),
+            Event::OrderAnswer(accepted) => self.planner.on_order_answer(now, *accepted),
             Event::Membership(standing) => self.candidate = standing.orders_candidate,
             Event::View(view) => self.view = view.clone(),
             Event::ZoneSummaries(summaries) => self.summaries = summaries.clone(),
@@ -65,7 +65,7 @@
             let call = self.lease.on_answer(now, answer);
             self.lease_request.send(ORDERS, call, out);
         } else if self.planner_request.accept(token) {
-            let step = self.planner.answer(now, self.lease.grant(now), answer);
+            let step = self.planner.on_store_answer(now, self.lease.grant(now), answer);
             self.act(step, out);
         }
     }
--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -140,7 +140,7 @@
     }
 
     /// The store's answer.
-    pub fn answer(&mut self, now: Moment, grant: Option<Grant>, answer: &Answer) -> Option<Step> {
+    pub fn on_store_answer(&mut self, now: Moment, grant: Option<Grant>, answer: &Answer) -> Option<Step> {
         match (std::mem::replace(&mut self.state, State::Ready), answer) {
             (State::Reading { .. }, Answer::Found(entries)) => {
                 self.recover(entries);
@@ -167,7 +167,7 @@
     }
 
     /// The ordering interface's answer.
-    pub fn ordered(&mut self, now: Moment, accepted: bool) {
+    pub fn on_order_answer(&mut self, now: Moment, accepted: bool) {
         let State::Sending { order, .. } = std::mem::replace(&mut self.state, State::Ready) else {
             return;
         };
