--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -15,7 +15,7 @@
 
 use crate::at_most_once::{Claim, Records, Verdict};
 use crate::error::{Kind, Refusal};
-use crate::id::{Call, Incarnation};
+use crate::id::{CallId, Incarnation};
 use crate::store::{Answer, Call as Ask, Entry, Token};
 use crate::time::Moment;
 
@@ -49,7 +49,7 @@
 
 plain! {
     struct Pending {
-        call: Call,
+        call: CallId,
         claim: Claim,
         place: String,
         customer: String,
@@ -98,10 +98,10 @@
     let Some(stamp) = stamp(key) else {
         return Ok(());
     };
-    if stamp > now.wall + MAX_CLOCK_SKEW.as_millis() as u64 {
+    if stamp > now.wall_ms + MAX_CLOCK_SKEW.as_millis() as u64 {
         return Err(Refusal::new(Kind::BadIdempotencyKey).detail("its time stamp lies ahead"));
     }
-    if stamp + (MAX_KEY_AGE.as_millis() as u64) < now.wall {
+    if stamp + (MAX_KEY_AGE.as_millis() as u64) < now.wall_ms {
         return Err(Kind::KeyExpired.into());
     }
     Ok(())
@@ -132,7 +132,7 @@
         now: Moment,
         records: &mut Records,
         token: Token,
-        (call, key): (Call, &str),
+        (call, key): (CallId, &str),
         (customer, body): (&str, u64),
     ) -> Result<Verdict, Ask> {
         let claim = digest(customer, key);
@@ -159,7 +159,7 @@
         };
         let place = pending.place.clone();
         self.pending.push((token, pending));
-        Err(Ask::Swap {
+        Err(Ask::CompareAndSwap {
             key: place,
             expect: 0,
             value: serde_json::to_string(&record).unwrap_or_default(),
@@ -175,7 +175,7 @@
         token: Token,
         again: Token,
         answer: &Answer,
-    ) -> Option<(Call, Result<Verdict, Ask>)> {
+    ) -> Option<(CallId, Result<Verdict, Ask>)> {
         let at = self.pending.iter().position(|(have, _)| *have == token)?;
         let (_, mut pending) = self.pending.swap_remove(at);
         let call = pending.call;
--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -179,7 +179,7 @@
     pub fn on_heartbeat(&mut self, now: Moment, beat: &Heartbeat) -> Option<Pull> {
         self.heard = self.heard.max(beat.version);
         if beat.version == self.view.version && beat.version > 0 {
-            self.freshen(now, beat.age);
+            self.freshen(now, beat.store_age_ms);
         }
         let due = self.pulled.is_none_or(|pulled| now.since(pulled) >= PULL);
         if beat.version <= self.view.version || !due {
@@ -187,21 +187,21 @@
         }
         self.pulled = Some(now);
         Some(Pull {
-            have: self.view.version,
+            version: self.view.version,
         })
     }
 
     /// Answers a peer that lags.
     pub fn on_pull(&self, pull: &Pull) -> Pulled {
-        let from = self.tail.partition_point(|entry| entry.version <= pull.have);
+        let from = self.tail.partition_point(|entry| entry.version <= pull.version);
         let entries = &self.tail[from..];
         let follows = entries
             .first()
-            .is_some_and(|entry| entry.version == pull.have + 1);
-        if pull.have >= self.view.version {
+            .is_some_and(|entry| entry.version == pull.version + 1);
+        if pull.version >= self.view.version {
             return Pulled::default();
         }
-        if follows && pull.have > 0 {
+        if follows && pull.version > 0 {
             let entries = entries
                 .iter()
                 .filter_map(|entry| serde_json::to_string(entry).ok());
@@ -287,7 +287,7 @@
             version: self.view.version,
             document: self.view.document.clone(),
         };
-        Call::Swap {
+        Call::CompareAndSwap {
             key: change::SNAPSHOT_KEY.into(),
             expect: self.snapshot.1,
             value: serde_json::to_string(&snapshot).unwrap_or_default(),
@@ -321,12 +321,12 @@
     }
 
     fn freshen(&mut self, now: Moment, age: u64) {
-        let Some(mono) = now.mono.checked_sub(age.saturating_mul(1_000)) else {
+        let Some(mono) = now.mono_us.checked_sub(age.saturating_mul(1_000)) else {
             return;
         };
         let fresh = Moment {
-            mono,
-            wall: now.wall.saturating_sub(age),
+            mono_us: mono,
+            wall_ms: now.wall_ms.saturating_sub(age),
         };
         if self.fresh.is_none_or(|have| have < fresh) {
             self.fresh = Some(fresh);
--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -10,7 +10,7 @@
 
 use super::placement::Contention;
 use super::{Policy, Submission};
-use crate::id::Call;
+use crate::id::CallId;
 use crate::runner::Key;
 use crate::time::Moment;
 
@@ -324,7 +324,7 @@
     }
 
     /// Takes a call out by name.
-    pub fn remove(&mut self, call: Call) -> bool {
+    pub fn remove(&mut self, call: CallId) -> bool {
         if let Some(at) = self.back.iter().position(|item| item.submission.call == call) {
             self.back.remove(at);
             self.len -= 1;
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -30,12 +30,12 @@
 
 arena_key! {
     /// One call in this process, new for each attempt at a decision.
-    Call(u64)
+    CallId(u64)
 }
 
 /// Weight of `node` for `item`: the highest weights own the item
 /// (rendezvous hashing, so a lost node moves only its own items).
-pub fn weight(item: u64, node: u64) -> u64 {
+pub fn rendezvous_weight(item: u64, node: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(&item.to_le_bytes(), node)
 }
 
--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -11,11 +11,11 @@
 use crate::config::view::View;
 use crate::dispatch::{Assignment, Outcome, Policy, Submission};
 use crate::error::Refusal;
-use crate::id::{Call, Incarnation};
+use crate::id::{CallId, Incarnation};
 use crate::lease::Grant;
-use crate::member::Me;
+use crate::member::Identity;
 use crate::order::Order;
-use crate::peer::{Card, Collect, Collected, Heartbeat, Pull, Pulled, ZoneSummary};
+use crate::peer::{Collect, Collected, Heartbeat, Member, Pull, Pulled, ZoneSummary};
 use crate::runner::Listing;
 use crate::store::{self, Token};
 use crate::ticket::Secret;
@@ -28,7 +28,7 @@
 pub mod dispatch;
 pub mod member;
 pub mod orders;
-pub mod request;
+pub mod pending;
 pub mod usage;
 
 /// Name of the membership service.
@@ -49,17 +49,17 @@
     #[derive(Default)]
     pub struct Standing {
         /// Watches the store for its zone.
-        pub watcher: bool,
+        pub watches_store: bool,
         /// May seek the ordering duty.
-        pub orders: bool,
+        pub orders_candidate: bool,
         /// May seek the reporting duty.
-        pub usage: bool,
+        pub usage_candidate: bool,
         /// Zone mates that keep this process's usage.
-        pub keepers: Vec<Incarnation>,
+        pub usage_replicas: Vec<Incarnation>,
         /// Live peers and their addresses.
-        pub live: Vec<(Incarnation, String)>,
+        pub live_peers: Vec<(Incarnation, String)>,
         /// Addresses of the live zone mates.
-        pub mates: Vec<String>,
+        pub zone_peers: Vec<String>,
         /// Other zones, each with the addresses of its delegates.
         pub delegates: Vec<(String, Vec<String>)>,
     }
@@ -72,43 +72,43 @@
         /// Time passes.
         Tick,
         /// A heartbeat came.
-        Hear(Heartbeat),
+        Heartbeat(Heartbeat),
         /// A customer wants tickets.
-        Issue { call: Call, customer: String, count: u32 },
+        IssueTickets { call: CallId, customer: String, count: u32 },
         /// A copy of an at-most-once call came.
-        Begin { call: Call, customer: String, once: String, body: u64 },
+        BeginCall { call: CallId, customer: String, idempotency_key: String, body_hash: u64 },
         /// An at-most-once call ended.
-        End { key: Key, end: Completion },
+        EndCall { key: Key, end: Completion },
         /// The owner of a call cannot be reached.
-        Away { call: Call, owner: Incarnation, key: Key },
+        OwnerUnreachable { call: CallId, owner: Incarnation, key: Key },
         /// A call seeks a runner.
-        Seek(Submission),
+        Acquire(Submission),
         /// A call on a runner ended.
-        Release { call: Call, outcome: Outcome },
+        Release { call: CallId, outcome: Outcome },
         /// A waiting call's caller went away.
-        Forget(Call),
+        Cancel(CallId),
         /// A runner said, or showed, that it leaves.
-        Leaving(String),
+        RunnerLeaving(String),
         /// Something to count.
-        Count(Record),
+        RecordUsage(Record),
         /// The store answered.
-        Stored(Token, store::Answer),
+        StoreAnswer(Token, store::Answer),
         /// A peer asks for configuration.
-        Pull(Call, Pull),
+        Pull(CallId, Pull),
         /// A peer sent configuration.
         Pulled(Pulled),
         /// The reporter asks for usage.
-        Collect(Call, Collect),
+        Collect(CallId, Collect),
         /// A host sent its usage.
         Collected(Collected),
         /// The platform's list.
-        Listed(Vec<Listing>),
+        RunnerList(Vec<Listing>),
         /// The usage interface answered.
-        Reported(bool),
+        ReportAnswer(bool),
         /// The ordering interface answered.
-        Ordered(bool),
+        OrderAnswer(bool),
         /// An operator or test asks how things stand.
-        Status(Call),
+        Status(CallId),
         /// The process is to stop.
         Stop,
         /// No call is left in this process.
@@ -116,12 +116,12 @@
         /// A new view is in force (between services).
         View(Arc<View>),
         /// The members changed (between services).
-        Standing(Standing),
+        Membership(Standing),
         /// Heartbeats are about to leave: live zone mates, live peers of all
         /// zones, and this host's place among them (between services).
-        Beating { mates: usize, peers: usize, index: usize },
+        HeartbeatRound { mates: usize, peers: usize, index: usize },
         /// Zones' words and own demand (between services).
-        Summaries(Vec<ZoneSummary>),
+        ZoneSummaries(Vec<ZoneSummary>),
     }
 }
 
@@ -199,13 +199,13 @@
         /// Ask an address for usage.
         Collect(String, Collect),
         /// Answer a call.
-        Reply(Call, Box<Reply>),
+        Reply(CallId, Box<Reply>),
         /// Publish the view to the traffic threads.
         View(Arc<View>),
         /// Publish the members to the traffic threads.
-        Members(Vec<Card>),
+        Members(Vec<Member>),
         /// Whether keys may be trusted, for the traffic threads.
-        Trusted(bool),
+        KeysTrusted(bool),
         /// Send a report if the grant still covers the moment of sending.
         Report(Grant, SealedWindow),
         /// Send an order if the grant still covers the moment of sending.
@@ -226,13 +226,13 @@
 
 impl Outbox {
     /// Has the shell do something.
-    pub fn act(&mut self, action: Action) {
+    pub fn push_action(&mut self, action: Action) {
         self.actions.push(action);
     }
 
     /// Answers a call.
-    pub fn reply(&mut self, call: Call, reply: Reply) {
-        self.act(Action::Reply(call, Box::new(reply)));
+    pub fn reply(&mut self, call: CallId, reply: Reply) {
+        self.push_action(Action::Reply(call, Box::new(reply)));
     }
 
     /// Posts an event to a service.
@@ -241,7 +241,7 @@
     }
 
     /// A token whose answer comes back to `from`.
-    pub fn token(&mut self, from: &'static str) -> Token {
+    pub fn new_token(&mut self, from: &'static str) -> Token {
         self.next += 1;
         let token = Token(self.next);
         self.tokens.push((token, from));
@@ -249,18 +249,18 @@
     }
 
     /// Asks the store on behalf of a service.
-    pub fn store(&mut self, from: &'static str, call: store::Call) -> Token {
-        let token = self.token(from);
-        self.act(Action::Store(token, call));
+    pub fn call_store(&mut self, from: &'static str, call: store::Call) -> Token {
+        let token = self.new_token(from);
+        self.push_action(Action::Store(token, call));
         token
     }
 
     /// Gives back a token that no question went out under.
-    pub fn discard(&mut self, token: Token) {
-        self.claim(token);
+    pub fn discard_token(&mut self, token: Token) {
+        self.take_token(token);
     }
 
-    fn claim(&mut self, token: Token) -> Option<&'static str> {
+    fn take_token(&mut self, token: Token) -> Option<&'static str> {
         let at = self.tokens.binary_search_by(|(have, _)| have.cmp(&token)).ok()?;
         Some(self.tokens.remove(at).1)
     }
@@ -294,7 +294,7 @@
     /// What a kernel is built from.
     pub struct Setup {
         /// This process.
-        pub me: Me,
+        pub identity: Identity,
         /// Addresses of some peers.
         pub seeds: Vec<String>,
         /// Secret of this incarnation.
@@ -316,12 +316,12 @@
 impl Kernel {
     /// A process that has just started, with empty memory.
     pub fn new(now: Moment, setup: Setup) -> Self {
-        let me = setup.me.incarnation;
-        let zone = setup.me.zone.clone();
+        let me = setup.identity.incarnation;
+        let zone = setup.identity.zone.clone();
         let mut services = vec![
             (
                 MEMBER,
-                Service::Member(Box::new(member::Service::new(&setup.me, setup.seeds))),
+                Service::Member(Box::new(member::Service::new(&setup.identity, setup.seeds))),
             ),
             (CONFIG, Service::Config(Box::default())),
             (
@@ -354,7 +354,7 @@
             Recipient::All => self.deliver_all(now, &event),
             Recipient::One(name) => self.deliver(now, name, &event),
             Recipient::Asker(token) => {
-                if let Some(name) = self.out.claim(token) {
+                if let Some(name) = self.out.take_token(token) {
                     self.deliver(now, name, &event);
                 }
             }
@@ -369,7 +369,7 @@
     /// Fills in what a heartbeat left out because this host knows it; false
     /// when it does not, and the sender will find that out by the digests.
     fn complete(&mut self, event: &mut Event) -> bool {
-        let Event::Hear(beat) = event else {
+        let Event::Heartbeat(beat) = event else {
             return true;
         };
         self.services.iter().any(|(_, service)| match service {
@@ -420,19 +420,24 @@
 
 fn recipient(event: &Event) -> Recipient {
     match event {
-        Event::Tick | Event::Hear(_) | Event::Status(_) | Event::Stop | Event::Drained => Recipient::All,
-        Event::View(_) | Event::Standing(_) | Event::Beating { .. } | Event::Summaries(_) => Recipient::All,
-        Event::Issue { .. } | Event::Begin { .. } | Event::End { .. } | Event::Away { .. } => {
-            Recipient::One(CALLS)
+        Event::Tick | Event::Heartbeat(_) | Event::Status(_) | Event::Stop | Event::Drained => Recipient::All,
+        Event::View(_) | Event::Membership(_) | Event::HeartbeatRound { .. } | Event::ZoneSummaries(_) => {
+            Recipient::All
         }
-        Event::Seek(_) | Event::Release { .. } | Event::Forget(_) | Event::Leaving(_) | Event::Listed(_) => {
-            Recipient::One(DISPATCH)
-        }
-        Event::Count(_) | Event::Collect(..) | Event::Collected(_) | Event::Reported(_) => {
+        Event::IssueTickets { .. }
+        | Event::BeginCall { .. }
+        | Event::EndCall { .. }
+        | Event::OwnerUnreachable { .. } => Recipient::One(CALLS),
+        Event::Acquire(_)
+        | Event::Release { .. }
+        | Event::Cancel(_)
+        | Event::RunnerLeaving(_)
+        | Event::RunnerList(_) => Recipient::One(DISPATCH),
+        Event::RecordUsage(_) | Event::Collect(..) | Event::Collected(_) | Event::ReportAnswer(_) => {
             Recipient::One(USAGE)
         }
         Event::Pull(..) | Event::Pulled(_) => Recipient::One(CONFIG),
-        Event::Ordered(_) => Recipient::One(ORDERS),
-        Event::Stored(token, _) => Recipient::Asker(*token),
+        Event::OrderAnswer(_) => Recipient::One(ORDERS),
+        Event::StoreAnswer(token, _) => Recipient::Asker(*token),
     }
 }
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -4,14 +4,14 @@
 use crate::at_most_once::{Key, Records, Tombstone, Verdict};
 use crate::claim::{self, Registry};
 use crate::error::{Kind, Refusal};
-use crate::id::{Call, Incarnation};
+use crate::id::{CallId, Incarnation};
 use crate::peer::Heartbeat;
 use crate::store::{self, Answer, Token};
 use crate::ticket::{self, Secret, Ticket};
 use crate::time::Moment;
 
 /// Store prefix of what graceful exits leave.
-pub const TOMBSTONE: &str = "tombstone/";
+pub const TOMBSTONE_PREFIX: &str = "tombstone/";
 /// Bytes of a tombstone; a longer one is left out and its keys stay unknown.
 const TOMBSTONE_BYTES: usize = 900_000;
 
@@ -21,8 +21,8 @@
     me: Incarnation,
     records: Records,
     registry: Registry,
-    waiting: Vec<(Call, Key)>,
-    inquiries: Vec<(Token, Call, Key)>,
+    waiting: Vec<(CallId, Key)>,
+    inquiries: Vec<(Token, CallId, Key)>,
     tombstone: Option<Token>,
     drained: bool,
     done: bool,
@@ -46,7 +46,7 @@
     /// Takes an event in.
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
         match event {
-            Event::Issue {
+            Event::IssueTickets {
                 call,
                 customer,
                 count,
@@ -54,41 +54,41 @@
                 let tickets = self.records.issue(now, customer, *count);
                 out.reply(*call, Reply::Tickets(tickets));
             }
-            Event::Begin {
+            Event::BeginCall {
                 call,
                 customer,
-                once,
-                body,
+                idempotency_key: once,
+                body_hash: body,
             } => self.begin(now, *call, once, (customer, *body), out),
-            Event::End { key, end } => {
+            Event::EndCall { key, end } => {
                 for call in self.records.complete(*key, end.clone()) {
                     let verdict = self.records.outcome(*key);
                     self.waiting.retain(|(have, _)| *have != call);
                     out.reply(call, Reply::Verdict(verdict));
                 }
             }
-            Event::Away { call, owner, key } => {
+            Event::OwnerUnreachable { call, owner, key } => {
                 let ask = store::Call::Get {
-                    key: format!("{TOMBSTONE}{owner}"),
+                    key: format!("{TOMBSTONE_PREFIX}{owner}"),
                 };
-                let token = out.store(CALLS, ask);
+                let token = out.call_store(CALLS, ask);
                 self.inquiries.push((token, *call, *key));
             }
-            Event::Stored(token, answer) => self.stored(now, *token, answer, out),
+            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
             Event::Stop => self.records.stop_issuing(),
             Event::Drained => self.write_tombstone(out),
             _ => {}
         }
         if self.drained && self.tombstone.is_none() && !self.done {
             self.done = true;
-            out.act(Action::Exit);
+            out.push_action(Action::Exit);
         }
     }
 
     fn begin(
         &mut self,
         now: Moment,
-        call: Call,
+        call: CallId,
         once: &str,
         (customer, body): (&str, u64),
         out: &mut Outbox,
@@ -105,16 +105,16 @@
             self.tell(call, Verdict::Refuse(refusal), out);
             return;
         }
-        let token = out.token(CALLS);
+        let token = out.new_token(CALLS);
         match self
             .registry
             .begin(now, &mut self.records, token, (call, once), (customer, body))
         {
             Ok(verdict) => {
-                out.discard(token);
+                out.discard_token(token);
                 self.tell(call, verdict, out);
             }
-            Err(ask) => out.act(Action::Store(token, ask)),
+            Err(ask) => out.push_action(Action::Store(token, ask)),
         }
     }
 
@@ -130,21 +130,21 @@
         }
         // The kernel hands each token out once; a second question of one
         // claim goes out under a new one.
-        let again = out.token(CALLS);
+        let again = out.new_token(CALLS);
         let step = self
             .registry
             .on_answer(now, &mut self.records, token, again, answer);
         if let Some((_, Err(ask))) = step {
-            out.act(Action::Store(again, ask));
+            out.push_action(Action::Store(again, ask));
             return;
         }
-        out.discard(again);
+        out.discard_token(again);
         if let Some((call, Ok(verdict))) = step {
             self.tell(call, verdict, out);
         }
     }
 
-    fn tell(&mut self, call: Call, verdict: Verdict, out: &mut Outbox) {
+    fn tell(&mut self, call: CallId, verdict: Verdict, out: &mut Outbox) {
         if verdict != Verdict::Wait {
             out.reply(call, Reply::Verdict(verdict));
         }
@@ -160,12 +160,12 @@
         if self.records.counts() == (0, 0) || value.len() > TOMBSTONE_BYTES {
             return;
         }
-        let call = store::Call::Swap {
-            key: format!("{TOMBSTONE}{}", self.me),
+        let call = store::Call::CompareAndSwap {
+            key: format!("{TOMBSTONE_PREFIX}{}", self.me),
             expect: 0,
             value,
         };
-        self.tombstone = Some(out.store(CALLS, call));
+        self.tombstone = Some(out.call_store(CALLS, call));
     }
 
     /// Adds nothing to a heartbeat.
--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -1,6 +1,6 @@
 //! Configuration as a service of the kernel.
 
-use super::request::Request;
+use super::pending::Pending;
 use super::{Action, CALLS, CONFIG, DISPATCH, Event, MEMBER, ORDERS, Outbox, Reply, Status, USAGE};
 use crate::config::service;
 use crate::peer::Heartbeat;
@@ -13,7 +13,7 @@
     watcher: bool,
     trusted: Option<bool>,
     told: u64,
-    request: Request,
+    request: Pending,
 }
 
 impl Service {
@@ -22,18 +22,18 @@
         match event {
             Event::Tick => {
                 let call = self.inner.tick(now, self.watcher);
-                self.request.ask(CONFIG, call, out);
+                self.request.send(CONFIG, call, out);
                 self.tell_trust(now, out);
             }
-            Event::Standing(standing) => self.watcher = standing.watcher,
-            Event::Stored(token, answer) if self.request.takes(*token) => {
+            Event::Membership(standing) => self.watcher = standing.watches_store,
+            Event::StoreAnswer(token, answer) if self.request.accept(*token) => {
                 let (_, call) = self.inner.on_answer(now, answer);
-                self.request.ask(CONFIG, call, out);
+                self.request.send(CONFIG, call, out);
                 self.publish(now, out);
             }
-            Event::Hear(beat) => {
+            Event::Heartbeat(beat) => {
                 if let Some(pull) = self.inner.on_heartbeat(now, beat) {
-                    out.act(Action::Pull(beat.card.address.clone(), pull));
+                    out.push_action(Action::Pull(beat.sender.address.clone(), pull));
                 }
             }
             Event::Pull(call, pull) => out.reply(*call, Reply::Pulled(self.inner.on_pull(pull))),
@@ -54,7 +54,7 @@
         for name in [MEMBER, DISPATCH, CALLS, ORDERS, USAGE] {
             out.post(name, Event::View(view.clone()));
         }
-        out.act(Action::View(view));
+        out.push_action(Action::View(view));
         self.tell_trust(now, out);
     }
 
@@ -62,14 +62,14 @@
         let trusted = self.inner.trusted(now);
         if self.trusted != Some(trusted) {
             self.trusted = Some(trusted);
-            out.act(Action::Trusted(trusted));
+            out.push_action(Action::KeysTrusted(trusted));
         }
     }
 
     /// Adds to a heartbeat.
     pub fn compose(&mut self, now: Moment, _address: &str, beat: &mut Heartbeat) {
         beat.version = self.inner.view().version;
-        beat.age = self.inner.age(now).map_or(u64::MAX, |age| age.as_millis() as u64);
+        beat.store_age_ms = self.inner.age(now).map_or(u64::MAX, |age| age.as_millis() as u64);
     }
 
     /// Adds to the status.
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -6,8 +6,8 @@
 
 use super::{Event, MEMBER, Outbox, Reply, Status};
 use crate::dispatch::{Decision, Dispatcher, Outcome, Policy, Submission};
-use crate::id::{Call, Incarnation};
-use crate::peer::{Demand, Heartbeat, Shares, Waiting, ZoneSummary};
+use crate::id::{CallId, Incarnation};
+use crate::peer::{Demand, Heartbeat, HostLoad, QueuedCalls, ZoneSummary};
 use crate::runner::Key;
 use crate::time::Moment;
 
@@ -23,7 +23,7 @@
     struct Queued {
         mate: Incarnation,
         heard: Moment,
-        waiting: Vec<Waiting>,
+        waiting: Vec<QueuedCalls>,
     }
 }
 
@@ -32,11 +32,11 @@
 pub struct Service {
     inner: Dispatcher,
     zone: String,
-    seeking: Vec<(Call, Submission)>,
-    running: Vec<(Call, Submission, Key)>,
+    seeking: Vec<(CallId, Submission)>,
+    running: Vec<(CallId, Submission, Key)>,
     /// Sorted by mate.
     queued: Vec<Queued>,
-    shares: Option<Shares>,
+    shares: Option<HostLoad>,
     next_shares: Moment,
     mates: usize,
     next_summary: Moment,
@@ -67,18 +67,18 @@
                 self.summarize(now, out);
                 self.inner.tick(now)
             }
-            Event::Beating { mates, peers, index } => {
+            Event::HeartbeatRound { mates, peers, index } => {
                 self.mates = *mates;
                 self.inner.set_hosts(mates + 1, peers + 1, *index);
                 self.refresh_shares(now);
                 Vec::new()
             }
             Event::View(view) => self.inner.set_view(view.clone()),
-            Event::Listed(listed) => {
+            Event::RunnerList(listed) => {
                 self.inner.runners.set_listings(listed.clone());
                 self.inner.tick(now)
             }
-            Event::Seek(seek) => {
+            Event::Acquire(seek) => {
                 let at = self.seeking.partition_point(|(call, _)| *call < seek.call);
                 self.seeking.insert(at, (seek.call, seek.clone()));
                 self.inner.submit(now, seek.clone())
@@ -87,12 +87,12 @@
                 Some((_, seek, runner)) => self.inner.finish(now, &seek, runner, outcome),
                 None => Vec::new(),
             },
-            Event::Forget(call) => self.forget(now, *call),
-            Event::Leaving(name) => {
+            Event::Cancel(call) => self.forget(now, *call),
+            Event::RunnerLeaving(name) => {
                 self.inner.runners.mark_leaving(now, name);
                 Vec::new()
             }
-            Event::Hear(beat) => {
+            Event::Heartbeat(beat) => {
                 self.hear(now, beat);
                 Vec::new()
             }
@@ -121,7 +121,7 @@
 
     /// The caller may go away in the moment in which its call starts; the
     /// runner's place is given back then, or it would stay taken for ever.
-    fn forget(&mut self, now: Moment, call: Call) -> Vec<Decision> {
+    fn forget(&mut self, now: Moment, call: CallId) -> Vec<Decision> {
         self.take_seeking(call);
         self.inner.cancel(call);
         match self.take_running(call) {
@@ -134,14 +134,14 @@
     }
 
     fn hear(&mut self, now: Moment, beat: &Heartbeat) {
-        if beat.card.zone != self.zone {
+        if beat.sender.zone != self.zone {
             return;
         }
-        let peer = Incarnation(beat.card.incarnation);
-        for name in &beat.leaving {
+        let peer = Incarnation(beat.sender.incarnation);
+        for name in &beat.leaving_runners {
             self.inner.runners.mark_leaving(now, name);
         }
-        if let Some(shares) = &beat.shares {
+        if let Some(shares) = &beat.load {
             self.inner.runners.set_peer_shares(now, peer, shares);
             let queued = Queued {
                 mate: peer,
@@ -153,7 +153,7 @@
                 Err(at) => self.queued.insert(at, queued),
             }
         }
-        if beat.card.gone {
+        if beat.sender.gone {
             self.queued.retain(|queued| queued.mate != peer);
         }
         self.tell_waiting_mates();
@@ -167,12 +167,12 @@
         self.inner.set_waiting_peers(pools);
     }
 
-    fn take_seeking(&mut self, call: Call) -> Option<Submission> {
+    fn take_seeking(&mut self, call: CallId) -> Option<Submission> {
         let at = self.seeking.binary_search_by(|(have, _)| have.cmp(&call)).ok()?;
         Some(self.seeking.remove(at).1)
     }
 
-    fn take_running(&mut self, call: Call) -> Option<(Call, Submission, Key)> {
+    fn take_running(&mut self, call: CallId) -> Option<(CallId, Submission, Key)> {
         let at = self.running.binary_search_by(|(have, ..)| have.cmp(&call)).ok()?;
         Some(self.running.remove(at))
     }
@@ -182,13 +182,13 @@
         if !now.reached(self.next_summary) {
             return;
         }
-        self.next_summary = now + crate::member::BEAT;
+        self.next_summary = now + crate::member::HEARTBEAT_INTERVAL;
         let summary = ZoneSummary {
             zone: self.zone.clone(),
             demands: self.demands(now),
             ..ZoneSummary::default()
         };
-        out.post(MEMBER, Event::Summaries(vec![summary]));
+        out.post(MEMBER, Event::ZoneSummaries(vec![summary]));
     }
 
     fn demands(&self, now: Moment) -> Vec<Demand> {
@@ -200,7 +200,7 @@
             .filter(|runner| runner.listing.zone == self.zone);
         for runner in mine {
             let demand = demand(&mut demands, &runner.listing.pool);
-            demand.busy += runner.running + runner.peer_running;
+            demand.running += runner.running + runner.peer_running;
             if !runner.is_leaving(now) {
                 demand.runners += 1;
                 demand.slots += runner.listing.slots;
@@ -216,9 +216,9 @@
         demands
     }
 
-    fn queue_by_pool(&self) -> Vec<Waiting> {
+    fn queue_by_pool(&self) -> Vec<QueuedCalls> {
         let waiting = self.inner.waiting_by_pool().into_iter();
-        waiting.map(|(pool, count)| Waiting { pool, count }).collect()
+        waiting.map(|(pool, count)| QueuedCalls { pool, count }).collect()
     }
 
     /// Takes the shares for this round of heartbeats, if they are due. They go
@@ -240,8 +240,8 @@
 
     /// Adds to a heartbeat.
     pub fn compose(&mut self, now: Moment, _address: &str, beat: &mut Heartbeat) {
-        beat.shares = self.shares.clone();
-        beat.leaving = self.inner.runners.leaving_names(now);
+        beat.load = self.shares.clone();
+        beat.leaving_runners = self.inner.runners.leaving_names(now);
     }
 
     /// Adds to the status.
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -3,7 +3,7 @@
 use super::{Action, CALLS, CONFIG, DISPATCH, Event, ORDERS, Outbox, Standing, Status, USAGE, ZoneStatus};
 use crate::config::service::WATCHERS_PER_ZONE;
 use crate::id::Incarnation;
-use crate::member::{Me, Members};
+use crate::member::{Identity, Members};
 use crate::peer::Heartbeat;
 use crate::time::Moment;
 use crate::usage::CHUNK_REPLICAS;
@@ -21,7 +21,7 @@
 
 impl Service {
     /// Knows itself and some addresses.
-    pub fn new(me: &Me, seeds: Vec<String>) -> Self {
+    pub fn new(me: &Identity, seeds: Vec<String>) -> Self {
         Self {
             members: Members::new(me, seeds),
             me: me.incarnation,
@@ -33,34 +33,34 @@
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
         match event {
             Event::Tick => self.beat(now, out),
-            Event::Hear(beat) => self.members.hear(now, beat),
-            Event::View(view) => self.members.set_version(view.version),
-            Event::Summaries(own) => {
+            Event::Heartbeat(beat) => self.members.on_heartbeat(now, beat),
+            Event::View(view) => self.members.set_config_version(view.version),
+            Event::ZoneSummaries(own) => {
                 if let Some(summary) = own.first() {
                     self.members.set_demands(summary.demands.clone());
                 }
             }
-            Event::Drained => self.members.leave(),
+            Event::Drained => self.members.announce_leave(),
             _ => {}
         }
         self.publish(out);
     }
 
     fn beat(&mut self, now: Moment, out: &mut Outbox) {
-        let due = self.members.due(now);
+        let due = self.members.heartbeat_targets(now);
         if due.is_empty() {
             return;
         }
         for address in due {
-            out.act(Action::Heartbeat(address, Box::default()));
+            out.push_action(Action::Heartbeat(address, Box::default()));
         }
-        let beating = Event::Beating {
-            mates: self.members.mates().count(),
-            peers: self.members.live().count(),
-            index: self.members.index(),
+        let beating = Event::HeartbeatRound {
+            mates: self.members.zone_peers().count(),
+            peers: self.members.live_peers().count(),
+            index: self.members.member_index(),
         };
         out.post(DISPATCH, beating);
-        out.post(ORDERS, Event::Summaries(self.members.summaries().to_vec()));
+        out.post(ORDERS, Event::ZoneSummaries(self.members.summaries().to_vec()));
     }
 
     fn publish(&mut self, out: &mut Outbox) {
@@ -69,41 +69,41 @@
         }
         self.digest = self.members.digest();
         let standing = Standing {
-            watcher: self.members.rank(CONFIG) < WATCHERS_PER_ZONE,
-            orders: self.members.leads(ORDERS, CANDIDATES),
-            usage: self.members.leads(USAGE, CANDIDATES),
-            keepers: self.members.owners(self.me.0, CHUNK_REPLICAS),
-            mates: self
+            watches_store: self.members.zone_rank(CONFIG) < WATCHERS_PER_ZONE,
+            orders_candidate: self.members.is_leading_delegate(ORDERS, CANDIDATES),
+            usage_candidate: self.members.is_leading_delegate(USAGE, CANDIDATES),
+            usage_replicas: self.members.zone_owners(self.me.0, CHUNK_REPLICAS),
+            zone_peers: self
                 .members
-                .mates()
-                .map(|peer| peer.card.address.clone())
+                .zone_peers()
+                .map(|peer| peer.member.address.clone())
                 .collect(),
             delegates: self.members.delegates(),
-            live: self
+            live_peers: self
                 .members
-                .live()
-                .map(|peer| (Incarnation(peer.card.incarnation), peer.card.address.clone()))
+                .live_peers()
+                .map(|peer| (Incarnation(peer.member.incarnation), peer.member.address.clone()))
                 .collect(),
         };
         for name in [CALLS, CONFIG, ORDERS, USAGE] {
-            out.post(name, Event::Standing(standing.clone()));
+            out.post(name, Event::Membership(standing.clone()));
         }
-        out.act(Action::Members(self.members.all()));
+        out.push_action(Action::Members(self.members.all_members()));
     }
 
     /// Fills in what a heartbeat left out.
     pub fn complete(&self, beat: &mut Heartbeat) -> bool {
-        self.members.complete(beat)
+        self.members.restore_sender(beat)
     }
 
     /// Adds to a heartbeat.
     pub fn compose(&mut self, now: Moment, address: &str, beat: &mut Heartbeat) {
-        self.members.compose(now, address, beat);
+        self.members.fill_heartbeat(now, address, beat);
     }
 
     /// Adds to the status.
     pub fn describe(&self, now: Moment, status: &mut Status) {
-        status.hosts = self.members.live().count() + 1;
+        status.hosts = self.members.live_peers().count() + 1;
         status.zones = self
             .members
             .summaries()
@@ -112,7 +112,7 @@
                 zone: summary.zone.clone(),
                 version: summary.version,
                 hosts: summary.hosts,
-                age_ms: now.wall.saturating_sub(summary.stamp),
+                age_ms: now.wall_ms.saturating_sub(summary.timestamp_ms),
             })
             .collect();
     }
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use super::request::Request;
+use super::pending::Pending;
 use super::{Action, Event, Outbox, Reply, Standing, Status, USAGE};
 use crate::config::Settings;
-use crate::id::{Call, Incarnation};
+use crate::id::{CallId, Incarnation};
 use crate::lease::Lease;
 use crate::peer::{Collect, Collected, Heartbeat};
 use crate::store::{Answer, Token};
@@ -26,8 +26,8 @@
     standing: Standing,
     length: Duration,
     grace: Duration,
-    lease_request: Request,
-    report_request: Request,
+    lease_request: Pending,
+    report_request: Pending,
     gathers: Vec<Collection>,
     zone: String,
     answered: Vec<String>,
@@ -45,8 +45,8 @@
             standing: Standing::default(),
             length: settings.usage_window,
             grace: settings.usage_grace,
-            lease_request: Request::default(),
-            report_request: Request::default(),
+            lease_request: Pending::default(),
+            report_request: Pending::default(),
             gathers: Vec::new(),
             zone: zone.to_string(),
             answered: Vec::new(),
@@ -58,30 +58,30 @@
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Count(item) => self.meter.record(now, item),
-            Event::Hear(beat) => self.hear(beat),
+            Event::RecordUsage(item) => self.meter.record(now, item),
+            Event::Heartbeat(beat) => self.hear(beat),
             Event::Collect(call, ask) if ask.zone => self.gather(now, Some(*call), ask, out),
             Event::Collect(call, ask) => {
                 let answer = self.sum_up(now, ask);
                 out.reply(*call, Reply::Collected(answer));
             }
             Event::Collected(answer) => self.collected(answer),
-            Event::Stored(token, answer) => self.stored(now, *token, answer, out),
-            Event::Reported(accepted) => {
+            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
+            Event::ReportAnswer(accepted) => {
                 let call = self.reporter.on_reported(now, *accepted);
-                self.report_request.ask(USAGE, call, out);
+                self.report_request.send(USAGE, call, out);
             }
-            Event::Standing(standing) => {
+            Event::Membership(standing) => {
                 self.standing = standing.clone();
                 self.meter
-                    .retain_replicas(|keeper| standing.live.iter().any(|(live, _)| *live == keeper));
+                    .retain_replicas(|keeper| standing.live_peers.iter().any(|(live, _)| *live == keeper));
             }
             Event::View(view) => {
                 self.length = view.document.settings.usage_window;
                 self.grace = view.document.settings.usage_grace;
                 self.meter.set_length(self.length);
             }
-            Event::Stop => self.lease.stop(now),
+            Event::Stop => self.lease.release(now),
             Event::Drained => self.meter.flush(now),
             _ => {}
         }
@@ -91,13 +91,13 @@
         self.meter.tick(now);
         self.finish_gathers(now, out);
         self.ask_seconds(now, out);
-        let call = self.lease.tick(now, self.standing.usage);
-        self.lease_request.ask(USAGE, call, out);
+        let call = self.lease.tick(now, self.standing.usage_candidate);
+        self.lease_request.send(USAGE, call, out);
         let grant = self.lease.grant(now);
         match self.reporter.tick(now, grant, self.length, self.grace) {
-            Some(Effect::Store(call)) => self.report_request.ask(USAGE, Some(call), out),
+            Some(Effect::Store(call)) => self.report_request.send(USAGE, Some(call), out),
             Some(Effect::Collect(ask)) => self.collect(now, ask, out),
-            Some(Effect::Report(grant, seal)) => out.act(Action::Report(grant, seal)),
+            Some(Effect::Report(grant, seal)) => out.push_action(Action::Report(grant, seal)),
             None => {}
         }
     }
@@ -111,7 +111,7 @@
             .iter()
             .filter_map(|(_, addresses)| addresses.first());
         for address in firsts {
-            out.act(Action::Collect(address.clone(), ask.clone()));
+            out.push_action(Action::Collect(address.clone(), ask.clone()));
         }
         self.answered.clear();
         self.gather(now, None, &ask, out);
@@ -128,30 +128,30 @@
             .iter()
             .filter(|(zone, _)| !self.answered.contains(zone));
         for address in silent.filter_map(|(_, addresses)| addresses.get(1)) {
-            out.act(Action::Collect(address.clone(), ask.clone()));
+            out.push_action(Action::Collect(address.clone(), ask.clone()));
         }
     }
 
-    fn gather(&mut self, now: Moment, call: Option<Call>, ask: &Collect, out: &mut Outbox) {
+    fn gather(&mut self, now: Moment, call: Option<CallId>, ask: &Collect, out: &mut Outbox) {
         let ask = Collect {
             zone: false,
             ..ask.clone()
         };
         let own = self.sum_up(now, &ask);
         self.gathers.push(Collection::new(now, call, own));
-        for address in &self.standing.mates {
-            out.act(Action::Collect(address.clone(), ask.clone()));
+        for address in &self.standing.zone_peers {
+            out.push_action(Action::Collect(address.clone(), ask.clone()));
         }
     }
 
     fn sum_up(&mut self, now: Moment, ask: &Collect) -> Collected {
-        let live = &self.standing.live;
+        let live = &self.standing.live_peers;
         self.meter
             .collect(now, ask, |source| live.iter().any(|(have, _)| *have == source))
     }
 
     fn collected(&mut self, answer: &Collected) {
-        match &answer.bundle {
+        match &answer.zone_usage {
             Some(bundle) => {
                 self.answered.push(bundle.zone.clone());
                 self.reporter.on_collected(bundle);
@@ -173,8 +173,8 @@
                 None => self.reporter.on_collected(&bundle),
                 Some(call) => {
                     let answer = Collected {
-                        sums: Vec::new(),
-                        bundle: Some(bundle),
+                        sources: Vec::new(),
+                        zone_usage: Some(bundle),
                     };
                     out.reply(call, Reply::Collected(answer));
                 }
@@ -183,33 +183,33 @@
     }
 
     fn stored(&mut self, now: Moment, token: Token, answer: &Answer, out: &mut Outbox) {
-        if self.lease_request.takes(token) {
-            let call = self.lease.answer(now, answer);
-            self.lease_request.ask(USAGE, call, out);
-        } else if self.report_request.takes(token) {
+        if self.lease_request.accept(token) {
+            let call = self.lease.on_answer(now, answer);
+            self.lease_request.send(USAGE, call, out);
+        } else if self.report_request.accept(token) {
             let call = self.reporter.on_answer(now, answer);
-            self.report_request.ask(USAGE, call, out);
+            self.report_request.send(USAGE, call, out);
         }
     }
 
     fn hear(&mut self, beat: &Heartbeat) {
-        for chunk in &beat.chunks {
+        for chunk in &beat.usage_chunks {
             self.meter.insert(chunk.clone());
         }
-        if beat.kept > 0 {
+        if beat.acked_chunk > 0 {
             self.meter
-                .acknowledge(Incarnation(beat.card.incarnation), beat.kept);
+                .acknowledge(Incarnation(beat.sender.incarnation), beat.acked_chunk);
         }
     }
 
     /// Adds to a heartbeat.
     pub fn compose(&mut self, _now: Moment, address: &str, beat: &mut Heartbeat) {
-        let Some((peer, _)) = self.standing.live.iter().find(|(_, have)| have == address) else {
+        let Some((peer, _)) = self.standing.live_peers.iter().find(|(_, have)| have == address) else {
             return;
         };
-        beat.kept = self.meter.contiguous_until(*peer);
-        if self.standing.keepers.contains(peer) {
-            beat.chunks = self.meter.unacknowledged(*peer);
+        beat.acked_chunk = self.meter.contiguous_until(*peer);
+        if self.standing.usage_replicas.contains(peer) {
+            beat.usage_chunks = self.meter.unacknowledged(*peer);
         }
     }
 
--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -140,7 +140,7 @@
     }
 
     /// The store's answer.
-    pub fn answer(&mut self, now: Moment, grant: Option<Grant>, answer: &Answer) -> Option<Step> {
+    pub fn on_store_answer(&mut self, now: Moment, grant: Option<Grant>, answer: &Answer) -> Option<Step> {
         match (std::mem::replace(&mut self.state, State::Ready), answer) {
             (State::Reading { .. }, Answer::Found(entries)) => {
                 self.recover(entries);
@@ -167,7 +167,7 @@
     }
 
     /// The ordering interface's answer.
-    pub fn ordered(&mut self, now: Moment, accepted: bool) {
+    pub fn on_order_answer(&mut self, now: Moment, accepted: bool) {
         let State::Sending { order, .. } = std::mem::replace(&mut self.state, State::Ready) else {
             return;
         };
@@ -183,7 +183,7 @@
         for pool in pools.iter().filter(|pool| pool.most > 0) {
             for summary in summaries
                 .iter()
-                .filter(|summary| summary.stamp + SUMMARY_AGE >= now.wall)
+                .filter(|summary| summary.timestamp_ms + SUMMARY_AGE >= now.wall_ms)
             {
                 let demand = summary.demands.iter().find(|demand| demand.pool == pool.name);
                 let want = demand.map_or(pool.least, |demand| want(pool, demand));
@@ -219,7 +219,7 @@
             count: target.desired,
             fence: grant.fence,
         };
-        let call = Call::Swap {
+        let call = Call::CompareAndSwap {
             key: format!("{PREFIX}{}/{}", order.pool, order.zone),
             expect: target.extra.version,
             value: serde_json::to_string(&order).ok()?,
@@ -258,6 +258,6 @@
         0 => return pool.least.max(1),
         runners => (demand.slots / runners).max(1),
     };
-    let calls = demand.busy + demand.waiting;
+    let calls = demand.running + demand.waiting;
     (calls * 100).div_ceil(each * FILL)
 }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -4,7 +4,7 @@
 //! the wire crate. Any of them may come late, twice or never.
 
 /// Most bytes of one message.
-pub const MESSAGE_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 macro_rules! message {
     ($(#[$doc:meta])* pub struct $name:ident { $($body:tt)* }) => {
@@ -17,7 +17,7 @@
 message! {
     /// Who a process is; a higher epoch replaces a lower one. A heartbeat to a
     /// peer that knows the sender leaves the texts out.
-    pub struct Card {
+    pub struct Member {
         /// Incarnation.
         #[prost(fixed64, tag = "1")]
         pub incarnation: u64,
@@ -53,7 +53,7 @@
         pub hosts: u32,
         /// When it was said, in milliseconds since the Unix epoch.
         #[prost(uint64, tag = "4")]
-        pub stamp: u64,
+        pub timestamp_ms: u64,
         /// Demand for the zone's own runners.
         #[prost(message, repeated, tag = "5")]
         pub demands: Vec<Demand>,
@@ -68,7 +68,7 @@
         pub pool: String,
         /// Calls that run.
         #[prost(uint32, tag = "2")]
-        pub busy: u32,
+        pub running: u32,
         /// Calls that wait.
         #[prost(uint32, tag = "3")]
         pub waiting: u32,
@@ -83,7 +83,7 @@
 
 message! {
     /// Calls that one host has running, by runner; five bytes a runner.
-    pub struct Shares {
+    pub struct HostLoad {
         /// Hashes of the runners' names.
         #[prost(fixed32, repeated, tag = "1")]
         pub runners: Vec<u32>,
@@ -92,13 +92,13 @@
         pub running: Vec<u32>,
         /// Calls that wait, by pool.
         #[prost(message, repeated, tag = "3")]
-        pub waiting: Vec<Waiting>,
+        pub waiting: Vec<QueuedCalls>,
     }
 }
 
 message! {
     /// Calls of one host that wait for a pool.
-    pub struct Waiting {
+    pub struct QueuedCalls {
         /// Pool.
         #[prost(string, tag = "1")]
         pub pool: String,
@@ -113,35 +113,35 @@
     pub struct Heartbeat {
         /// The sender.
         #[prost(message, required, tag = "1")]
-        pub card: Card,
+        pub sender: Member,
         /// Configuration version in force at the sender.
         #[prost(uint64, tag = "2")]
         pub version: u64,
         /// Age of the sender's newest answer from the store, in milliseconds;
         /// the largest number when it never had one.
         #[prost(uint64, tag = "3")]
-        pub age: u64,
+        pub store_age_ms: u64,
         /// Hash of all cards that the sender knows.
         #[prost(fixed64, tag = "4")]
-        pub digest: u64,
+        pub member_digest: u64,
         /// Cards that the receiver seems to lack.
         #[prost(message, repeated, tag = "5")]
-        pub cards: Vec<Card>,
+        pub members: Vec<Member>,
         /// What the zones have in force.
         #[prost(message, repeated, tag = "6")]
         pub summaries: Vec<ZoneSummary>,
         /// The sender's calls on shared runners, in the beats that carry them.
         #[prost(message, optional, tag = "7")]
-        pub shares: Option<Shares>,
+        pub load: Option<HostLoad>,
         /// Runners that the sender saw leaving or refusing.
         #[prost(string, repeated, tag = "8")]
-        pub leaving: Vec<String>,
+        pub leaving_runners: Vec<String>,
         /// Usage chunks for safe keeping.
         #[prost(message, repeated, tag = "9")]
-        pub chunks: Vec<Chunk>,
+        pub usage_chunks: Vec<UsageChunk>,
         /// Highest chunk of the receiver that the sender keeps.
         #[prost(uint64, tag = "10")]
-        pub kept: u64,
+        pub acked_chunk: u64,
 
     }
 }
@@ -153,7 +153,7 @@
 
 message! {
     /// Usage of one customer and class.
-    pub struct Row {
+    pub struct UsageRow {
         /// Customer.
         #[prost(string, tag = "1")]
         pub customer: String,
@@ -165,7 +165,7 @@
         pub calls: u64,
         /// Prompt tokens.
         #[prost(uint64, tag = "4")]
-        pub prompt: u64,
+        pub prompt_tokens: u64,
         /// Generated tokens that went to the caller.
         #[prost(uint64, tag = "5")]
         pub tokens: u64,
@@ -177,7 +177,7 @@
 
 message! {
     /// What one process counted in a few seconds of one window; never changes.
-    pub struct Chunk {
+    pub struct UsageChunk {
         /// Incarnation that counted.
         #[prost(fixed64, tag = "1")]
         pub source: u64,
@@ -189,7 +189,7 @@
         pub window: u64,
         /// Figures.
         #[prost(message, repeated, tag = "4")]
-        pub rows: Vec<Row>,
+        pub rows: Vec<UsageRow>,
     }
 }
 
@@ -198,7 +198,7 @@
     pub struct Pull {
         /// Version in force at the asker.
         #[prost(uint64, tag = "1")]
-        pub have: u64,
+        pub version: u64,
     }
 }
 
@@ -243,19 +243,19 @@
 
 message! {
     /// Usage of one source in one window.
-    pub struct Part {
+    pub struct WindowUsage {
         /// Window in which it was counted.
         #[prost(uint64, tag = "1")]
         pub window: u64,
         /// Figures.
         #[prost(message, repeated, tag = "2")]
-        pub rows: Vec<Row>,
+        pub rows: Vec<UsageRow>,
     }
 }
 
 message! {
     /// What a host knows of one source.
-    pub struct Sum {
+    pub struct SourceUsage {
         /// Incarnation that counted.
         #[prost(fixed64, tag = "1")]
         pub source: u64,
@@ -264,22 +264,22 @@
         pub number: u64,
         /// Figures by window.
         #[prost(message, repeated, tag = "3")]
-        pub parts: Vec<Part>,
+        pub windows: Vec<WindowUsage>,
         /// Last chunk that is not in the parts, as it was sealed before.
         #[prost(uint64, tag = "4")]
-        pub from: u64,
+        pub after_chunk: u64,
     }
 }
 
 message! {
     /// Which chunks of a source are in a bundle.
-    pub struct Span {
+    pub struct ChunkRange {
         /// Incarnation that counted.
         #[prost(fixed64, tag = "1")]
         pub source: u64,
         /// Last chunk before the bundle's.
         #[prost(uint64, tag = "2")]
-        pub from: u64,
+        pub after_chunk: u64,
         /// Last chunk in the bundle.
         #[prost(uint64, tag = "3")]
         pub number: u64,
@@ -288,13 +288,13 @@
 
 message! {
     /// Usage of a whole zone, summed over its sources.
-    pub struct Bundle {
+    pub struct ZoneUsage {
         /// Chunks that are in it, by source.
         #[prost(message, repeated, tag = "1")]
-        pub spans: Vec<Span>,
+        pub chunk_ranges: Vec<ChunkRange>,
         /// Figures by window.
         #[prost(message, repeated, tag = "2")]
-        pub parts: Vec<Part>,
+        pub windows: Vec<WindowUsage>,
         /// Availability zone.
         #[prost(string, tag = "3")]
         pub zone: String,
@@ -306,10 +306,10 @@
     pub struct Collected {
         /// One host's knowledge, by source.
         #[prost(message, repeated, tag = "1")]
-        pub sums: Vec<Sum>,
+        pub sources: Vec<SourceUsage>,
         /// A zone's, when that was asked for.
         #[prost(message, optional, tag = "2")]
-        pub bundle: Option<Bundle>,
+        pub zone_usage: Option<ZoneUsage>,
     }
 }
 
@@ -327,7 +327,7 @@
         pub class: String,
         /// Idempotency key.
         #[prost(string, tag = "4")]
-        pub once: String,
+        pub idempotency_key: String,
         /// Body.
         #[prost(bytes = "vec", tag = "5")]
         pub body: Vec<u8>,
@@ -348,6 +348,6 @@
         pub body: Vec<u8>,
         /// Milliseconds until the caller may come back; 0 for none.
         #[prost(uint64, tag = "3")]
-        pub after: u64,
+        pub retry_after_ms: u64,
     }
 }
--- a/crates/core/src/proxy/mirror.rs
+++ b/crates/core/src/proxy/mirror.rs
@@ -16,7 +16,7 @@
 use prost::Message;
 
 use super::document::Notice;
-use crate::id::{digest, weight};
+use crate::id::{digest, rendezvous_weight};
 use crate::store::Entry;
 use crate::time::Moment;
 
@@ -207,7 +207,7 @@
     /// was frozen. The age it tells is counted back from the moment of the
     /// question, which errs on the old side by all such delays.
     pub fn take(&mut self, asked: Moment, changes: Changes) -> bool {
-        let as_of = asked.back(Duration::from_micros(changes.age_us));
+        let as_of = asked.saturating_sub(Duration::from_micros(changes.age_us));
         if changes.upto < self.upto {
             // What is known here is newer, and so as good as of that moment.
             self.see(changes.upto, as_of);
@@ -269,7 +269,7 @@
 
 /// Checksum over keys and their versions, whatever their order.
 fn sum(entries: &[Entry]) -> u64 {
-    let one = |entry: &Entry| weight(digest(entry.key.as_bytes()), entry.version);
+    let one = |entry: &Entry| rendezvous_weight(digest(entry.key.as_bytes()), entry.version);
     entries.iter().map(one).fold(0, |sum, one| sum ^ one)
 }
 
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use crate::id::Incarnation;
-use crate::peer::{Chunk, Collect, Collected, Cursor, Part, Row, Sum};
+use crate::peer::{Collect, Collected, Cursor, SourceUsage, UsageChunk, UsageRow, WindowUsage};
 use crate::time::Moment;
 
 pub mod gather;
@@ -49,11 +49,11 @@
 /// of it travels) do not name a window of another year.
 pub fn window_start(now: Moment, length: Duration) -> u64 {
     let length = (length.as_millis() as u64).max(1);
-    now.wall / length * length
+    now.wall_ms / length * length
 }
 
 /// Adds rows of the same customer and class.
-pub fn merge_rows(into: &mut Vec<Row>, rows: &[Row]) {
+pub fn merge_rows(into: &mut Vec<UsageRow>, rows: &[UsageRow]) {
     for row in rows {
         match into.binary_search_by(|have| (&have.customer, &have.class).cmp(&(&row.customer, &row.class))) {
             Ok(at) => add(&mut into[at], row),
@@ -62,9 +62,9 @@
     }
 }
 
-fn add(into: &mut Row, row: &Row) {
+fn add(into: &mut UsageRow, row: &UsageRow) {
     into.calls += row.calls;
-    into.prompt += row.prompt;
+    into.prompt_tokens += row.prompt_tokens;
     into.tokens += row.tokens;
     into.broken += row.broken;
 }
@@ -74,12 +74,12 @@
 pub struct Meter {
     me: Incarnation,
     length: Duration,
-    open: Vec<Row>,
+    open: Vec<UsageRow>,
     opened: Moment,
     window: u64,
     number: u64,
     sealed: u64,
-    chunks: Vec<Chunk>,
+    chunks: Vec<UsageChunk>,
     acked: Vec<(Incarnation, u64)>,
 }
 
@@ -107,11 +107,11 @@
     /// Counts one thing.
     pub fn record(&mut self, now: Moment, item: &Record) {
         self.tick(now);
-        let row = Row {
+        let row = UsageRow {
             customer: item.customer.clone(),
             class: item.class.clone(),
             calls: u64::from(item.completed),
-            prompt: item.prompt_tokens,
+            prompt_tokens: item.prompt_tokens,
             tokens: item.output_tokens,
             broken: u64::from(!item.completed),
         };
@@ -130,7 +130,7 @@
     pub fn flush(&mut self, now: Moment) {
         if !self.open.is_empty() {
             self.number += 1;
-            let chunk = Chunk {
+            let chunk = UsageChunk {
                 source: self.me.0,
                 number: self.number,
                 window: self.window,
@@ -143,7 +143,7 @@
     }
 
     /// Chunks that a keeper has not confirmed yet.
-    pub fn unacknowledged(&self, keeper: Incarnation) -> Vec<Chunk> {
+    pub fn unacknowledged(&self, keeper: Incarnation) -> Vec<UsageChunk> {
         let acked = self.acked(keeper);
         self.own()
             .filter(|chunk| chunk.number > acked)
@@ -172,7 +172,7 @@
     }
 
     /// Takes a chunk in for safe keeping; a second copy changes nothing.
-    pub fn insert(&mut self, chunk: Chunk) {
+    pub fn insert(&mut self, chunk: UsageChunk) {
         if self.chunks.len() >= KEPT {
             return;
         }
@@ -214,7 +214,7 @@
         self.sealed = self.sealed.max(sealed_until(&ask.cursors, self.me.0));
         self.chunks
             .retain(|chunk| chunk.number > sealed_until(&ask.cursors, chunk.source));
-        let mut sums: Vec<Sum> = Vec::new();
+        let mut sums: Vec<SourceUsage> = Vec::new();
         for chunk in &self.chunks {
             let last = match sums.last() {
                 Some(sum) if sum.source == chunk.source => sum.number,
@@ -227,7 +227,10 @@
             }
             include(&mut sums, chunk, last);
         }
-        Collected { sums, bundle: None }
+        Collected {
+            sources: sums,
+            zone_usage: None,
+        }
     }
 
     /// Chunks kept, own and others'.
@@ -242,11 +245,11 @@
         }
     }
 
-    fn own(&self) -> impl Iterator<Item = &Chunk> {
+    fn own(&self) -> impl Iterator<Item = &UsageChunk> {
         self.of(self.me.0)
     }
 
-    fn of(&self, source: u64) -> impl Iterator<Item = &Chunk> {
+    fn of(&self, source: u64) -> impl Iterator<Item = &UsageChunk> {
         let from = self.chunks.partition_point(|chunk| chunk.source < source);
         self.chunks[from..]
             .iter()
@@ -262,19 +265,19 @@
     }
 }
 
-fn include(sums: &mut Vec<Sum>, chunk: &Chunk, from: u64) {
+fn include(sums: &mut Vec<SourceUsage>, chunk: &UsageChunk, from: u64) {
     if sums.last().is_none_or(|sum| sum.source != chunk.source) {
-        sums.push(Sum {
+        sums.push(SourceUsage {
             source: chunk.source,
-            from,
-            ..Sum::default()
+            after_chunk: from,
+            ..SourceUsage::default()
         });
     }
     if let Some(sum) = sums.last_mut() {
         sum.number = chunk.number;
-        match sum.parts.iter_mut().find(|part| part.window == chunk.window) {
+        match sum.windows.iter_mut().find(|part| part.window == chunk.window) {
             Some(part) => merge_rows(&mut part.rows, &chunk.rows),
-            None => sum.parts.push(Part {
+            None => sum.windows.push(WindowUsage {
                 window: chunk.window,
                 rows: chunk.rows.clone(),
             }),
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use super::merge_rows;
-use crate::id::Call;
-use crate::peer::{Bundle, Collected, Part, Span, Sum};
+use crate::id::CallId;
+use crate::peer::{ChunkRange, Collected, SourceUsage, WindowUsage, ZoneUsage};
 use crate::time::Moment;
 
 /// Wait for the mates' answers.
@@ -19,14 +19,14 @@
 #[derive(Debug)]
 pub struct Collection {
     /// Whom to answer; the reporter of this process when absent.
-    pub call: Option<Call>,
+    pub call: Option<CallId>,
     since: Moment,
-    sums: Vec<Sum>,
+    sums: Vec<SourceUsage>,
 }
 
 impl Collection {
     /// Begins with what this host knows itself.
-    pub fn new(now: Moment, call: Option<Call>, own: Collected) -> Self {
+    pub fn new(now: Moment, call: Option<CallId>, own: Collected) -> Self {
         let mut gather = Self {
             call,
             since: now,
@@ -38,7 +38,7 @@
 
     /// Takes a mate's answer in.
     pub fn add_answer(&mut self, answer: Collected) {
-        for sum in answer.sums {
+        for sum in answer.sources {
             match self.sums.binary_search_by(|have| have.source.cmp(&sum.source)) {
                 // Of two hosts that know a source, the one that has more of
                 // it is believed; adding them would count chunks twice.
@@ -55,27 +55,27 @@
     }
 
     /// The zone's sum.
-    pub fn into_bundle(self, zone: &str) -> Bundle {
-        let mut bundle = Bundle {
+    pub fn into_bundle(self, zone: &str) -> ZoneUsage {
+        let mut bundle = ZoneUsage {
             zone: zone.to_string(),
-            ..Bundle::default()
+            ..ZoneUsage::default()
         };
         for sum in self.sums {
-            bundle.spans.push(Span {
+            bundle.chunk_ranges.push(ChunkRange {
                 source: sum.source,
-                from: sum.from,
+                after_chunk: sum.after_chunk,
                 number: sum.number,
             });
-            sum.parts
+            sum.windows
                 .iter()
-                .for_each(|part| add_part(&mut bundle.parts, part));
+                .for_each(|part| add_part(&mut bundle.windows, part));
         }
         bundle
     }
 }
 
 /// Adds a part to parts sorted by window.
-pub fn add_part(parts: &mut Vec<Part>, part: &Part) {
+pub fn add_part(parts: &mut Vec<WindowUsage>, part: &WindowUsage) {
     match parts.binary_search_by(|have| have.window.cmp(&part.window)) {
         Ok(at) => merge_rows(&mut parts[at].rows, &part.rows),
         Err(at) => parts.insert(at, part.clone()),
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -9,7 +9,7 @@
 use super::gather::add_part;
 use super::sealed_until;
 use crate::lease::Grant;
-use crate::peer::{Bundle, Collect, Cursor, Part, Row, Span};
+use crate::peer::{ChunkRange, Collect, Cursor, UsageRow, WindowUsage, ZoneUsage};
 use crate::store::{Answer, Call};
 use crate::time::Moment;
 use crate::write_once::{Outcome, Writer};
@@ -104,7 +104,7 @@
         ReadHead { since: Moment },
         ReadSeals { since: Moment, head: u64 },
         Ready,
-        Collecting { since: Moment, window: u64, bundle: Bundle },
+        Collecting { since: Moment, window: u64, bundle: ZoneUsage },
         Sealing,
         Reporting { since: Moment },
         Recording { since: Moment },
@@ -186,13 +186,13 @@
         }
         let millis = length.as_millis() as u64;
         let window = self.next_window(now, millis);
-        if now.wall < window + millis + grace.as_millis() as u64 {
+        if now.wall_ms < window + millis + grace.as_millis() as u64 {
             return None;
         }
         self.state = State::Collecting {
             since: now,
             window,
-            bundle: Bundle::default(),
+            bundle: ZoneUsage::default(),
         };
         Some(Effect::Collect(Collect {
             cursors: self.cursors(),
@@ -205,7 +205,7 @@
     /// there for are skipped; their chunks come as late ones.
     fn next_window(&self, now: Moment, millis: u64) -> u64 {
         let millis = millis.max(1);
-        let ended = (now.wall / millis).saturating_sub(1) * millis;
+        let ended = (now.wall_ms / millis).saturating_sub(1) * millis;
         match &self.last {
             Some(seal) => ((seal.window / millis + 1) * millis).max(ended.saturating_sub(millis)),
             None => ended,
@@ -213,7 +213,7 @@
     }
 
     /// A zone's answer to the collection; taken whole or not at all.
-    pub fn on_collected(&mut self, answer: &Bundle) {
+    pub fn on_collected(&mut self, answer: &ZoneUsage) {
         let cursors = self.cursors();
         let State::Collecting { bundle, .. } = &mut self.state else {
             return;
@@ -221,24 +221,26 @@
         // A host that was frozen answers an earlier question late; its sums
         // begin before what has been sealed since and would count it again.
         // So would a second answer for the same sources.
-        let known = |span: &Span| {
+        let known = |span: &ChunkRange| {
             bundle
-                .spans
+                .chunk_ranges
                 .binary_search_by(|have| have.source.cmp(&span.source))
                 .is_ok()
         };
-        let stale = |span: &Span| span.from < sealed_until(&cursors, span.source);
-        if answer.spans.iter().any(|span| known(span) || stale(span)) {
+        let stale = |span: &ChunkRange| span.after_chunk < sealed_until(&cursors, span.source);
+        if answer.chunk_ranges.iter().any(|span| known(span) || stale(span)) {
             return;
         }
-        for span in &answer.spans {
-            let at = bundle.spans.partition_point(|have| have.source < span.source);
-            bundle.spans.insert(at, span.clone());
+        for span in &answer.chunk_ranges {
+            let at = bundle
+                .chunk_ranges
+                .partition_point(|have| have.source < span.source);
+            bundle.chunk_ranges.insert(at, span.clone());
         }
         answer
-            .parts
+            .windows
             .iter()
-            .for_each(|part| add_part(&mut bundle.parts, part));
+            .for_each(|part| add_part(&mut bundle.windows, part));
     }
 
     /// The store's answer.
@@ -313,7 +315,7 @@
         let head = Progress {
             reported: seal.number,
         };
-        Some(Call::Swap {
+        Some(Call::CompareAndSwap {
             key: PROGRESS_KEY.into(),
             expect: self.head_version,
             value: serde_json::to_string(&head).unwrap_or_default(),
@@ -348,15 +350,15 @@
             .collect()
     }
 
-    fn seal(&self, window: u64, bundle: &Bundle) -> SealedWindow {
+    fn seal(&self, window: u64, bundle: &ZoneUsage) -> SealedWindow {
         let mut marks = self.last.as_ref().map_or(Vec::new(), |seal| seal.marks.clone());
         marks.retain(|mark| mark.moved + RETENTION_MS > window);
         bundle
-            .spans
+            .chunk_ranges
             .iter()
             .for_each(|span| mark(&mut marks, span, window));
-        let counts = |part: &&Part| part.window + RETENTION_MS > window;
-        let parts: Vec<&Part> = bundle.parts.iter().filter(counts).collect();
+        let counts = |part: &&WindowUsage| part.window + RETENTION_MS > window;
+        let parts: Vec<&WindowUsage> = bundle.windows.iter().filter(counts).collect();
         SealedWindow {
             number: self.last.as_ref().map_or(1, |seal| seal.number + 1),
             window,
@@ -387,7 +389,7 @@
     format!("{SEALED_PREFIX}{number:016}")
 }
 
-fn mark(marks: &mut Vec<Checkpoint>, span: &Span, window: u64) {
+fn mark(marks: &mut Vec<Checkpoint>, span: &ChunkRange, window: u64) {
     let source = crate::id::Incarnation(span.source);
     let mark = Checkpoint {
         source,
@@ -400,12 +402,12 @@
     }
 }
 
-fn lines(window: u64, parts: &[&Part]) -> Vec<Line> {
-    let line = |part: &Part, row: &Row| Line {
+fn lines(window: u64, parts: &[&WindowUsage]) -> Vec<Line> {
+    let line = |part: &WindowUsage, row: &UsageRow| Line {
         customer: row.customer.clone(),
         class: row.class.clone(),
         calls: row.calls,
-        prompt: row.prompt,
+        prompt: row.prompt_tokens,
         tokens: row.tokens,
         broken: row.broken,
         late_from: (part.window != window).then_some(part.window),
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -5,7 +5,7 @@
 
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
 use radishstair_core::at_most_once::{Completion, Verdict};
-use radishstair_core::id::Call;
+use radishstair_core::id::CallId;
 use radishstair_core::kernel::{Action, Event, Kernel, Reply};
 use radishstair_core::store;
 use tokio::sync::{mpsc, oneshot};
@@ -36,7 +36,7 @@
     handle: Arc<Handle>,
     kernel: Kernel,
     lines: Lines,
-    waiters: Vec<(Call, oneshot::Sender<Reply>)>,
+    waiters: Vec<(CallId, oneshot::Sender<Reply>)>,
 }
 
 impl Control {
@@ -111,7 +111,7 @@
                 );
                 self.handle.members.store(Arc::new(cards));
             }
-            Action::Trusted(trusted) => {
+            Action::KeysTrusted(trusted) => {
                 tracing::info!(event = "keys-trusted", trusted);
                 self.handle.metrics.trusted.set(i64::from(trusted));
                 self.handle
@@ -134,8 +134,8 @@
     /// and a call that nobody runs would count as running, for ever.
     fn take_back(&mut self, unheard: Reply) {
         match unheard {
-            Reply::Start(start) => self.step(Event::Forget(start.call)),
-            Reply::Verdict(Verdict::Run(key)) => self.step(Event::End {
+            Reply::Start(start) => self.step(Event::Cancel(start.call)),
+            Reply::Verdict(Verdict::Run(key)) => self.step(Event::EndCall {
                 key,
                 end: Completion::NotRun,
             }),
@@ -147,7 +147,7 @@
         let _ = self.lines.peers.send(message);
     }
 
-    fn reply(&mut self, call: Call, reply: Reply) {
+    fn reply(&mut self, call: CallId, reply: Reply) {
         if let Ok(at) = self.waiters.binary_search_by(|(have, _)| have.cmp(&call)) {
             let (_, sender) = self.waiters.remove(at);
             if let Err(unheard) = sender.send(reply) {
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -194,11 +194,11 @@
     /// Asks this process's records what to do with a copy.
     async fn begin(&self, job: &Job, once: &str) -> Verdict {
         let call = self.handle.call();
-        let event = Event::Begin {
+        let event = Event::BeginCall {
             call,
             customer: job.customer.clone(),
-            once: once.to_string(),
-            body: digest(&[job.path.as_bytes(), b"\n", &job.body].concat()),
+            idempotency_key: once.to_string(),
+            body_hash: digest(&[job.path.as_bytes(), b"\n", &job.body].concat()),
         };
         let mut reply = self.handle.ask(call, event);
         let reply = match tokio::time::timeout(COPY, &mut reply).await {
@@ -253,7 +253,7 @@
     }
 
     fn end(&self, key: Key, end: Completion) {
-        self.handle.tell(Event::End { key, end });
+        self.handle.tell(Event::EndCall { key, end });
     }
 
     /// Passes a call on to the one process that may run it.
@@ -271,7 +271,7 @@
             customer: job.customer.clone(),
             key: job.key.clone(),
             class: job.route.class.clone(),
-            once,
+            idempotency_key: once,
             body: job.body.to_vec(),
             version: job.version,
         };
@@ -285,7 +285,11 @@
     /// What may be said when the owner cannot be asked.
     async fn away(&self, owner: Incarnation, key: Key) -> Refusal {
         let call = self.handle.call();
-        match self.handle.ask(call, Event::Away { call, owner, key }).await {
+        match self
+            .handle
+            .ask(call, Event::OwnerUnreachable { call, owner, key })
+            .await
+        {
             Ok(Reply::Verdict(Verdict::Refuse(refusal))) => match refusal.repeat {
                 Repeat::SameKey => refusal.retry_after(Duration::from_secs(2)),
                 _ => refusal,
@@ -299,7 +303,7 @@
         let _flight = self.handle.flight();
         let answer = match self.admit_forwarded(&forward) {
             Ok(job) => {
-                let verdict = self.begin(&job, &forward.once).await;
+                let verdict = self.begin(&job, &forward.idempotency_key).await;
                 self.settle(&job, verdict).await
             }
             Err(refusal) => Err(unsettled(refusal)),
@@ -403,7 +407,7 @@
             Failure::Broken => (failure, Kind::UpstreamBroken.into()),
         })?;
         if leaves(&answer) {
-            self.handle.tell(Event::Leaving(start.name.clone()));
+            self.handle.tell(Event::RunnerLeaving(start.name.clone()));
         }
         let named = answer
             .headers()
@@ -424,7 +428,7 @@
     }
 
     fn count(&self, job: &Job) {
-        self.handle.tell(Event::Count(Record {
+        self.handle.tell(Event::RecordUsage(Record {
             customer: job.customer.clone(),
             class: job.route.class.clone(),
             prompt_tokens: 0,
--- a/crates/entry/src/front/call/guard.rs
+++ b/crates/entry/src/front/call/guard.rs
@@ -4,7 +4,7 @@
 
 use radishstair_core::dispatch::{Assignment, Outcome, Submission};
 use radishstair_core::error::{Kind, Refusal};
-use radishstair_core::id::Call;
+use radishstair_core::id::CallId;
 use radishstair_core::kernel::{Event, Reply};
 
 use crate::handle::Handle;
@@ -12,13 +12,13 @@
 /// A call that waits for a runner; forgotten when its caller goes away.
 pub struct Waiting<'a> {
     pub handle: &'a Arc<Handle>,
-    pub call: Call,
+    pub call: CallId,
     pub done: bool,
 }
 
 impl Waiting<'_> {
     pub async fn wait(mut self, seek: Submission) -> Result<Assignment, Refusal> {
-        let reply = self.handle.ask(self.call, Event::Seek(seek)).await;
+        let reply = self.handle.ask(self.call, Event::Acquire(seek)).await;
         self.done = true;
         match reply {
             Ok(Reply::Start(start)) => Ok(start),
@@ -31,7 +31,7 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if !self.done {
-            self.handle.tell(Event::Forget(self.call));
+            self.handle.tell(Event::Cancel(self.call));
         }
     }
 }
@@ -39,7 +39,7 @@
 /// A call on a runner; its place is given back however it ends.
 pub struct Running<'a> {
     pub handle: &'a Arc<Handle>,
-    pub call: Call,
+    pub call: CallId,
     pub outcome: Outcome,
 }
 
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -10,7 +10,7 @@
 use radishstair_core::config::view::Route;
 use radishstair_core::dispatch::{Assignment, Outcome, Submission};
 use radishstair_core::error::{Kind, Ran, Refusal};
-use radishstair_core::id::Call;
+use radishstair_core::id::CallId;
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::retry::{Fault, History, Rule};
 use radishstair_core::runner;
@@ -175,7 +175,7 @@
             avoid: avoid.to_vec(),
             reserved: self.promised,
         };
-        let reply = self.handle.ask(call, Event::Seek(seek));
+        let reply = self.handle.ask(call, Event::Acquire(seek));
         tokio::select! {
             reply = reply => match reply {
                 Ok(Reply::Start(start)) => Ok(start),
@@ -183,7 +183,7 @@
                 _ => Err(Kind::Stopping.into()),
             },
             () = state.caller_gone(pieces) => {
-                self.handle.tell(Event::Forget(call));
+                self.handle.tell(Event::Cancel(call));
                 Err(End::CallerGone)
             }
         }
@@ -210,7 +210,7 @@
         attempt
     }
 
-    fn release(&self, call: Call, outcome: Outcome) {
+    fn release(&self, call: CallId, outcome: Outcome) {
         self.handle.tell(Event::Release { call, outcome });
     }
 
@@ -230,7 +230,7 @@
             Failure::Broken => Kind::UpstreamBroken,
         })?;
         if leaves(&answer) {
-            self.handle.tell(Event::Leaving(start.name.clone()));
+            self.handle.tell(Event::RunnerLeaving(start.name.clone()));
         }
         if answer.status() != hyper::StatusCode::OK {
             let detail = format!("the runner answered {}", answer.status());
@@ -333,7 +333,7 @@
         };
         self.handle.metrics.request(&self.route.class, name);
         if state.usage.tokens > 0 || whole {
-            self.handle.tell(Event::Count(Record {
+            self.handle.tell(Event::RecordUsage(Record {
                 customer: self.customer.clone(),
                 class: self.route.class.clone(),
                 prompt_tokens: state.usage.prompt,
--- a/crates/entry/src/peers/serve.rs
+++ b/crates/entry/src/peers/serve.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context, Result};
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::peer::{
-    Ack, Collect, Collected, Forward, Forwarded, Heartbeat, MESSAGE_BYTES, Pull, Pulled,
+    Ack, Collect, Collected, Forward, Forwarded, Heartbeat, MAX_MESSAGE_BYTES, Pull, Pulled,
 };
 use radishstair_wire::PEER_TOKEN;
 use radishstair_wire::generated::peer_server::{Peer, PeerServer};
@@ -27,7 +27,7 @@
 }
 
 impl Service {
-    async fn ask(&self, make: impl FnOnce(radishstair_core::id::Call) -> Event) -> Result<Reply, Status> {
+    async fn ask(&self, make: impl FnOnce(radishstair_core::id::CallId) -> Event) -> Result<Reply, Status> {
         let call = self.handle.call();
         let reply = self.handle.ask(call, make(call));
         reply.await.map_err(|_| Status::unavailable("stopping"))
@@ -37,7 +37,7 @@
 #[tonic::async_trait]
 impl Peer for Service {
     async fn heartbeat(&self, request: Request<Heartbeat>) -> Result<Response<Ack>, Status> {
-        self.handle.tell(Event::Hear(request.into_inner()));
+        self.handle.tell(Event::Heartbeat(request.into_inner()));
         Ok(Response::new(Ack {}))
     }
 
@@ -87,8 +87,8 @@
         traffic,
         caller,
     })
-    .max_decoding_message_size(MESSAGE_BYTES)
-    .max_encoding_message_size(MESSAGE_BYTES);
+    .max_decoding_message_size(MAX_MESSAGE_BYTES)
+    .max_encoding_message_size(MAX_MESSAGE_BYTES);
     let guard = move |request: Request<()>| admit(&token, request);
     Server::builder()
         .tcp_nodelay(true)
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -39,10 +39,10 @@
 impl Leases {
     /// A lease for the keys that need one.
     fn of(&self, client: &Client, call: &Call) -> Option<u64> {
-        let Call::Swap { key, .. } = call else {
+        let Call::CompareAndSwap { key, .. } = call else {
             return None;
         };
-        if !key.starts_with(claim::TIMESTAMPED_PREFIX) && !key.starts_with(calls::TOMBSTONE) {
+        if !key.starts_with(claim::TIMESTAMPED_PREFIX) && !key.starts_with(calls::TOMBSTONE_PREFIX) {
             return None;
         }
         let mut held = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
@@ -62,10 +62,10 @@
             Job::Store(token, call) => {
                 let answer = client.store(&call, leases.of(client, &call));
                 count(handle, call.name(), answer.outcome());
-                Event::Stored(token, answer)
+                Event::StoreAnswer(token, answer)
             }
-            Job::Report(grant, seal) => Event::Reported(report(handle, client, grant, seal)),
-            Job::Order(grant, order) => Event::Ordered(send_order(handle, client, grant, &order)),
+            Job::Report(grant, seal) => Event::ReportAnswer(report(handle, client, grant, seal)),
+            Job::Order(grant, order) => Event::OrderAnswer(send_order(handle, client, grant, &order)),
         };
         handle.tell(event);
     }
@@ -136,7 +136,7 @@
                 revision = hosts.revision;
                 if let Some(runners) = hosts.runners {
                     tracing::info!(event = "runners-listed", revision, runners = runners.len());
-                    handle.tell(Event::Listed(runners));
+                    handle.tell(Event::RunnerList(runners));
                 }
                 count(handle, "hosts", "ok");
             }
--- a/tests/suite/parse.rs
+++ b/tests/suite/parse.rs
@@ -78,7 +78,7 @@
 fn spans_read_back() {
     fn property(millis: u32) -> bool {
         let span = std::time::Duration::from_millis(u64::from(millis));
-        units::parse(&units::show(span)) == Some(span)
+        units::parse_duration(&units::format_duration(span)) == Some(span)
     }
     check(property as fn(u32) -> bool);
 }
@@ -126,7 +126,7 @@
 #[test]
 fn usage_merges_in_any_order() {
     fn property(items: Vec<(u8, u16)>) -> bool {
-        let row = |(customer, tokens): &(u8, u16)| radishstair_core::peer::Row {
+        let row = |(customer, tokens): &(u8, u16)| radishstair_core::peer::UsageRow {
             customer: format!("c{customer}"),
             tokens: u64::from(*tokens),
             calls: 1,
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -8,7 +8,7 @@
 use radishstair_core::config::{Document, check};
 use radishstair_core::dispatch::{Decision, Dispatcher, Outcome, Policy, Submission};
 use radishstair_core::error::Kind;
-use radishstair_core::id::{Call, Incarnation};
+use radishstair_core::id::{CallId, Incarnation};
 use radishstair_core::reservation::Secret;
 use radishstair_core::runner::Listing;
 use radishstair_core::time::Moment;
@@ -159,7 +159,7 @@
 
 fn seek(call: u64, tier: &str, pool: &str) -> Submission {
     Submission {
-        call: Call(call),
+        call: CallId(call),
         tier: tier.into(),
         customer: "c".into(),
         key: "k".into(),
@@ -213,7 +213,7 @@
     );
     let refused = dispatch.set_view(view(2, &withdrawn));
     assert!(
-        matches!(&refused[..], [Decision::Refuse(Call(2), refusal)] if refusal.kind == Kind::KeyWithdrawn),
+        matches!(&refused[..], [Decision::Refuse(CallId(2), refusal)] if refusal.kind == Kind::KeyWithdrawn),
         "{refused:?}"
     );
     let outcome = Outcome::Completed {
@@ -401,7 +401,7 @@
 #[test]
 fn a_host_that_starts_nothing_lets_nobody_wait() {
     let mut dispatch = dispatch(DOCUMENT, &[("p", "a", 2)]);
-    let mates = radishstair_core::peer::Shares {
+    let mates = radishstair_core::peer::HostLoad {
         runners: vec![radishstair_core::id::digest(b"p-a") as u32],
         running: vec![2],
         ..Default::default()
@@ -432,7 +432,7 @@
     assert!(dispatch.submit(now, back).is_empty(), "it is taken in");
     dispatch
         .runners
-        .set_peer_shares(now, Incarnation(9), &radishstair_core::peer::Shares::default());
+        .set_peer_shares(now, Incarnation(9), &radishstair_core::peer::HostLoad::default());
     assert_eq!(started(&dispatch.tick(now))[0], 4, "and goes first");
 }
 
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -48,7 +48,7 @@
             output_tokens: 1,
             completed: true,
         };
-        world.handle(at, Event::Count(item));
+        world.handle(at, Event::RecordUsage(item));
         truth
             .counted
             .entry(world.nodes[at].me)
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -11,10 +11,10 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use radishstair_core::dispatch::Policy;
-use radishstair_core::id::{Call, Incarnation};
+use radishstair_core::id::{CallId, Incarnation};
 use radishstair_core::kernel::{Action, Event, Kernel, Reply, Setup, Status};
 use radishstair_core::lease::Grant;
-use radishstair_core::member::Me;
+use radishstair_core::member::Identity;
 use radishstair_core::order::Order;
 use radishstair_core::store::{Call as Ask, Token};
 use radishstair_core::time::Moment;
@@ -120,7 +120,7 @@
     /// Node.
     pub node: usize,
     /// Call.
-    pub call: Call,
+    pub call: CallId,
     /// Reply.
     pub reply: Reply,
 }
@@ -268,7 +268,7 @@
         let mut secret = [0; 32];
         self.rng.fill_bytes(&mut secret);
         let setup = Setup {
-            me: Me {
+            identity: Identity {
                 incarnation: me,
                 host: format!("host-{at}"),
                 zone: self.nodes[at].zone.clone(),
@@ -311,8 +311,8 @@
     /// A node's clocks.
     pub fn moment(&self, at: usize) -> Moment {
         Moment {
-            mono: (MONO + self.now) * 1_000,
-            wall: WALL + self.now + self.nodes[at].skew,
+            mono_us: (MONO + self.now) * 1_000,
+            wall_ms: WALL + self.now + self.nodes[at].skew,
         }
     }
 
@@ -323,9 +323,9 @@
     }
 
     /// A new call id.
-    pub fn call(&mut self) -> Call {
+    pub fn call(&mut self) -> CallId {
         self.calls += 1;
-        Call(self.calls)
+        CallId(self.calls)
     }
 
     /// Asks for a word at a time from now.
@@ -444,7 +444,7 @@
                 let delay = self.rng.random_range(0..=self.faults.delay);
                 self.plan(delay, Task::Store(at, serial, token, call));
             }
-            Action::Heartbeat(address, beat) => self.deliver(at, &address, Event::Hear(*beat)),
+            Action::Heartbeat(address, beat) => self.deliver(at, &address, Event::Heartbeat(*beat)),
             Action::Pull(address, pull) => {
                 let call = self.internal(at);
                 self.deliver(at, &address, Event::Pull(call, pull));
@@ -456,18 +456,18 @@
             Action::Reply(call, reply) => self.reply(at, call, *reply),
             Action::Order(grant, order) => self.plan_job(at, serial, Job::Order(grant, order)),
             Action::Report(grant, seal) => self.plan_job(at, serial, Job::Report(grant, seal)),
-            Action::View(_) | Action::Members(_) | Action::Trusted(_) | Action::Exit => {}
+            Action::View(_) | Action::Members(_) | Action::KeysTrusted(_) | Action::Exit => {}
         }
     }
 
     /// A call that stands for a question between nodes.
-    fn internal(&mut self, at: usize) -> Call {
+    fn internal(&mut self, at: usize) -> CallId {
         let call = self.call();
         self.internal.insert(call.0, (at, self.nodes[at].serial));
         call
     }
 
-    fn reply(&mut self, at: usize, call: Call, reply: Reply) {
+    fn reply(&mut self, at: usize, call: CallId, reply: Reply) {
         let Some((asker, serial)) = self.internal.get(&call.0).copied() else {
             self.replies.push(Replied {
                 node: at,
--- a/tests/suite/world/store.rs
+++ b/tests/suite/world/store.rs
@@ -39,14 +39,14 @@
                 Answer::Lost => 2_000,
                 _ => self.rng.random_range(0..=self.faults.delay),
             };
-            self.give(at, delay, Event::Stored(token, answer));
+            self.give(at, delay, Event::StoreAnswer(token, answer));
         }
     }
 
     /// What the store does, as one step.
     pub fn apply(&mut self, call: &store::Call) -> Answer {
         match call {
-            store::Call::Swap { key, expect, value } => {
+            store::Call::CompareAndSwap { key, expect, value } => {
                 let have = self.store.get(key).map_or(0, |(version, _)| *version);
                 if have != *expect && self.broken != Broken::Swap {
                     return Answer::Conflict(self.entry(key));
@@ -58,7 +58,9 @@
                 self.store.remove(key);
                 Answer::Written(0)
             }
-            store::Call::Get { key } | store::Call::Peek { key } | store::Call::Renew { key, .. } => {
+            store::Call::Get { key }
+            | store::Call::GetStale { key }
+            | store::Call::GetIfChanged { key, .. } => {
                 let keys = self.stale.as_ref().unwrap_or(&self.store);
                 let found = keys.get(key).map(|value| entry(key, value));
                 Answer::Found(found.into_iter().collect())
