--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -14,7 +14,7 @@
 
 pub mod backoff;
 pub mod budget;
-pub mod civil;
+pub mod clock;
 pub mod delta;
 pub mod document;
 pub mod fit;
--- a/crates/core/src/proxy/civil.rs
+++ b/crates/core/src/proxy/clock.rs
@@ -1,4 +1,4 @@
-//! Civil time that ignores jumps of the time of day.
+//! WallClock time that ignores jumps of the time of day.
 //!
 //! Usage windows are cut in true time, but a host's time of day may jump by
 //! seconds and back. Counted on the jumped clock, starts would land in the
@@ -9,21 +9,21 @@
 plain! {
     /// Offset of civil time to the steady clock.
     #[derive(Copy, Default)]
-    pub struct Civil {
+    pub struct WallClock {
         offset_ms: Option<i64>,
     }
 }
 
-impl Civil {
+impl WallClock {
     /// Milliseconds since the Unix epoch.
-    pub fn now(&mut self, now: Moment) -> u64 {
+    pub fn unix_ms(&mut self, now: Moment) -> u64 {
         let steady = (now.mono / 1_000) as i64;
         let offset = *self.offset_ms.get_or_insert(now.wall as i64 - steady);
         (steady + offset).max(0) as u64
     }
 
     /// Number of the window of `length_s` seconds that `now` falls into.
-    pub fn window(&mut self, now: Moment, length_s: u64) -> u64 {
-        self.now(now) / (length_s * 1_000).max(1)
+    pub fn window_number(&mut self, now: Moment, length_s: u64) -> u64 {
+        self.unix_ms(now) / (length_s * 1_000).max(1)
     }
 }
--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -12,7 +12,7 @@
 use arc_swap::ArcSwap;
 use radishstair_core::id::{Incarnation, digest};
 use radishstair_core::proxy::State;
-use radishstair_core::proxy::civil::Civil;
+use radishstair_core::proxy::clock::WallClock;
 use radishstair_core::proxy::document::Document;
 use radishstair_core::proxy::mirror::Mirror;
 use radishstair_core::proxy::share::Host;
@@ -55,7 +55,7 @@
 pub struct Shared {
     /// This process.
     pub me: Incarnation,
-    /// Civil time in milliseconds at its start.
+    /// WallClock time in milliseconds at its start.
     pub began: u64,
     /// Clocks.
     pub clock: Clock,
@@ -68,7 +68,7 @@
     /// Whether the process was told to stop.
     pub stopping: AtomicBool,
     state: Mutex<State>,
-    civil: Mutex<Civil>,
+    civil: Mutex<WallClock>,
     mirror: Mutex<Mirror>,
     document: Mutex<Document>,
     /// Since when the store has not answered this host.
@@ -92,10 +92,10 @@
     pub fn new(settings: settings::Settings, dialect: Arc<dyn Dialect>) -> Arc<Self> {
         let state = State::new(settings.bounds.clone(), &settings.zone);
         let clock = Clock::default();
-        let mut civil = Civil::default();
+        let mut civil = WallClock::default();
         Arc::new(Self {
             me: Incarnation(rand::random()),
-            began: civil.now(clock.now()),
+            began: civil.unix_ms(clock.now()),
             clock,
             metrics: Metrics::default(),
             dialect,
@@ -211,12 +211,12 @@
         self.clock.now()
     }
 
-    /// Civil time in milliseconds, free of jumps.
+    /// WallClock time in milliseconds, free of jumps.
     pub fn civil(&self, now: Moment) -> u64 {
-        self.clock_of_windows().now(now)
+        self.clock_of_windows().unix_ms(now)
     }
 
-    fn clock_of_windows(&self) -> MutexGuard<'_, Civil> {
+    fn clock_of_windows(&self) -> MutexGuard<'_, WallClock> {
         self.civil.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
@@ -258,7 +258,9 @@
         };
         let now = self.now();
         let mut state = self.state();
-        let window = self.clock_of_windows().window(now, state.bounds.usage_window_s);
+        let window = self
+            .clock_of_windows()
+            .window_number(now, state.bounds.usage_window_s);
         state.tally.add(window, customer);
     }
 }
