--- a/crates/core/src/proxy/pace.rs
+++ b/crates/core/src/proxy/pace.rs
@@ -12,7 +12,7 @@
 
 use std::time::Duration;
 
-use super::fit::Fit;
+use super::regression::Regression;
 
 /// What the time until the first event depends on, by place in [`FIRST`]: a fixed part, a
 /// thousand tokens to read, a million pairs of them to compare, a request beside, and the way
@@ -82,8 +82,8 @@
 /// How fast runners are.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pace {
-    first: Fit<5>,
-    writing: Fit<2>,
+    first: Regression<5>,
+    writing: Regression<2>,
     /// Pause of a stream beside which a long prompt is read, in milliseconds.
     stall: f64,
     /// Average time that a request stays on its runner, in milliseconds.
@@ -93,8 +93,8 @@
 impl Default for Pace {
     fn default() -> Self {
         Self {
-            first: Fit::new(FIRST, FIRST_CERTAINTY),
-            writing: Fit::new(WRITING, WRITING_CERTAINTY),
+            first: Regression::new(FIRST, FIRST_CERTAINTY),
+            writing: Regression::new(WRITING, WRITING_CERTAINTY),
             stall: STALL,
             stay: STAY,
         }
@@ -125,7 +125,7 @@
 
     /// Pause between two events of a stream beside so many requests, while no prompt is read.
     pub fn pause(&self, beside: f64) -> Duration {
-        millis(self.writing.expect(&[1.0, beside]))
+        millis(self.writing.predict(&[1.0, beside]))
     }
 
     /// Pause of a stream beside which a long prompt is read.
@@ -145,25 +145,25 @@
 
     /// Time until the first event.
     pub fn expect(&self, outlook: &Outlook) -> Duration {
-        millis(self.first.expect(&outlook.features())) + outlook.backlog
+        millis(self.first.predict(&outlook.features())) + outlook.backlog
     }
 
     /// A request's first event came after `took`.
     pub fn learn_first(&mut self, outlook: &Outlook, took: Duration) {
-        let own = self.first.expect(&outlook.features());
+        let own = self.first.predict(&outlook.features());
         let backlog = ms(outlook.backlog);
         // What was waited for others is known less well than the request's own prompt.
         let certain = own / (own + backlog).max(1.0);
         let alone = ms(took) - backlog;
         self.first
-            .learn(&outlook.features(), alone.max(0.0), certain * certain);
+            .observe(&outlook.features(), alone.max(0.0), certain * certain);
     }
 
     /// A stream's event came after `pause`; `reading` if its runner read a prompt all the while.
     pub fn learn_pause(&mut self, pause: Duration, beside: u32, reading: bool) {
         if !reading {
             let features = [1.0, f64::from(beside)];
-            self.writing.learn(&features, ms(pause), 1.0);
+            self.writing.observe(&features, ms(pause), 1.0);
             return;
         }
         let step = STALL_STEP * self.stall.max(STALL_LEAST);
--- a/crates/core/src/proxy/fit.rs
+++ b/crates/core/src/proxy/regression.rs
@@ -11,24 +11,24 @@
 
 /// Coefficients of `N` features.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fit<const N: usize> {
-    assumed: [f64; N],
-    /// Weight of what is assumed, as that of so many samples in which the feature is 1.
-    certainty: [f64; N],
+pub struct Regression<const N: usize> {
+    prior: [f64; N],
+    /// Weight of what is prior, as that of so many samples in which the feature is 1.
+    prior_weight: [f64; N],
     squares: [[f64; N]; N],
     products: [f64; N],
     coefficients: [f64; N],
 }
 
-impl<const N: usize> Fit<N> {
+impl<const N: usize> Regression<N> {
     /// A line of which only the assumed coefficients are known.
-    pub fn new(assumed: [f64; N], certainty: [f64; N]) -> Self {
+    pub fn new(prior: [f64; N], prior_weight: [f64; N]) -> Self {
         Self {
-            assumed,
-            certainty,
+            prior,
+            prior_weight,
             squares: [[0.0; N]; N],
             products: [0.0; N],
-            coefficients: assumed,
+            coefficients: prior,
         }
     }
 
@@ -38,14 +38,14 @@
     }
 
     /// What is expected where the features have these values.
-    pub fn expect(&self, features: &[f64; N]) -> f64 {
+    pub fn predict(&self, features: &[f64; N]) -> f64 {
         let terms = self.coefficients.iter().zip(features);
         terms.map(|(coefficient, value)| coefficient * value).sum()
     }
 
     /// Takes in a sample; `weight` is 1 for one that is as good as any.
-    pub fn learn(&mut self, features: &[f64; N], value: f64, weight: f64) {
-        let expected = self.expect(features);
+    pub fn observe(&mut self, features: &[f64; N], value: f64, weight: f64) {
+        let expected = self.predict(features);
         let stray = expected.abs() * STRAY;
         let value = value.clamp(expected - stray, expected + stray);
         let kept = 1.0 - 1.0 / MEMORY;
@@ -65,8 +65,8 @@
         let mut left = self.squares;
         let mut right = self.products;
         for at in 0..N {
-            left[at][at] += self.certainty[at];
-            right[at] += self.certainty[at] * self.assumed[at];
+            left[at][at] += self.prior_weight[at];
+            right[at] += self.prior_weight[at] * self.prior[at];
         }
         for pivot in 0..N {
             for row in pivot + 1..N {
