--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -19,8 +19,8 @@
 pub mod document;
 pub mod fleet;
 pub mod gossip;
+pub mod latency;
 pub mod mirror;
-pub mod pace;
 pub mod parting;
 pub mod place;
 pub mod prefix;
@@ -37,7 +37,7 @@
 use budget::Budgets;
 use fleet::{Fleet, Key, Listed};
 use gossip::{Flow, Holder, Meter, Packet, Peers};
-use pace::{Outlook, Pace};
+use latency::{Conditions, Latency};
 use parting::Parting;
 use place::{Choice, Demand, Known};
 use prefix::Index;
@@ -174,7 +174,7 @@
     /// What other hosts have on runners.
     pub peers: Peers,
     /// How fast runners are.
-    pub paces: Services<Pace>,
+    pub latencies: Services<Latency>,
     /// How the runners of each service are divided.
     partings: Services<Parting>,
     /// What this host sends.
@@ -203,7 +203,7 @@
             fleet: Fleet::new(zone),
             prefixes: Index::default(),
             peers: Peers::default(),
-            paces: Services::default(),
+            latencies: Services::default(),
             partings: Services::default(),
             meter: Meter::default(),
             holders: Vec::new(),
@@ -355,7 +355,7 @@
             let flow = self.flow(now, &service.name);
             let allowed = parting::allowed_pause(&table, &service.name);
             let parting = self.partings.of(&service.name);
-            parting.judge(self.paces.of(&service.name), allowed, flow.long, flow.rate);
+            parting.judge(self.latencies.of(&service.name), allowed, flow.long, flow.rate);
             parting::divide(self.fleet.runners_mut(), &service.name, parting);
         }
     }
@@ -371,7 +371,7 @@
             fleet: &self.fleet,
             prefixes: &self.prefixes,
             parting: &self.parting(&demand.service),
-            pace: self.paces.of(&demand.service),
+            latency: self.latencies.of(&demand.service),
         };
         let choice = place::choose(known, now, demand, tried)?;
         self.fleet.begin(choice.key, choice.work, demand.held());
@@ -387,17 +387,17 @@
 
     /// A request's first event came `took` after it was sent.
     ///
-    /// A straggler tells nothing of the others, so it does not slow the common pace down.
-    pub fn first_event(&mut self, key: Key, outlook: &Outlook, took: Duration) {
+    /// A straggler tells nothing of the others, so it does not slow the common latency down.
+    pub fn first_event(&mut self, key: Key, conditions: &Conditions, took: Duration) {
         let Some(runner) = self.fleet.get_mut(key) else {
             return;
         };
         let service = runner.listed.service.clone();
-        let pace = self.paces.of(&service);
-        runner.compare(took, pace.expect(outlook));
+        let latency = self.latencies.of(&service);
+        runner.compare(took, latency.predict(conditions));
         let lag = runner.lag;
         if lag < STRAGGLER * self.fleet.usual_lag(&service) {
-            pace.learn_first(outlook, took);
+            latency.observe_first_event(conditions, took);
         }
     }
 
@@ -407,14 +407,14 @@
             return;
         };
         let reading = runner.reads(self.parting(&runner.listed.service).long);
-        let pace = self.paces.of(&runner.listed.service);
-        pace.learn_pause(pause, runner.load(), reading);
+        let latency = self.latencies.of(&runner.listed.service);
+        latency.observe_event_gap(pause, runner.load(), reading);
     }
 
     /// A request that read a prompt has left its runner after `stay`.
     pub fn left(&mut self, key: Key, stay: Duration) {
         if let Some(runner) = self.fleet.get(key) {
-            self.paces.of(&runner.listed.service).learn_stay(stay);
+            self.latencies.of(&runner.listed.service).observe_residence(stay);
         }
     }
 
--- a/crates/core/src/proxy/fleet/runner.rs
+++ b/crates/core/src/proxy/fleet/runner.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::super::pace::ms;
+use super::super::latency::ms;
 use crate::time::Moment;
 
 /// Weight of the newest answer in the part of failures: a host sees an answer of a
--- a/crates/core/src/proxy/pace.rs
+++ b/crates/core/src/proxy/latency.rs
@@ -6,7 +6,7 @@
 //! between events tell what requests beside a stream and prompts read meanwhile cost it.
 //!
 //! Before the first answers the figures of a middling engine are assumed, and soon
-//! outweighed. One pace stands for all runners of a service; how far a single one lags
+//! outweighed. One latency stands for all runners of a service; how far a single one lags
 //! behind it is known of each runner. Each host learns for itself: it sees several answers a
 //! second, more than it needs.
 
@@ -49,25 +49,25 @@
 plain! {
     /// What a request found at its runner, to compare its first event with.
     #[derive(Copy, Default)]
-    pub struct Outlook {
+    pub struct Conditions {
         /// Tokens of its prompt.
         pub prompt: u64,
         /// Tokens of it that the runner had in memory.
-        pub kept: u64,
+        pub cached: u64,
         /// Time that the runner had yet to read before.
         pub backlog: Duration,
         /// Requests that ran there.
-        pub beside: u32,
+        pub concurrent: u32,
         /// Whether it is in another zone.
-        pub far: bool,
+        pub cross_zone: bool,
     }
 }
 
-impl Outlook {
+impl Conditions {
     fn features(&self) -> [f64; 5] {
-        let (tokens, pairs) = reading(self.prompt, self.kept);
-        let far = f64::from(u8::from(self.far));
-        [1.0, tokens, pairs, f64::from(self.beside), far]
+        let (tokens, pairs) = reading(self.prompt, self.cached);
+        let far = f64::from(u8::from(self.cross_zone));
+        [1.0, tokens, pairs, f64::from(self.concurrent), far]
     }
 }
 
@@ -81,7 +81,7 @@
 
 /// How fast runners are.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pace {
+pub struct Latency {
     first: Regression<5>,
     writing: Regression<2>,
     /// Pause of a stream beside which a long prompt is read, in milliseconds.
@@ -90,7 +90,7 @@
     stay: f64,
 }
 
-impl Default for Pace {
+impl Default for Latency {
     fn default() -> Self {
         Self {
             first: Regression::new(FIRST, FIRST_CERTAINTY),
@@ -101,30 +101,30 @@
     }
 }
 
-impl Pace {
+impl Latency {
     /// Time to read a prompt of which the first `kept` tokens are in memory.
-    pub fn reading(&self, prompt: u64, kept: u64) -> Duration {
+    pub fn prefill(&self, prompt: u64, kept: u64) -> Duration {
         let (tokens, pairs) = reading(prompt, kept);
-        millis(tokens * self.for_thousand() + pairs * self.first.coefficient(PAIRS))
+        millis(tokens * self.prefill_ms_per_1k() + pairs * self.first.coefficient(PAIRS))
     }
 
     /// Milliseconds to read a thousand tokens of a short prompt.
-    pub fn for_thousand(&self) -> f64 {
+    pub fn prefill_ms_per_1k(&self) -> f64 {
         self.first.coefficient(TOKENS).max(READING_LEAST)
     }
 
     /// Milliseconds that each request on a runner adds to the first event of another.
-    pub fn for_each_beside(&self) -> f64 {
+    pub fn contention_ms(&self) -> f64 {
         self.first.coefficient(BESIDE)
     }
 
     /// Milliseconds that the way to another zone adds.
-    pub fn for_crossing(&self) -> f64 {
+    pub fn cross_zone_ms(&self) -> f64 {
         self.first.coefficient(FAR)
     }
 
     /// Pause between two events of a stream beside so many requests, while no prompt is read.
-    pub fn pause(&self, beside: f64) -> Duration {
+    pub fn event_gap(&self, beside: f64) -> Duration {
         millis(self.writing.predict(&[1.0, beside]))
     }
 
@@ -134,33 +134,33 @@
     }
 
     /// Time until the first event of an empty prompt on an idle runner.
-    pub fn first(&self) -> Duration {
+    pub fn base(&self) -> Duration {
         millis(self.first.coefficient(FIXED))
     }
 
     /// Time that a request stays on its runner.
-    pub fn stay(&self) -> Duration {
+    pub fn residence(&self) -> Duration {
         millis(self.stay)
     }
 
     /// Time until the first event.
-    pub fn expect(&self, outlook: &Outlook) -> Duration {
-        millis(self.first.predict(&outlook.features())) + outlook.backlog
+    pub fn predict(&self, conditions: &Conditions) -> Duration {
+        millis(self.first.predict(&conditions.features())) + conditions.backlog
     }
 
     /// A request's first event came after `took`.
-    pub fn learn_first(&mut self, outlook: &Outlook, took: Duration) {
-        let own = self.first.predict(&outlook.features());
-        let backlog = ms(outlook.backlog);
+    pub fn observe_first_event(&mut self, conditions: &Conditions, took: Duration) {
+        let own = self.first.predict(&conditions.features());
+        let backlog = ms(conditions.backlog);
         // What was waited for others is known less well than the request's own prompt.
         let certain = own / (own + backlog).max(1.0);
         let alone = ms(took) - backlog;
         self.first
-            .observe(&outlook.features(), alone.max(0.0), certain * certain);
+            .observe(&conditions.features(), alone.max(0.0), certain * certain);
     }
 
     /// A stream's event came after `pause`; `reading` if its runner read a prompt all the while.
-    pub fn learn_pause(&mut self, pause: Duration, beside: u32, reading: bool) {
+    pub fn observe_event_gap(&mut self, pause: Duration, beside: u32, reading: bool) {
         if !reading {
             let features = [1.0, f64::from(beside)];
             self.writing.observe(&features, ms(pause), 1.0);
@@ -174,7 +174,7 @@
     }
 
     /// A request has left its runner after `stay`.
-    pub fn learn_stay(&mut self, stay: Duration) {
+    pub fn observe_residence(&mut self, stay: Duration) {
         self.stay += NEWEST * (ms(stay) - self.stay);
     }
 }
--- a/crates/core/src/proxy/parting.rs
+++ b/crates/core/src/proxy/parting.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::fleet::Runner;
-use super::pace::{Pace, ms};
+use super::latency::{Latency, ms};
 use super::route::Table;
 
 /// Part of the allowed pause that a prompt's reading takes from which it counts as long.
@@ -56,10 +56,10 @@
 
 impl Parting {
     /// Judges anew, by the pauses that were seen and by the flows of reading: `long` of `all`.
-    pub fn judge(&mut self, pace: &Pace, allowed: Duration, long: u64, all: u64) {
-        let calm = pace.pause(0.0).min(allowed);
+    pub fn judge(&mut self, latency: &Latency, allowed: Duration, long: u64, all: u64) {
+        let calm = latency.event_gap(0.0).min(allowed);
         self.long = (allowed - calm).mul_f64(LONG_PART);
-        self.stall = pace.stall();
+        self.stall = latency.stall();
         if all > 0 {
             let part = (long as f64 / all as f64).clamp(PART_LEAST, PART_MOST);
             self.part += NEWEST * (part - self.part);
--- a/crates/core/src/proxy/place.rs
+++ b/crates/core/src/proxy/place.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use super::fleet::{Fleet, Key, Runner};
-use super::pace::{Outlook, Pace, ms};
+use super::latency::{Conditions, Latency, ms};
 use super::parting::{self, Parting};
 use super::prefix::{Holder, Index};
 use crate::id::weight;
@@ -140,7 +140,7 @@
         /// Whether the prompt counts as long.
         pub is_long: bool,
         /// What the request finds there.
-        pub outlook: Outlook,
+        pub conditions: Conditions,
         /// Runners that it was chosen among.
         pub among: u32,
         /// Runner that has read the beginning of the prompt, from which this one copies it.
@@ -156,7 +156,7 @@
     /// What they have read.
     pub prefixes: &'a Index,
     /// How fast those of the service are.
-    pub pace: &'a Pace,
+    pub latency: &'a Latency,
     /// How they are divided.
     pub parting: &'a Parting,
 }
@@ -175,7 +175,7 @@
             key,
             work: 0,
             is_long: false,
-            outlook: Outlook::default(),
+            conditions: Conditions::default(),
             among,
             source: None,
         });
@@ -183,7 +183,7 @@
     let read = Read::of(known, now, demand);
     let shared = demand.shared();
     // By the whole prompt, so that requests of a kind go the same way whatever is kept of them.
-    let is_long = known.parting.is_long(known.pace.reading(demand.prompt, 0));
+    let is_long = known.parting.is_long(known.latency.prefill(demand.prompt, 0));
     let home = match read.is_whole(shared) {
         true => None,
         false => home(known, &open, demand, is_long),
@@ -192,11 +192,11 @@
     let candidates = open.iter().map(|(key, runner)| {
         let kept = read.kept(*key);
         let readable = kept.max(read.longest);
-        let work = known.pace.reading(demand.prompt, readable);
+        let work = known.latency.prefill(demand.prompt, readable);
         let anew = if home == Some(*key) { 0 } else { shared - readable };
         let shares = COPY * (readable - kept) as f64 + REREAD * anew as f64;
-        let cost = shares / 1e3 * known.pace.for_thousand()
-            // Relative to the others, so that it does not count twice what the pace knows.
+        let cost = shares / 1e3 * known.latency.prefill_ms_per_1k()
+            // Relative to the others, so that it does not count twice what the latency knows.
             + waiting(known, runner, work) * runner.lag / usual_lag
             + parting::crossing(known.parting, is_long, runner.long, f64::from(runner.load()))
             + FAILURE * runner.failing
@@ -209,24 +209,24 @@
         key,
         work: work.as_micros() as u64,
         is_long,
-        outlook: Outlook {
+        conditions: Conditions {
             prompt: demand.prompt,
-            kept,
+            cached: kept,
             backlog: runner.backlog(),
-            beside: runner.load(),
-            far: runner.listed.zone != known.fleet.zone,
+            concurrent: runner.load(),
+            cross_zone: runner.listed.zone != known.fleet.zone,
         },
         among,
         source: read.source_for(known, now, key),
     })
 }
 
-/// Milliseconds that a request and those beside it wait on a runner, at the usual pace.
+/// Milliseconds that a request and those beside it wait on a runner, at the usual latency.
 fn waiting(known: Known<'_>, runner: &Runner, work: Duration) -> f64 {
     let beside = f64::from(runner.load());
     let queued = (runner.load() + 1).saturating_sub(runner.listed.slots);
-    let turn = ms(known.pace.stay()) / f64::from(runner.listed.slots.max(1));
-    ms(runner.backlog() + work) + (BESIDE + known.pace.for_each_beside()) * beside + turn * f64::from(queued)
+    let turn = ms(known.latency.residence()) / f64::from(runner.listed.slots.max(1));
+    ms(runner.backlog() + work) + (BESIDE + known.latency.contention_ms()) * beside + turn * f64::from(queued)
 }
 
 /// Milliseconds that the way to a runner costs.
@@ -240,7 +240,7 @@
     } else {
         0.0
     };
-    known.pace.for_crossing() + demand.far() + quiet
+    known.latency.cross_zone_ms() + demand.far() + quiet
 }
 
 /// How much of a prompt's beginning runners have read.
@@ -274,7 +274,7 @@
             if demand.copies && read.sources.is_empty() {
                 let done = here
                     .iter()
-                    .filter(|holder| now.since(holder.since) >= read_after(known.pace, tokens));
+                    .filter(|holder| now.since(holder.since) >= read_after(known.latency, tokens));
                 read.sources = done.map(|holder| holder.key).collect();
                 read.longest = if read.sources.is_empty() { 0 } else { tokens };
             }
@@ -313,8 +313,8 @@
 }
 
 /// Time after which a beginning that was sent to a runner has surely been read there.
-fn read_after(pace: &Pace, tokens: u64) -> Duration {
-    READ + pace.reading(tokens, 0).mul_f64(READ_TIMES)
+fn read_after(latency: &Latency, tokens: u64) -> Duration {
+    READ + latency.prefill(tokens, 0).mul_f64(READ_TIMES)
 }
 
 /// Milliseconds that the connection which the request would need is worth.
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -121,7 +121,7 @@
             address,
             work: choice.work,
             held: demand.held(),
-            outlook: choice.outlook,
+            outlook: choice.conditions,
             sent: None,
             source,
         };
--- a/crates/entry/src/proxy/slot.rs
+++ b/crates/entry/src/proxy/slot.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use radishstair_core::proxy::fleet::{Key, Sign};
-use radishstair_core::proxy::pace::Outlook;
+use radishstair_core::proxy::latency::Conditions;
 use radishstair_core::time::Moment;
 
 use super::Shared;
@@ -21,7 +21,7 @@
     pub(super) address: SocketAddr,
     pub(super) work: u64,
     pub(super) held: u64,
-    pub(super) outlook: Outlook,
+    pub(super) outlook: Conditions,
     /// When the request was sent there.
     pub(super) sent: Option<Moment>,
     /// Where a runner listens that has read the beginning of the prompt.
--- a/tests/suite/proxy/model.rs
+++ b/tests/suite/proxy/model.rs
@@ -230,7 +230,8 @@
                 let took = Duration::from_millis(ms - run.sent);
                 self.seen.timely += u32::from(took.as_millis() as u64 <= self.play.target_ms);
                 self.state.fleet.read(run.choice.key, run.choice.work);
-                self.state.first_event(run.choice.key, &run.choice.outlook, took);
+                self.state
+                    .first_event(run.choice.key, &run.choice.conditions, took);
                 if !self.play.judges_engines {
                     self.state.fleet.get_mut(run.choice.key).expect("known").lag = 1.0;
                 }
--- a/tests/suite/proxy/pace.rs
+++ b/tests/suite/proxy/pace.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use radishstair_core::proxy::fleet::Fleet;
-use radishstair_core::proxy::pace::{Outlook, Pace};
+use radishstair_core::proxy::latency::{Conditions, Latency};
 use radishstair_core::proxy::supply::Planner;
 use radishstair_core::time::Moment;
 use rand::{RngExt, SeedableRng};
@@ -20,21 +20,21 @@
 fn reading_speed_is_learnt_through_unknown_queues() {
     for (seed, thousand_ms) in [(1, 5.0), (2, 16.0), (3, 35.0)] {
         let mut draws = ChaCha8Rng::seed_from_u64(seed);
-        let mut pace = Pace::default();
+        let mut latency = Latency::default();
         for _ in 0..400 {
             let prompt = draws.random_range(300..9_000);
-            let outlook = Outlook {
+            let conditions = Conditions {
                 prompt,
-                ..Outlook::default()
+                ..Conditions::default()
             };
             let queue = match draws.random_bool(0.33) {
                 true => draws.random_range(0.0..150.0),
                 false => 0.0,
             };
             let took = 35.0 + thousand_ms * prompt as f64 / 1e3 + queue;
-            pace.learn_first(&outlook, Duration::from_secs_f64(took / 1e3));
+            latency.observe_first_event(&conditions, Duration::from_secs_f64(took / 1e3));
         }
-        let learnt = pace.reading(4_000, 0).as_secs_f64() * 1e3;
+        let learnt = latency.prefill(4_000, 0).as_secs_f64() * 1e3;
         let right = thousand_ms * 4.0;
         assert!((learnt / right - 1.0).abs() < 0.25, "{learnt} for {right} ms");
     }
@@ -72,14 +72,14 @@
     play
 }
 
-/// The straggler's answers are slow, not the others'. Taken into the common pace they would
+/// The straggler's answers are slow, not the others'. Taken into the common latency they would
 /// make all runners look slow, and more of them would be paid for.
 #[test]
 fn a_straggler_does_not_slow_the_common_pace() {
     for engine in 0..6 {
         let play = with_straggler(Play::default(), engine);
-        let pace = play.run().state.paces.of(SERVICE).for_thousand();
-        assert!(pace < 14.0, "{pace} ms a thousand tokens, {engine} slow");
+        let latency = play.run().state.latencies.of(SERVICE).prefill_ms_per_1k();
+        assert!(latency < 14.0, "{latency} ms a thousand tokens, {engine} slow");
     }
 }
 
--- a/tests/suite/proxy/place.rs
+++ b/tests/suite/proxy/place.rs
@@ -4,7 +4,7 @@
 use radishstair_core::proxy::State;
 use radishstair_core::proxy::fleet::{Fleet, Key, Listed, Load, Runner, Sign};
 use radishstair_core::proxy::gossip::{self, Meter, Peers};
-use radishstair_core::proxy::pace::Pace;
+use radishstair_core::proxy::latency::Latency;
 use radishstair_core::proxy::parting::{self, Parting};
 use radishstair_core::proxy::place::{self, Choice, Demand, Known, Part};
 use radishstair_core::proxy::prefix::Index;
@@ -36,7 +36,7 @@
     let known = Known {
         fleet,
         prefixes: memory,
-        pace: &Pace::default(),
+        latency: &Latency::default(),
         parting: &Parting::default(),
     };
     place::choose(known, now, demand, tried)
