--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -21,7 +21,7 @@
 pub mod gossip;
 pub mod latency;
 pub mod mirror;
-pub mod parting;
+pub mod partition;
 pub mod place;
 pub mod prefix;
 pub mod proof;
@@ -38,7 +38,7 @@
 use fleet::{Fleet, Key, Listed};
 use gossip::{Flow, Holder, Meter, Packet, Peers};
 use latency::{Conditions, Latency};
-use parting::Parting;
+use partition::Partition;
 use place::{Choice, Demand, Known};
 use prefix::Index;
 use proof::Proof;
@@ -176,7 +176,7 @@
     /// How fast runners are.
     pub latencies: Services<Latency>,
     /// How the runners of each service are divided.
-    partings: Services<Parting>,
+    partitions: Services<Partition>,
     /// What this host sends.
     pub meter: Meter,
     /// Where long beginnings went since the last packet.
@@ -204,7 +204,7 @@
             prefixes: Index::default(),
             peers: Peers::default(),
             latencies: Services::default(),
-            partings: Services::default(),
+            partitions: Services::default(),
             meter: Meter::default(),
             holders: Vec::new(),
             budgets: Budgets::default(),
@@ -353,16 +353,16 @@
         let engines = table.services().iter().filter(|service| service.engine.is_some());
         for service in engines {
             let flow = self.flow(now, &service.name);
-            let allowed = parting::allowed_pause(&table, &service.name);
-            let parting = self.partings.of(&service.name);
-            parting.judge(self.latencies.of(&service.name), allowed, flow.long, flow.rate);
-            parting::divide(self.fleet.runners_mut(), &service.name, parting);
+            let allowed = partition::allowed_pause(&table, &service.name);
+            let partition = self.partitions.of(&service.name);
+            partition.update(self.latencies.of(&service.name), allowed, flow.long, flow.rate);
+            partition::assign(self.fleet.runners_mut(), &service.name, partition);
         }
     }
 
     /// How the runners of a service are divided.
-    pub fn parting(&self, service: &str) -> Parting {
-        self.partings.get(service).copied().unwrap_or_default()
+    pub fn partition(&self, service: &str) -> Partition {
+        self.partitions.get(service).copied().unwrap_or_default()
     }
 
     /// Chooses a runner and counts the request there.
@@ -370,7 +370,7 @@
         let known = Known {
             fleet: &self.fleet,
             prefixes: &self.prefixes,
-            parting: &self.parting(&demand.service),
+            partition: &self.partition(&demand.service),
             latency: self.latencies.of(&demand.service),
         };
         let choice = place::choose(known, now, demand, tried)?;
@@ -406,7 +406,7 @@
         let Some(runner) = self.fleet.get(key) else {
             return;
         };
-        let reading = runner.reads(self.parting(&runner.listed.service).long);
+        let reading = runner.reads(self.partition(&runner.listed.service).long_prompt);
         let latency = self.latencies.of(&runner.listed.service);
         latency.observe_event_gap(pause, runner.load(), reading);
     }
--- a/crates/core/src/proxy/parting.rs
+++ b/crates/core/src/proxy/partition.rs
@@ -34,41 +34,41 @@
 plain! {
     /// How the runners of one service are divided.
     #[derive(Copy)]
-    pub struct Parting {
+    pub struct Partition {
         /// Reading time from which a prompt counts as long.
-        pub long: Duration,
+        pub long_prompt: Duration,
         /// Pause that a prompt causes to a stream beside which it is read.
         pub stall: Duration,
         /// Part of a zone's runners that is kept for long prompts.
-        pub part: f64,
+        pub long_share: f64,
     }
 }
 
-impl Default for Parting {
+impl Default for Partition {
     fn default() -> Self {
         Self {
-            long: USUAL_PAUSE.mul_f64(LONG_PART),
+            long_prompt: USUAL_PAUSE.mul_f64(LONG_PART),
             stall: USUAL_PAUSE,
-            part: PART,
+            long_share: PART,
         }
     }
 }
 
-impl Parting {
+impl Partition {
     /// Judges anew, by the pauses that were seen and by the flows of reading: `long` of `all`.
-    pub fn judge(&mut self, latency: &Latency, allowed: Duration, long: u64, all: u64) {
+    pub fn update(&mut self, latency: &Latency, allowed: Duration, long: u64, all: u64) {
         let calm = latency.event_gap(0.0).min(allowed);
-        self.long = (allowed - calm).mul_f64(LONG_PART);
+        self.long_prompt = (allowed - calm).mul_f64(LONG_PART);
         self.stall = latency.stall();
         if all > 0 {
             let part = (long as f64 / all as f64).clamp(PART_LEAST, PART_MOST);
-            self.part += NEWEST * (part - self.part);
+            self.long_share += NEWEST * (part - self.long_share);
         }
     }
 
     /// Whether a prompt that takes so long to read counts as long.
     pub fn is_long(&self, reading: Duration) -> bool {
-        reading >= self.long
+        reading >= self.long_prompt
     }
 }
 
@@ -80,7 +80,7 @@
 
 /// Divides each zone's runners of a service between long and short prompts,
 /// the same way on every host that sees the same pauses and flows.
-pub fn divide(runners: &mut [Runner], service: &str, parting: &Parting) {
+pub fn assign(runners: &mut [Runner], service: &str, partition: &Partition) {
     let own = |runner: &Runner| runner.is_listed() && runner.listed.service == service;
     let mut order: Vec<usize> = (0..runners.len()).filter(|at| own(&runners[*at])).collect();
     order.sort_by(|a, b| {
@@ -96,7 +96,7 @@
             .count();
         let (here, tail) = rest.split_at(size);
         // The last one of a zone serves both.
-        let long = ((size as f64 * parting.part).round() as usize).min(size - 1);
+        let long = ((size as f64 * partition.long_share).round() as usize).min(size - 1);
         for (rank, at) in here.iter().enumerate() {
             runners[*at].long = rank < long;
         }
@@ -106,8 +106,8 @@
 
 /// Extra cost, in milliseconds, of a request on a runner that is kept for the other kind,
 /// beside so many others.
-pub fn crossing(parting: &Parting, is_long: bool, runner_is_long: bool, beside: f64) -> f64 {
-    let stall = ms(parting.stall);
+pub fn crossing_cost_ms(partition: &Partition, is_long: bool, runner_is_long: bool, beside: f64) -> f64 {
+    let stall = ms(partition.stall);
     match (is_long, runner_is_long) {
         (true, false) => stall * (CROSS_LONG + CROSS_LONG_EACH * beside),
         (false, true) => stall * CROSS_SHORT,
--- a/crates/core/src/proxy/place.rs
+++ b/crates/core/src/proxy/place.rs
@@ -22,7 +22,7 @@
 
 use super::fleet::{Fleet, Key, Runner};
 use super::latency::{Conditions, Latency, ms};
-use super::parting::{self, Parting};
+use super::partition::{self, Partition};
 use super::prefix::{Holder, Index};
 use crate::id::weight;
 use crate::time::Moment;
@@ -158,7 +158,7 @@
     /// How fast those of the service are.
     pub latency: &'a Latency,
     /// How they are divided.
-    pub parting: &'a Parting,
+    pub partition: &'a Partition,
 }
 
 /// Chooses a runner, other than those in `tried`.
@@ -183,7 +183,7 @@
     let read = Read::of(known, now, demand);
     let shared = demand.shared();
     // By the whole prompt, so that requests of a kind go the same way whatever is kept of them.
-    let is_long = known.parting.is_long(known.latency.prefill(demand.prompt, 0));
+    let is_long = known.partition.is_long(known.latency.prefill(demand.prompt, 0));
     let home = match read.is_whole(shared) {
         true => None,
         false => home(known, &open, demand, is_long),
@@ -198,7 +198,7 @@
         let cost = shares / 1e3 * known.latency.prefill_ms_per_1k()
             // Relative to the others, so that it does not count twice what the latency knows.
             + waiting(known, runner, work) * runner.lag / usual_lag
-            + parting::crossing(known.parting, is_long, runner.long, f64::from(runner.load()))
+            + partition::crossing_cost_ms(known.partition, is_long, runner.long, f64::from(runner.load()))
             + FAILURE * runner.failing
             + connecting(now, runner, demand)
             + way(known, now, runner, demand);
--- a/crates/entry/src/proxy/beliefs.rs
+++ b/crates/entry/src/proxy/beliefs.rs
@@ -82,15 +82,15 @@
         let engines = table.services().iter().filter(|service| service.engine.is_some());
         for service in engines {
             let pace = state.latencies.get(&service.name).cloned().unwrap_or_default();
-            let parting = state.parting(&service.name);
+            let parting = state.partition(&service.name);
             tracing::info!(
                 event = "pace",
                 service = service.name,
                 first_ms = pace.base().as_millis() as u64,
                 thousand_tokens_ms = format!("{:.1}", pace.prefill_ms_per_1k()),
                 stall_ms = pace.stall().as_millis() as u64,
-                long_from_ms = parting.long.as_millis() as u64,
-                long_part = format!("{:.2}", parting.part),
+                long_from_ms = parting.long_prompt.as_millis() as u64,
+                long_part = format!("{:.2}", parting.long_share),
                 flow = state.flow(now, &service.name).rate
             );
         }
--- a/tests/suite/proxy/place.rs
+++ b/tests/suite/proxy/place.rs
@@ -5,7 +5,7 @@
 use radishstair_core::proxy::fleet::{Fleet, Key, Listed, Load, Runner, Sign};
 use radishstair_core::proxy::gossip::{self, Meter, Peers};
 use radishstair_core::proxy::latency::Latency;
-use radishstair_core::proxy::parting::{self, Parting};
+use radishstair_core::proxy::partition::{self, Partition};
 use radishstair_core::proxy::place::{self, Choice, Demand, Known, Part};
 use radishstair_core::proxy::prefix::Index;
 use radishstair_core::time::Moment;
@@ -28,7 +28,7 @@
 fn fleet(count: usize) -> Fleet {
     let mut fleet = Fleet::new("zone-0");
     fleet.list(at(0), listed(count));
-    parting::divide(fleet.runners_mut(), "engines", &Parting::default());
+    partition::assign(fleet.runners_mut(), "engines", &Partition::default());
     fleet
 }
 
@@ -37,7 +37,7 @@
         fleet,
         prefixes: memory,
         latency: &Latency::default(),
-        parting: &Parting::default(),
+        partition: &Partition::default(),
     };
     place::choose(known, now, demand, tried)
 }
