--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -22,7 +22,7 @@
 pub mod latency;
 pub mod mirror;
 pub mod partition;
-pub mod place;
+pub mod placement;
 pub mod prefix;
 pub mod proof;
 pub mod refresh;
@@ -39,7 +39,7 @@
 use gossip::{Flow, Holder, Meter, Packet, Peers};
 use latency::{Conditions, Latency};
 use partition::Partition;
-use place::{Choice, Demand, Known};
+use placement::{Choice, Demand, Inputs};
 use prefix::Index;
 use proof::Proof;
 use route::{Route, Table};
@@ -144,7 +144,7 @@
         /// Urgency, 0 first, up to [`LAST_RANK`].
         pub rank: u8,
         /// Whether its runner copies from others what it has not read of the prompt.
-        pub copies: bool,
+        pub copies_prefix: bool,
         /// Whether it needs a fresh proof when it is passed on.
         pub keyed: bool,
         /// Version of the document that admitted it.
@@ -298,7 +298,7 @@
         let engine = table.service(service).and_then(|service| service.engine);
         Ok(Admission {
             service: service.to_string(),
-            copies: engine.is_some_and(|engine| engine.copies),
+            copies_prefix: engine.is_some_and(|engine| engine.copies_prefix),
             customer: customer.map(|customer| customer.name.clone()),
             rank: table.rank(route, customer, LAST_RANK),
             keyed: customer.is_some(),
@@ -367,16 +367,18 @@
 
     /// Chooses a runner and counts the request there.
     pub fn place(&mut self, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
-        let known = Known {
+        let known = Inputs {
             fleet: &self.fleet,
             prefixes: &self.prefixes,
             partition: &self.partition(&demand.service),
             latency: self.latencies.of(&demand.service),
         };
-        let choice = place::choose(known, now, demand, tried)?;
-        self.fleet.begin(choice.key, choice.work, demand.held());
-        self.meter.add(now, &demand.service, choice.work, choice.is_long);
-        for (id, tokens) in demand.beginnings() {
+        let choice = placement::choose(known, now, demand, tried)?;
+        self.fleet
+            .begin(choice.key, choice.prefill_us, demand.kv_tokens());
+        self.meter
+            .add(now, &demand.service, choice.prefill_us, choice.is_long);
+        for (id, tokens) in demand.shared_prefixes() {
             self.prefixes.note(now, id, choice.key);
             if tokens >= TOLD {
                 self.tell(id, choice.key);
--- a/crates/core/src/proxy/place.rs
+++ b/crates/core/src/proxy/placement.rs
@@ -30,7 +30,7 @@
 /// Times that reading a shared token again counts, beside the runner's own time: the
 /// streams beside it pause, and what it pushes out of memory is read again by others.
 const REREAD: f64 = 20.0;
-/// Part of the time to read a token that copying it from another runner counts.
+/// Segment of the time to read a token that copying it from another runner counts.
 const COPY: f64 = 2.0;
 /// Time after which a beginning that was sent to a runner has surely been read there: a
 /// part for its turn in the batch, and a multiple of the time to read it.
@@ -47,7 +47,7 @@
 const ANSWER_BYTES: u64 = 30;
 /// Milliseconds of waiting that a failed request is worth.
 const FAILURE: f64 = 2_500.0;
-/// Part of failures from which a plain service's runner is taken last; by chance alone a
+/// Segment of failures from which a plain service's runner is taken last; by chance alone a
 /// runner that fails one request in seven is above it in one of thirty readings.
 const FAILS: f64 = 0.4;
 /// Milliseconds of waiting that a new connection is worth: a runner takes a few hundred,
@@ -57,7 +57,7 @@
 plain! {
     /// A part of a prompt that requests may share.
     #[derive(Copy, Eq)]
-    pub struct Part {
+    pub struct Segment {
         /// Its id.
         pub id: u64,
         /// Its length in tokens.
@@ -77,11 +77,11 @@
         pub output: u64,
         /// Parts of its prompt in order; the last one is its own where there
         /// are others before it.
-        pub parts: Vec<Part>,
+        pub segments: Vec<Segment>,
         /// Bytes of the request itself.
         pub bytes: u64,
         /// Whether its runner copies from others what it has not read of the prompt.
-        pub copies: bool,
+        pub copies_prefix: bool,
         /// Whether it may run at most once.
         pub once: bool,
         /// Draw that decides among equals.
@@ -91,26 +91,26 @@
 
 impl Demand {
     /// Parts that other requests are likely to share: all but the last one.
-    fn shared_parts(&self) -> &[Part] {
-        let count = self.parts.len().saturating_sub(1).max(1);
-        &self.parts[..count.min(self.parts.len())]
+    fn shared_parts(&self) -> &[Segment] {
+        let count = self.segments.len().saturating_sub(1).max(1);
+        &self.segments[..count.min(self.segments.len())]
     }
 
     /// The deepest part that other requests are likely to share.
-    pub fn subject(&self) -> Option<Part> {
+    pub fn shared_prefix(&self) -> Option<Segment> {
         self.shared_parts().last().copied()
     }
 
     /// Tokens that other requests are likely to share.
-    pub fn shared(&self) -> u64 {
+    pub fn shared_tokens(&self) -> u64 {
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 
     /// The beginnings of the prompt that other requests may share, the shortest first:
     /// the id of the part with which each ends, and its tokens.
-    pub fn beginnings(&self) -> Vec<(u64, u64)> {
+    pub fn shared_prefixes(&self) -> Vec<(u64, u64)> {
         let mut tokens = 0;
-        let upto = |part: &Part| {
+        let upto = |part: &Segment| {
             tokens += part.tokens;
             (part.id, tokens)
         };
@@ -124,7 +124,7 @@
     }
 
     /// Tokens that it holds in a runner's memory to its end.
-    pub fn held(&self) -> u64 {
+    pub fn kv_tokens(&self) -> u64 {
         self.prompt + self.output
     }
 }
@@ -136,13 +136,13 @@
         /// The runner.
         pub key: Key,
         /// Time that it takes to read the prompt, in microseconds.
-        pub work: u64,
+        pub prefill_us: u64,
         /// Whether the prompt counts as long.
         pub is_long: bool,
         /// What the request finds there.
         pub conditions: Conditions,
         /// Runners that it was chosen among.
-        pub among: u32,
+        pub candidates: u32,
         /// Runner that has read the beginning of the prompt, from which this one copies it.
         pub source: Option<Key>,
     }
@@ -150,7 +150,7 @@
 
 /// What is known of a service's runners.
 #[derive(Clone, Copy, Debug)]
-pub struct Known<'a> {
+pub struct Inputs<'a> {
     /// All runners.
     pub fleet: &'a Fleet,
     /// What they have read.
@@ -162,7 +162,7 @@
 }
 
 /// Chooses a runner, other than those in `tried`.
-pub fn choose(known: Known<'_>, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
+pub fn choose(known: Inputs<'_>, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
     let open: Vec<(Key, &Runner)> = known
         .fleet
         .open(now, &demand.service)
@@ -173,15 +173,15 @@
         let key = nearest(now, known.fleet, &open, demand)?;
         return Some(Choice {
             key,
-            work: 0,
+            prefill_us: 0,
             is_long: false,
             conditions: Conditions::default(),
-            among,
+            candidates: among,
             source: None,
         });
     }
     let read = Read::of(known, now, demand);
-    let shared = demand.shared();
+    let shared = demand.shared_tokens();
     // By the whole prompt, so that requests of a kind go the same way whatever is kept of them.
     let is_long = known.partition.is_long(known.latency.prefill(demand.prompt, 0));
     let home = match read.is_whole(shared) {
@@ -207,7 +207,7 @@
     let (_, key, runner, work, kept) = candidates.min_by(|a, b| a.0.total_cmp(&b.0))?;
     Some(Choice {
         key,
-        work: work.as_micros() as u64,
+        prefill_us: work.as_micros() as u64,
         is_long,
         conditions: Conditions {
             prompt: demand.prompt,
@@ -216,13 +216,13 @@
             concurrent: runner.load(),
             cross_zone: runner.listed.zone != known.fleet.zone,
         },
-        among,
+        candidates: among,
         source: read.source_for(known, now, key),
     })
 }
 
 /// Milliseconds that a request and those beside it wait on a runner, at the usual latency.
-fn waiting(known: Known<'_>, runner: &Runner, work: Duration) -> f64 {
+fn waiting(known: Inputs<'_>, runner: &Runner, work: Duration) -> f64 {
     let beside = f64::from(runner.load());
     let queued = (runner.load() + 1).saturating_sub(runner.listed.slots);
     let turn = ms(known.latency.residence()) / f64::from(runner.listed.slots.max(1));
@@ -230,7 +230,7 @@
 }
 
 /// Milliseconds that the way to a runner costs.
-fn way(known: Known<'_>, now: Moment, runner: &Runner, demand: &Demand) -> f64 {
+fn way(known: Inputs<'_>, now: Moment, runner: &Runner, demand: &Demand) -> f64 {
     let zone = &runner.listed.zone;
     if *zone == known.fleet.zone {
         return 0.0;
@@ -254,14 +254,14 @@
 }
 
 impl Read {
-    fn of(known: Known<'_>, now: Moment, demand: &Demand) -> Self {
+    fn of(known: Inputs<'_>, now: Moment, demand: &Demand) -> Self {
         let mut read = Self {
             runners: Vec::new(),
             longest: 0,
             sources: Vec::new(),
         };
         // The deepest part goes first, so that a runner's first entry is its longest.
-        for (id, tokens) in demand.beginnings().into_iter().rev() {
+        for (id, tokens) in demand.shared_prefixes().into_iter().rev() {
             let holders = known.prefixes.holders(now, id);
             let here: Vec<&Holder> = holders
                 .filter(|holder| known.fleet.keeps(now, holder.key, holder.since))
@@ -271,7 +271,7 @@
                     read.runners.insert(at, (holder.key, tokens));
                 }
             }
-            if demand.copies && read.sources.is_empty() {
+            if demand.copies_prefix && read.sources.is_empty() {
                 let done = here
                     .iter()
                     .filter(|holder| now.since(holder.since) >= read_after(known.latency, tokens));
@@ -291,7 +291,7 @@
     ///
     /// One of its own zone, if any has it: a copy that is asked for across a cut keeps the
     /// request waiting for a part of a second. Another zone's only for what the runner lacks.
-    fn source_for(&self, known: Known<'_>, now: Moment, key: Key) -> Option<Key> {
+    fn source_for(&self, known: Inputs<'_>, now: Moment, key: Key) -> Option<Key> {
         let zone = |key: Key| known.fleet.get(key).map(|runner| runner.listed.zone.as_str());
         let own = zone(key)?;
         let others = self.sources.iter().rev().copied().filter(|source| *source != key);
@@ -326,8 +326,8 @@
 /// The subject's home: the same on every host of the zone that knows the same runners.
 ///
 /// It is in the callers' zone, so that those who ask about it later find it near.
-fn home(known: Known<'_>, open: &[(Key, &Runner)], demand: &Demand, is_long: bool) -> Option<Key> {
-    let subject = demand.subject()?.id;
+fn home(known: Inputs<'_>, open: &[(Key, &Runner)], demand: &Demand, is_long: bool) -> Option<Key> {
+    let subject = demand.shared_prefix()?.id;
     let order = |runner: &Runner| {
         let near = runner.listed.zone == known.fleet.zone;
         let fits = runner.long == is_long;
--- a/crates/core/src/proxy/route.rs
+++ b/crates/core/src/proxy/route.rs
@@ -97,9 +97,9 @@
         /// Requests it runs at once.
         pub slots: u32,
         /// Tokens its memory holds.
-        pub tokens: u64,
+        pub kv_tokens: u64,
         /// Whether one copies from another's memory what it has not read.
-        pub copies: bool,
+        pub copies_prefix: bool,
     }
 }
 
--- a/crates/entry/src/proxy/dialect.rs
+++ b/crates/entry/src/proxy/dialect.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, StatusCode};
 use radishstair_core::error::Kind;
 use radishstair_core::proxy::fleet::Listed;
-use radishstair_core::proxy::place::Part;
+use radishstair_core::proxy::placement::Segment;
 use radishstair_core::proxy::route::Table;
 use radishstair_core::proxy::supply::Order;
 use radishstair_core::proxy::tally::Window;
@@ -39,7 +39,7 @@
     pub hint: Option<u64>,
     /// Parts of the prompt, in order; the last one is the request's own or its
     /// session's.
-    pub parts: Vec<Part>,
+    pub parts: Vec<Segment>,
 }
 
 /// What the head towards a runner says besides the caller's own.
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -119,13 +119,13 @@
             key: choice.key,
             id,
             address,
-            work: choice.work,
-            held: demand.held(),
+            work: choice.prefill_us,
+            held: demand.kv_tokens(),
             outlook: choice.conditions,
             sent: None,
             source,
         };
-        Some((slot, choice.among))
+        Some((slot, choice.candidates))
     }
 
     /// Sends a request to a runner, up to the head of its answer; `after` is the event
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -6,7 +6,7 @@
 use hyper::header::HOST;
 use hyper::http::request;
 use radishstair_core::proxy::fleet::Key;
-use radishstair_core::proxy::place::Demand;
+use radishstair_core::proxy::placement::Demand;
 use radishstair_core::proxy::route::Mode;
 use radishstair_core::proxy::{Admission, Ask};
 use radishstair_core::repeat::{self, Rule};
@@ -75,9 +75,9 @@
             service: self.admission.service.clone(),
             prompt: self.head.prompt,
             output: self.head.hint.unwrap_or(self.head.output).min(self.head.output),
-            parts: self.head.parts.clone(),
+            segments: self.head.parts.clone(),
             bytes: self.body.len() as u64,
-            copies: self.admission.copies,
+            copies_prefix: self.admission.copies_prefix,
             once: self.once(),
             draw,
         }
--- a/tests/suite/proxy/build.rs
+++ b/tests/suite/proxy/build.rs
@@ -49,8 +49,8 @@
         connections: 240,
         engine: slots.map(|slots| Engine {
             slots,
-            tokens: 480_000,
-            copies: true,
+            kv_tokens: 480_000,
+            copies_prefix: true,
         }),
         scaling: None,
     }
--- a/tests/suite/proxy/model.rs
+++ b/tests/suite/proxy/model.rs
@@ -8,7 +8,7 @@
 use radishstair_core::proxy::State;
 use radishstair_core::proxy::fleet::{Key, Listed};
 use radishstair_core::proxy::gossip::Flow;
-use radishstair_core::proxy::place::{Choice, Demand, Part};
+use radishstair_core::proxy::placement::{Choice, Demand, Segment};
 use radishstair_core::time::Moment;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -203,7 +203,7 @@
         let at = self.keys.iter().position(|key| *key == Some(choice.key));
         let at = at.expect("a known engine");
         let engine = &mut self.engines[at];
-        let subject = demand.parts[1].id;
+        let subject = demand.segments[1].id;
         // What another engine has read is copied in no time.
         let kept = engine.kept.contains(&subject) || choice.source.is_some();
         let tokens = if kept { OWN } else { OWN + SHARED };
@@ -229,7 +229,7 @@
                 run.first = None;
                 let took = Duration::from_millis(ms - run.sent);
                 self.seen.timely += u32::from(took.as_millis() as u64 <= self.play.target_ms);
-                self.state.fleet.read(run.choice.key, run.choice.work);
+                self.state.fleet.read(run.choice.key, run.choice.prefill_us);
                 self.state
                     .first_event(run.choice.key, &run.choice.conditions, took);
                 if !self.play.judges_engines {
@@ -241,7 +241,7 @@
         self.running.retain(|run| {
             let on = run.ends > ms;
             if !on {
-                state.fleet.end(run.choice.key, 0, run.demand.held());
+                state.fleet.end(run.choice.key, 0, run.demand.kv_tokens());
             }
             on
         });
@@ -249,14 +249,14 @@
 }
 
 fn demand(subject: u64, own: u64) -> Demand {
-    let part = |id, tokens| Part { id, tokens };
+    let part = |id, tokens| Segment { id, tokens };
     Demand {
         service: SERVICE.into(),
         prompt: SHARED + OWN,
         output: 50,
-        copies: true,
+        copies_prefix: true,
         bytes: 18_000,
-        parts: vec![part(1, 2_500), part(subject, SHARED - 2_500), part(own, OWN)],
+        segments: vec![part(1, 2_500), part(subject, SHARED - 2_500), part(own, OWN)],
         ..Demand::default()
     }
 }
--- a/tests/suite/proxy/place.rs
+++ b/tests/suite/proxy/place.rs
@@ -6,7 +6,7 @@
 use radishstair_core::proxy::gossip::{self, Meter, Peers};
 use radishstair_core::proxy::latency::Latency;
 use radishstair_core::proxy::partition::{self, Partition};
-use radishstair_core::proxy::place::{self, Choice, Demand, Known, Part};
+use radishstair_core::proxy::placement::{self, Choice, Demand, Inputs, Segment};
 use radishstair_core::proxy::prefix::Index;
 use radishstair_core::time::Moment;
 use std::time::Duration;
@@ -33,13 +33,13 @@
 }
 
 fn choose(fleet: &Fleet, memory: &Index, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
-    let known = Known {
+    let known = Inputs {
         fleet,
         prefixes: memory,
         latency: &Latency::default(),
         partition: &Partition::default(),
     };
-    place::choose(known, now, demand, tried)
+    placement::choose(known, now, demand, tried)
 }
 
 fn host(runners: usize) -> State {
@@ -53,14 +53,14 @@
         service: "engines".into(),
         prompt,
         output: 100,
-        copies: true,
-        parts: vec![
-            Part { id: 1, tokens: 100 },
-            Part {
+        copies_prefix: true,
+        segments: vec![
+            Segment { id: 1, tokens: 100 },
+            Segment {
                 id: subject,
                 tokens: prompt / 2,
             },
-            Part {
+            Segment {
                 id: 999,
                 tokens: prompt / 2 - 100,
             },
@@ -94,7 +94,7 @@
     for subject in 0..200 {
         let choice = choose(&fleet, &memory, at(1), &demand(12_000, subject), &[]).expect("one");
         crossed += u32::from(!fleet.get(choice.key).expect("known").long);
-        fleet.begin(choice.key, choice.work, 12_100);
+        fleet.begin(choice.key, choice.prefill_us, 12_100);
     }
     assert!((20..100).contains(&crossed), "{crossed} of 200 crossed over");
 }
@@ -124,7 +124,7 @@
     let wanted: Vec<_> = (100..200).map(|subject| demand(12_000, subject)).collect();
     let place = |state: &mut State, demand, ms| {
         let choice = state.place(at(ms), demand, &[]).expect("one");
-        state.fleet.end(choice.key, choice.work, demand.held());
+        state.fleet.end(choice.key, choice.prefill_us, demand.kv_tokens());
         state.fleet.get(choice.key).expect("known").listed.id.clone()
     };
     let first: Vec<_> = wanted.iter().map(|demand| place(&mut one, demand, 1)).collect();
@@ -169,7 +169,7 @@
     for _ in 0..40 {
         let demand = demand(12_000, 5);
         let choice = choose(&fleet, &memory, at(1), &demand, &[]).expect("one");
-        fleet.begin(choice.key, choice.work, demand.held());
+        fleet.begin(choice.key, choice.prefill_us, demand.kv_tokens());
         memory.note(at(1), 5, choice.key);
         used.push(choice.key);
     }
@@ -193,7 +193,10 @@
             true => assert_ne!(choice.source, Some(choice.key)),
             false => assert!(choice.source.is_some_and(|source| used.contains(&source))),
         }
-        assert!(choice.work < first.work, "the beginning is not read again");
+        assert!(
+            choice.prefill_us < first.prefill_us,
+            "the beginning is not read again"
+        );
         used.push(choice.key);
     }
     used.sort_unstable();
@@ -207,7 +210,7 @@
 fn without_copies_a_subject_stays() {
     let mut state = host(14);
     let alone = Demand {
-        copies: false,
+        copies_prefix: false,
         ..demand(12_000, 5)
     };
     let first = state.place(at(1), &alone, &[]).expect("one");
@@ -248,7 +251,7 @@
     assert_eq!(silent.source, None, "once they are silent");
     let plain = Demand {
         prompt: 0,
-        parts: Vec::new(),
+        segments: Vec::new(),
         ..demand(1_000, 5)
     };
     for key in near {
@@ -347,23 +350,23 @@
             },
             // Nothing shared, so that nothing draws it to a home.
             _ => Demand {
-                parts: Vec::new(),
+                segments: Vec::new(),
                 ..demand(prompt, draw)
             },
         };
         let choice = choose(&fleet, &memory, at(1), &demand, &[]).expect("one");
-        fleet.begin(choice.key, choice.work, demand.held());
+        fleet.begin(choice.key, choice.prefill_us, demand.kv_tokens());
         let at_grey = choice.key == grey_key;
         grey += u32::from(at_grey);
         if at_grey && draws.random_bool(0.4) {
-            fleet.end(choice.key, choice.work, demand.held());
+            fleet.end(choice.key, choice.prefill_us, demand.kv_tokens());
             fleet.sign(at(1), choice.key, if judges { Sign::Failed } else { Sign::Sound });
         } else {
             running.push_back((choice, demand));
         }
         if running.len() > 12 {
             let (choice, demand) = running.pop_front().expect("there are some");
-            fleet.end(choice.key, choice.work, demand.held());
+            fleet.end(choice.key, choice.prefill_us, demand.kv_tokens());
             fleet.sign(at(1), choice.key, Sign::Sound);
         }
     }
