--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -18,13 +18,13 @@
 pub mod delta;
 pub mod document;
 pub mod fleet;
+pub mod freshness;
 pub mod gossip;
 pub mod latency;
 pub mod mirror;
 pub mod partition;
 pub mod placement;
 pub mod prefix;
-pub mod proof;
 pub mod refresh;
 pub mod regression;
 pub mod report;
@@ -36,12 +36,12 @@
 
 use budget::Budgets;
 use fleet::{Fleet, Key, Listed};
+use freshness::Freshness;
 use gossip::{Flow, Holder, Meter, Packet, Peers};
 use latency::{Conditions, Latency};
 use partition::Partition;
 use placement::{Choice, Demand, Inputs};
 use prefix::Index;
-use proof::Proof;
 use route::{Route, Table};
 use services::Services;
 use tally::{Ledger, Tally};
@@ -87,11 +87,11 @@
 const NEWEST: Duration = Duration::from_millis(1_700);
 
 /// Time without an answer of the store to this host past which it hands its callers
-/// over: two questions of [`STORE_ASKED`] in a row and the wait for their answers.
+/// over: two questions of [`STORE_PROBE_INTERVAL`] in a row and the wait for their answers.
 const STORE_SILENT: Duration = Duration::from_millis(2_500);
 /// Time after which a host that learns from its peers asks whether the store still
 /// answers it.
-pub const STORE_ASKED: Duration = Duration::from_millis(1_000);
+pub const STORE_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Tokens from which a subject's place is told to the other hosts: telling takes 16 bytes a
 /// request and host.
@@ -108,12 +108,12 @@
 impl Bounds {
     /// How old the proof of a document may be once a newer one is known to stand. The newer
     /// one was acknowledged after the proof, so this keeps the bound without a margin.
-    pub fn superseded(&self) -> Duration {
+    pub fn max_superseded_age(&self) -> Duration {
         Duration::from_millis(self.configuration_ms)
     }
 
     /// How old the proof may be when a keyed request is passed on.
-    pub fn proof(&self) -> Duration {
+    pub fn max_age(&self) -> Duration {
         Duration::from_millis((self.revocation_ms as f64 * PROOF_PART) as u64)
     }
 }
@@ -162,11 +162,11 @@
     /// The operator's document; none before the first read.
     pub table: Option<Arc<Table>>,
     /// When the document was known to be the newest.
-    pub proof: Proof,
+    pub freshness: Freshness,
     /// Whether a newer one stands that this host has yet to read.
     pub is_behind: bool,
     /// When the store last answered this host itself.
-    pub store_answered: Proof,
+    pub store_contact: Freshness,
     /// Runners.
     pub fleet: Fleet,
     /// Where prompts were read.
@@ -197,9 +197,9 @@
         Self {
             bounds,
             table: None,
-            proof: Proof::default(),
+            freshness: Freshness::default(),
             is_behind: false,
-            store_answered: Proof::default(),
+            store_contact: Freshness::default(),
             fleet: Fleet::new(zone),
             prefixes: Index::default(),
             peers: Peers::default(),
@@ -247,7 +247,7 @@
     }
 
     fn reaches_store(&self, now: Moment) -> bool {
-        self.store_answered.covers(now, STORE_SILENT)
+        self.store_contact.is_within(now, STORE_SILENT)
     }
 
     /// Whether keyed requests may be passed on.
@@ -256,7 +256,7 @@
     /// serve it for ever. It stops when its last proof is too old, whatever the
     /// reason.
     pub fn is_fresh(&self, now: Moment) -> bool {
-        self.proof.covers(now, self.bounds.proof())
+        self.freshness.is_within(now, self.bounds.max_age())
     }
 
     /// Refuses while a newer document has not come in time.
@@ -265,7 +265,7 @@
     /// away. A host that knows of a change, and does not know the change, would send them
     /// where they no longer go.
     fn refuse_superseded(&self, now: Moment) -> Result<(), Refusal> {
-        match self.is_behind && !self.proof.covers(now, self.bounds.superseded()) {
+        match self.is_behind && !self.freshness.is_within(now, self.bounds.max_superseded_age()) {
             true => Err(Refusal::new(Kind::Stale).detail("a newer configuration has yet to come")),
             false => Ok(()),
         }
@@ -281,7 +281,7 @@
             return Err(Refusal::new(Kind::Stale).detail("no configuration is known yet"));
         };
         self.refuse_superseded(now)?;
-        let newest = self.proof.covers(now, NEWEST);
+        let newest = self.freshness.is_within(now, NEWEST);
         let unless_newest = |kind| Refusal::new(if newest { kind } else { Kind::Stale });
         let Some(route) = table.find(ask.host, ask.path) else {
             return Err(unless_newest(Kind::NotFound));
--- a/crates/core/src/proxy/proof.rs
+++ b/crates/core/src/proxy/freshness.rs
@@ -1,4 +1,4 @@
-//! Proof that a belief was the newest at some moment.
+//! Freshness that a belief was the newest at some moment.
 //!
 //! Only an answer of the store proves anything, and only for the moment before
 //! the question left: an open watch may have been cut without a sign, and an
@@ -11,12 +11,12 @@
 plain! {
     /// When the belief was last known to be the newest.
     #[derive(Copy, Default)]
-    pub struct Proof {
+    pub struct Freshness {
         as_of: Option<Moment>,
     }
 }
 
-impl Proof {
+impl Freshness {
     /// The store answered a question that left at `sent`.
     pub fn renew(&mut self, sent: Moment) {
         if self.as_of.is_none_or(|have| have < sent) {
@@ -25,7 +25,7 @@
     }
 
     /// Whether the proof is younger than `bound`.
-    pub fn covers(&self, now: Moment, bound: Duration) -> bool {
+    pub fn is_within(&self, now: Moment, bound: Duration) -> bool {
         self.as_of.is_some_and(|as_of| now.since(as_of) < bound)
     }
 
--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -152,7 +152,11 @@
     if !job.is_stream() && result.is_ok() {
         shared.metrics.first_after(route, now.since(job.arrived));
     }
-    let proof_ms = shared.state().proof.age(now).map(|age| age.as_millis() as u64);
+    let proof_ms = shared
+        .state()
+        .freshness
+        .age(now)
+        .map(|age| age.as_millis() as u64);
     tracing::info!(
         event = "request",
         request = job.head.id,
@@ -216,7 +220,7 @@
         request = head.map(|head| head.id.as_str()),
         kind = refusal.kind.name(),
         version = state.table.as_ref().map(|table| table.version),
-        proof_ms = state.proof.age(now).map(|age| age.as_millis() as u64),
+        proof_ms = state.freshness.age(now).map(|age| age.as_millis() as u64),
     );
     drop(state);
     shared.metrics.request("", refusal.kind.name());
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -53,7 +53,7 @@
         );
     }
     if !matches!(page.answer, Answer::Refused | Answer::Lost) {
-        shared.state().store_answered.renew(asked);
+        shared.state().store_contact.renew(asked);
     }
     shared.metrics.platform_call(call.name(), page.answer.outcome());
     page
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -151,7 +151,7 @@
         .as_ref()
         .is_some_and(|table| table.revision == version)
     {
-        state.proof.renew(as_of);
+        state.freshness.renew(as_of);
     }
 }
 
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -13,7 +13,7 @@
 use radishstair_core::proxy::backoff::Backoff;
 use radishstair_core::proxy::refresh::ROUND;
 use radishstair_core::proxy::share::{self, Share, Source};
-use radishstair_core::proxy::{STORE_ASKED, mirror};
+use radishstair_core::proxy::{STORE_PROBE_INTERVAL, mirror};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
 use tokio::sync::mpsc;
@@ -290,9 +290,9 @@
     loop {
         let now = shared.now();
         let key = NOTHING.to_string();
-        if !shared.state().store_answered.covers(now, STORE_ASKED) {
+        if !shared.state().store_contact.is_within(now, STORE_PROBE_INTERVAL) {
             call::ask(&shared, &store, &Call::Peek { key }, PAGE).await;
         }
-        tokio::time::sleep(STORE_ASKED / 4).await;
+        tokio::time::sleep(STORE_PROBE_INTERVAL / 4).await;
     }
 }
--- a/tests/suite/proxy/build.rs
+++ b/tests/suite/proxy/build.rs
@@ -101,7 +101,7 @@
 pub fn state(now: Moment, customers: Vec<Customer>) -> State {
     let mut state = State::new(bounds(), "zone-a");
     state.configure(table(1, customers));
-    state.proof.renew(now);
+    state.freshness.renew(now);
     state
 }
 
--- a/tests/suite/proxy/freshness.rs
+++ b/tests/suite/proxy/freshness.rs
@@ -25,7 +25,7 @@
     let ask = ask("key-a");
     let admission = state.admit(at(9_000), &ask).expect("the old document admits it");
     state.configure(table(2, vec![customer("ana", &["key-b"])]));
-    state.proof.renew(at(9_200));
+    state.freshness.renew(at(9_200));
     let refusal = state
         .may_send(at(9_250), &admission, &ask)
         .expect_err("the key is gone");
@@ -78,9 +78,9 @@
 #[test]
 fn a_proof_counts_from_before_the_question() {
     let mut state = state(at(0), vec![customer("ana", &["key-a"])]);
-    state.proof.renew(at(1_000));
-    state.proof.renew(at(500));
-    assert_eq!(state.proof.age(at(4_000)), Some(Duration::from_secs(3)));
+    state.freshness.renew(at(1_000));
+    state.freshness.renew(at(500));
+    assert_eq!(state.freshness.age(at(4_000)), Some(Duration::from_secs(3)));
     assert!(!state.is_fresh(at(4_000)));
 }
 
@@ -92,14 +92,14 @@
 fn a_host_without_its_own_way_to_the_store_hands_its_callers_over() {
     let mut state = state(at(0), vec![customer("ana", &["key-a"])]);
     state.fleet.list(at(0), Vec::new());
-    state.store_answered.renew(at(0));
+    state.store_contact.renew(at(0));
     assert!(state.is_ready(at(2_000)) && !state.hands_over(at(2_000)));
-    state.proof.renew(at(2_600));
+    state.freshness.renew(at(2_600));
     assert!(!state.is_ready(at(2_700)) && state.hands_over(at(2_700)));
     assert!(state.admit(at(2_700), &ask("key-a")).is_ok(), "it refuses nobody");
     assert!(!state.hands_over(at(6_000)), "its peers have no proof either");
-    state.store_answered.renew(at(6_100));
-    state.proof.renew(at(6_100));
+    state.store_contact.renew(at(6_100));
+    state.freshness.renew(at(6_100));
     assert!(state.is_ready(at(6_200)) && !state.hands_over(at(6_200)));
 }
 
@@ -130,7 +130,7 @@
         state.may_send(at(9_000), &admission, &open).is_ok(),
         "the store is away"
     );
-    state.proof.renew(at(9_000));
+    state.freshness.renew(at(9_000));
     state.is_behind = true;
     assert!(
         state.may_send(at(10_900), &admission, &open).is_ok(),
--- a/tests/suite/proxy/schedule.rs
+++ b/tests/suite/proxy/schedule.rs
@@ -417,7 +417,7 @@
     };
     host.state
         .configure(table(document.version, vec![customer("ana", keys)]));
-    host.state.proof.renew(as_of);
+    host.state.freshness.renew(as_of);
     host.lease.show(now, host.mirror.find("duty"));
     let entries = host.mirror.under("").to_vec();
     let (sealed, others): (Vec<Entry>, Vec<Entry>) = entries
