--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -25,12 +25,12 @@
 pub mod partition;
 pub mod placement;
 pub mod prefix;
+pub mod readers;
 pub mod refresh;
 pub mod regression;
 pub mod report;
 pub mod route;
 pub mod services;
-pub mod share;
 pub mod supply;
 pub mod tally;
 
--- a/crates/core/src/proxy/share.rs
+++ b/crates/core/src/proxy/readers.rs
@@ -44,7 +44,7 @@
 
 impl Host {
     /// A host that has not told yet where it is.
-    pub fn unplaced(address: SocketAddr) -> Self {
+    pub fn unlocated(address: SocketAddr) -> Self {
         Self {
             address,
             zone: 0,
@@ -66,7 +66,7 @@
 
 /// One host's choice among its peers.
 #[derive(Clone, Debug, Default)]
-pub struct Share {
+pub struct Readers {
     resting: Vec<(SocketAddr, Moment)>,
 }
 
@@ -75,15 +75,15 @@
 ///
 /// A peer that the store no longer answers goes on answering others. By its age alone
 /// its word was taken twice more, and runners that had left got requests for 2.1 s.
-pub fn helps(now: Moment, as_of: Moment, before: Option<Moment>) -> bool {
+pub fn is_recent(now: Moment, as_of: Moment, before: Option<Moment>) -> bool {
     let anew = before.is_none_or(|before| as_of.since(before) > Duration::ZERO);
     now.since(as_of) < if anew { FRESH_ANEW } else { FRESH }
 }
 
-impl Share {
+impl Readers {
     /// Where to look first. `hosts` are all that live, `me` among them.
-    pub fn first(&mut self, now: Moment, me: SocketAddr, hosts: &[Host]) -> Source {
-        if reads(me, hosts) {
+    pub fn preferred(&mut self, now: Moment, me: SocketAddr, hosts: &[Host]) -> Source {
+        if is_reader(me, hosts) {
             return Source::Store;
         }
         self.nearest(now, me, hosts, &readers(hosts))
@@ -91,20 +91,20 @@
     }
 
     /// Any host that is not resting, another one for each that asks.
-    pub fn any(&mut self, now: Moment, me: SocketAddr, hosts: &[Host]) -> Option<SocketAddr> {
+    pub fn any_peer(&mut self, now: Moment, me: SocketAddr, hosts: &[Host]) -> Option<SocketAddr> {
         self.nearest(now, me, hosts, hosts)
     }
 
     /// Whom to ask when the store does not answer: another reader, else any host,
     /// as the store may turn away all that read and serve others.
-    pub fn instead(&mut self, now: Moment, me: SocketAddr, hosts: &[Host]) -> Option<SocketAddr> {
+    pub fn fallback(&mut self, now: Moment, me: SocketAddr, hosts: &[Host]) -> Option<SocketAddr> {
         let readers = readers(hosts);
         self.nearest(now, me, hosts, &readers)
             .or_else(|| self.nearest(now, me, hosts, hosts))
     }
 
     /// A host did not answer, or did not know more.
-    pub fn silent(&mut self, now: Moment, host: SocketAddr) {
+    pub fn mark_unresponsive(&mut self, now: Moment, host: SocketAddr) {
         self.resting.retain(|(have, _)| *have != host);
         self.resting.push((host, now + REST));
     }
@@ -122,7 +122,7 @@
 }
 
 /// Whether a host reads the store; so does one that is not known to live yet.
-pub fn reads(me: SocketAddr, hosts: &[Host]) -> bool {
+pub fn is_reader(me: SocketAddr, hosts: &[Host]) -> bool {
     find(me, hosts).is_none() || find(me, &readers(hosts)).is_some()
 }
 
--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -15,7 +15,7 @@
 use radishstair_core::proxy::clock::WallClock;
 use radishstair_core::proxy::document::Document;
 use radishstair_core::proxy::mirror::Mirror;
-use radishstair_core::proxy::share::Host;
+use radishstair_core::proxy::readers::Host;
 use radishstair_core::proxy::tally::Record;
 use radishstair_core::time::Moment;
 use tokio::sync::Notify;
@@ -122,7 +122,7 @@
         let places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
         let place = |address: &SocketAddr| {
             let found = places.binary_search_by_key(address, |host| host.address);
-            found.map_or(Host::unplaced(*address), |at| places[at])
+            found.map_or(Host::unlocated(*address), |at| places[at])
         };
         let peers = self.peers.load();
         let hosts = peers.iter().map(|address| match *address == own.address {
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use radishstair_core::proxy::document::{News, Notice, SHORT};
+use radishstair_core::proxy::readers::{self, Readers};
 use radishstair_core::proxy::refresh::{Failure, Plan, Standing, Step};
-use radishstair_core::proxy::share::{self, Share};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
 
@@ -25,7 +25,7 @@
     let mut keeper = Keeper {
         shared,
         store,
-        share: Share::default(),
+        share: Readers::default(),
         plan: Plan::default(),
     };
     loop {
@@ -40,7 +40,7 @@
 struct Keeper {
     shared: Arc<Shared>,
     store: Arc<Asker>,
-    share: Share,
+    share: Readers,
     plan: Plan,
 }
 
@@ -81,7 +81,7 @@
 
     fn is_reader(&self) -> bool {
         let me = self.shared.settings.load().peer_listen;
-        share::reads(me, &self.shared.hosts())
+        readers::is_reader(me, &self.shared.hosts())
     }
 
     /// Asks the store.
@@ -115,12 +115,12 @@
     async fn ask_peer(&mut self) -> bool {
         let now = self.shared.now();
         let me = self.shared.settings.load().peer_listen;
-        let Some(peer) = self.share.any(now, me, &self.shared.hosts()) else {
+        let Some(peer) = self.share.any_peer(now, me, &self.shared.hosts()) else {
             return false;
         };
         let is_new = self.ask(peer, usize::MAX).await;
         if !is_new {
-            self.share.silent(self.shared.now(), peer);
+            self.share.mark_unresponsive(self.shared.now(), peer);
         }
         is_new
     }
--- a/crates/entry/src/proxy/peers.rs
+++ b/crates/entry/src/proxy/peers.rs
@@ -10,7 +10,7 @@
 use prost::Message;
 use radishstair_core::id::digest;
 use radishstair_core::proxy::gossip::{self, Holder, Packet};
-use radishstair_core::proxy::share::Host;
+use radishstair_core::proxy::readers::Host;
 use tokio::net::UdpSocket;
 
 use super::{Shared, document};
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use radishstair_core::id::Incarnation;
-use radishstair_core::proxy::share::Host;
+use radishstair_core::proxy::readers::Host;
 use radishstair_core::proxy::tally::{Presence, Record};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
@@ -292,5 +292,5 @@
     let mut hosts: Vec<SocketAddr> = here.filter_map(|presence| presence.peer.parse().ok()).collect();
     hosts.sort_unstable();
     hosts.dedup();
-    hosts.into_iter().map(Host::unplaced).collect()
+    hosts.into_iter().map(Host::unlocated).collect()
 }
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -4,15 +4,15 @@
 //! A few hosts read all keys anew each round: an open watch is no proof (it may be
 //! cut without a sign, or hear nothing while history is dropped). The other hosts
 //! ask one of them for what has changed, and read the store only where no peer can
-//! help; see [`share`].
+//! help; see [`readers`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
 use radishstair_core::proxy::backoff::Backoff;
+use radishstair_core::proxy::readers::{self, Readers, Source};
 use radishstair_core::proxy::refresh::ROUND;
-use radishstair_core::proxy::share::{self, Share, Source};
 use radishstair_core::proxy::{STORE_PROBE_INTERVAL, mirror};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
@@ -46,7 +46,7 @@
         shared,
         store,
         own,
-        share: Share::default(),
+        share: Readers::default(),
         peers: Vec::new(),
         source: None,
         backoff: Backoff::default(),
@@ -74,7 +74,7 @@
     store: Arc<Asker>,
     beliefs: Beliefs,
     own: mpsc::Sender<Own>,
-    share: Share,
+    share: Readers,
     /// Connections to the peers that were asked, sorted by address.
     peers: Vec<(SocketAddr, Asker)>,
     /// Where the last round learned what is new.
@@ -89,7 +89,7 @@
     async fn round(&mut self, began: Moment) -> bool {
         let hosts = self.shared.hosts();
         let me = self.shared.settings.load().peer_listen;
-        let first = self.share.first(began, me, &hosts);
+        let first = self.share.preferred(began, me, &hosts);
         if let Source::Peer(peer) = first {
             if self.ask(peer).await {
                 return self.known(Source::Peer(peer));
@@ -104,7 +104,7 @@
         }
         self.shared.store_lost(began);
         let now = self.shared.now();
-        match self.share.instead(now, me, &hosts) {
+        match self.share.fallback(now, me, &hosts) {
             Some(peer) => self.ask(peer).await && self.known(Source::Peer(peer)),
             None => false,
         }
@@ -128,7 +128,7 @@
         };
         let as_of = self.shared.mirror().as_of();
         let now = self.shared.now();
-        let fresh = as_of.is_some_and(|as_of| share::helps(now, as_of, before));
+        let fresh = as_of.is_some_and(|as_of| readers::is_recent(now, as_of, before));
         let helped = told == Some(true) && fresh;
         self.shared
             .metrics
@@ -140,7 +140,7 @@
                 let age_ms = as_of.map(|as_of| now.since(as_of).as_millis() as u64);
                 tracing::info!(event = "peer-not-fresh", %peer, age_ms);
             }
-            self.share.silent(self.shared.now(), peer);
+            self.share.mark_unresponsive(self.shared.now(), peer);
         }
         helped
     }
@@ -232,7 +232,7 @@
             return None;
         }
         let me = self.shared.settings.load().peer_listen;
-        match self.share.first(now, me, &records::hosts(first)) {
+        match self.share.preferred(now, me, &records::hosts(first)) {
             Source::Store => None,
             Source::Peer(peer) => {
                 self.deferred += 1;
--- a/tests/suite/proxy/refresh.rs
+++ b/tests/suite/proxy/refresh.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use radishstair_core::proxy::document::{Document, News, SHORT};
+use radishstair_core::proxy::readers::{self, Host, Readers, Source};
 use radishstair_core::proxy::refresh::{Failure, Plan, ROUND, Standing, Step};
-use radishstair_core::proxy::share::{self, Host, Share, Source};
 use radishstair_core::store::Entry;
 use radishstair_core::time::Moment;
 use rand::{RngExt, SeedableRng};
@@ -27,7 +27,7 @@
     host: Host,
     document: Document,
     plan: Plan,
-    share: Share,
+    share: Readers,
     /// When its link is free, in milliseconds.
     link_free: u64,
     /// Questions of an earlier life are not answered.
@@ -94,7 +94,7 @@
             host: *host,
             document: Document::default(),
             plan: Plan::default(),
-            share: Share::default(),
+            share: Readers::default(),
             link_free: 0,
             life: 0,
             asks: false,
@@ -177,7 +177,7 @@
             return;
         }
         let standing = Standing {
-            reads: share::reads(state.host.address, &self.hosts),
+            reads: readers::is_reader(state.host.address, &self.hosts),
             is_behind: state.document.is_behind(),
             age: state.document.age(now),
         };
@@ -220,7 +220,7 @@
         let now = at(self.now);
         let hosts = &self.hosts;
         let state = &mut self.nodes[node];
-        if let Source::Peer(peer) = state.share.first(now, state.host.address, hosts) {
+        if let Source::Peer(peer) = state.share.preferred(now, state.host.address, hosts) {
             let peer = hosts.iter().position(|host| host.address == peer);
             let asked = self.now;
             self.plan(5, node, Event::Told(peer.expect("it lives"), asked));
--- a/tests/suite/proxy/share.rs
+++ b/tests/suite/proxy/share.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use radishstair_core::proxy::share::{self, Host, Share, Source};
+use radishstair_core::proxy::readers::{self, Host, Readers, Source};
 use radishstair_core::time::Moment;
 
 fn hosts(count: u8) -> Vec<Host> {
-    let host = |at: u8| Host::unplaced(([10, 1, at / 64, at % 64 + 1], 7_340).into());
+    let host = |at: u8| Host::unlocated(([10, 1, at / 64, at % 64 + 1], 7_340).into());
     (0..count).map(host).collect()
 }
 
 fn first(me: Host, hosts: &[Host]) -> Source {
-    Share::default().first(Moment::at_ms(1_000), me.address, hosts)
+    Readers::default().preferred(Moment::at_ms(1_000), me.address, hosts)
 }
 
 /// Each call to the store costs, and hundreds of hosts that read it twice a second
@@ -58,17 +58,17 @@
         .find(|host| first(**host, &all) != Source::Store)
         .expect("not all read");
     let me = me.address;
-    let mut share = Share::default();
+    let mut share = Readers::default();
     let now = Moment::at_ms(1_000);
     let mut asked = Vec::new();
-    while let Source::Peer(peer) = share.first(now, me, &all) {
+    while let Source::Peer(peer) = share.preferred(now, me, &all) {
         assert!(!asked.contains(&peer));
         asked.push(peer);
-        share.silent(now, peer);
+        share.mark_unresponsive(now, peer);
     }
     assert_eq!(asked.len(), 2);
     let later = now + Duration::from_secs(3);
-    assert_eq!(share.first(later, me, &all), Source::Peer(asked[0]));
+    assert_eq!(share.preferred(later, me, &all), Source::Peer(asked[0]));
 }
 
 /// The store turns away the hosts that read and serves others. A reader that gets no
@@ -78,16 +78,16 @@
     let all = hosts(4);
     let reads = |host: &&Host| first(**host, &all) == Source::Store;
     let readers: Vec<Host> = all.iter().filter(reads).copied().collect();
-    let mut share = Share::default();
+    let mut share = Readers::default();
     let now = Moment::at_ms(1_000);
     assert_eq!(
-        share.instead(now, readers[0].address, &all),
+        share.fallback(now, readers[0].address, &all),
         Some(readers[1].address)
     );
     let mut asked = Vec::new();
-    while let Some(peer) = share.instead(now, readers[0].address, &all) {
+    while let Some(peer) = share.fallback(now, readers[0].address, &all) {
         asked.push(peer);
-        share.silent(now, peer);
+        share.mark_unresponsive(now, peer);
     }
     assert_eq!(asked.len(), 3, "all but itself");
 }
@@ -100,16 +100,19 @@
 fn a_peer_that_has_lost_the_store_is_not_believed_for_long() {
     let at = |ms: u64| Moment::at_ms(10_000 + ms);
     let known = at(0);
-    assert!(share::helps(at(600), known, Some(known)), "it reads every 0.6 s");
     assert!(
-        !share::helps(at(1_200), known, Some(known)),
+        readers::is_recent(at(600), known, Some(known)),
+        "it reads every 0.6 s"
+    );
+    assert!(
+        !readers::is_recent(at(1_200), known, Some(known)),
         "it should have read again"
     );
     assert!(
-        share::helps(at(1_200), at(100), Some(known)),
+        readers::is_recent(at(1_200), at(100), Some(known)),
         "it has, and took its time"
     );
-    assert!(!share::helps(at(1_500), at(100), Some(known)));
+    assert!(!readers::is_recent(at(1_500), at(100), Some(known)));
 }
 
 /// Guards against a large document that comes to everybody through slow links.
