--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -30,8 +30,8 @@
 pub mod regression;
 pub mod report;
 pub mod route;
+pub mod scaling;
 pub mod services;
-pub mod supply;
 pub mod tally;
 
 use budget::Budgets;
--- a/crates/core/src/proxy/route.rs
+++ b/crates/core/src/proxy/route.rs
@@ -107,15 +107,15 @@
     /// How many runners may be ordered and what they cost.
     pub struct Scaling {
         /// Fewest in a zone.
-        pub least: u32,
+        pub minimum: u32,
         /// Most in a zone.
-        pub most: u32,
+        pub maximum: u32,
         /// Time from an order until a runner serves.
-        pub boot: Duration,
+        pub boot_time: Duration,
         /// Price of reclaimable runners as a share of the full one, if there are any.
-        pub cheap: Option<f64>,
+        pub reclaimable_price: Option<f64>,
         /// Price of a runner's second by zone.
-        pub prices: BTreeMap<String, f64>,
+        pub zone_prices: BTreeMap<String, f64>,
     }
 }
 
--- a/crates/core/src/proxy/supply.rs
+++ b/crates/core/src/proxy/scaling.rs
@@ -222,7 +222,7 @@
     }
 
     /// What came of the order.
-    pub fn ordered(&mut self, now: Moment, order: &Order, accepted: bool) {
+    pub fn record_result(&mut self, now: Moment, order: &Order, accepted: bool) {
         if self.sending.take().is_none() {
             return;
         }
@@ -245,7 +245,7 @@
 
     /// Sets the targets of one service.
     fn plan(&mut self, now: Moment, service: &Service, scaling: &Scaling, fleet: &Fleet, flow: u64) {
-        let Some(price) = scaling.cheap else {
+        let Some(price) = scaling.reclaimable_price else {
             return;
         };
         let zones: Vec<Zone> = by_price(scaling)
@@ -259,18 +259,22 @@
             let each = needed.usual.div_ceil(count);
             let lacking = self.lacking(now, service, scaling, &zones, needed.urgent);
             // Not all in one zone, if there are others: it may be cut off next.
-            (each.clamp(scaling.least, scaling.most), lacking, count.min(2))
+            (
+                each.clamp(scaling.minimum, scaling.maximum),
+                lacking,
+                count.min(2),
+            )
         } else {
-            (0, needed.usual.max(scaling.least * count), count)
+            (0, needed.usual.max(scaling.minimum * count), count)
         };
         let most = lacking.div_ceil(parts);
         for zone in zones {
             // A zone's bound holds for both kinds together; cheap runners that
             // are there must not give way to dependable ones.
-            let room = scaling.most.saturating_sub(zone.cheap);
+            let room = scaling.maximum.saturating_sub(zone.cheap);
             let dependable = lacking.min(most).min(room);
             lacking -= dependable;
-            let cheap = each.min(scaling.most - dependable);
+            let cheap = each.min(scaling.maximum - dependable);
             for (reclaimable, wanted) in [(false, dependable), (true, cheap)] {
                 let kind = Kind::new(&service.name, &zone.name, reclaimable);
                 self.targets.of(kind).want(wanted);
@@ -306,7 +310,7 @@
         let vanished = zone.cheap < target.more.seen;
         target.more.seen = zone.cheap;
         let ordered = target.accepted.unwrap_or(0);
-        let boots = |rose: &Moment| now.since(*rose) < scaling.boot + OVERDUE;
+        let boots = |rose: &Moment| now.since(*rose) < scaling.boot_time + OVERDUE;
         target.more.rose = target.more.rose.filter(boots);
         if vanished || zone.cheap >= ordered {
             target.more.rose = None;
@@ -344,7 +348,7 @@
 /// Zones, the cheapest first.
 fn by_price(scaling: &Scaling) -> Vec<&String> {
     let mut zones: Vec<(&String, f64)> = scaling
-        .prices
+        .zone_prices
         .iter()
         .map(|(zone, price)| (zone, *price))
         .collect();
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use radishstair_core::lease::{Grant, Lease, Terms};
 use radishstair_core::proxy::report::{self, Reporter};
-use radishstair_core::proxy::supply::Planner;
+use radishstair_core::proxy::scaling::Planner;
 use radishstair_core::proxy::tally::Window;
 use radishstair_core::store::Entry;
 use radishstair_core::time::Moment;
@@ -224,7 +224,7 @@
             status
         );
         let accepted = status == Some(StatusCode::OK.as_u16());
-        self.planner.ordered(self.shared.now(), &order, accepted);
+        self.planner.record_result(self.shared.now(), &order, accepted);
         accepted
     }
 
--- a/tests/suite/proxy/build.rs
+++ b/tests/suite/proxy/build.rs
@@ -121,11 +121,11 @@
     let mut engines = service(service_name, Some(32));
     let prices = zones.iter().map(|(zone, price)| (zone.to_string(), *price));
     engines.scaling = Some(Scaling {
-        least: 1,
-        most,
-        boot: Duration::from_secs(4),
-        cheap: Some(cheap),
-        prices: prices.collect(),
+        minimum: 1,
+        maximum: most,
+        boot_time: Duration::from_secs(4),
+        reclaimable_price: Some(cheap),
+        zone_prices: prices.collect(),
     });
     Table::new(1, 1, Vec::new(), vec![engines], None, Limits::default())
 }
--- a/tests/suite/proxy/limits.rs
+++ b/tests/suite/proxy/limits.rs
@@ -3,7 +3,7 @@
 use radishstair_core::proxy::budget::Budgets;
 use radishstair_core::proxy::fleet::Fleet;
 use radishstair_core::proxy::route::{Limits, Mode, Share, Table};
-use radishstair_core::proxy::supply::{Order, Planner};
+use radishstair_core::proxy::scaling::{Order, Planner};
 use radishstair_core::time::Moment;
 
 use super::build::{bounds, customer, priced, route, runner};
@@ -115,7 +115,7 @@
     let table = engines();
     let mut sent = Vec::new();
     while let Some(order) = planner.tick(at(ms), &table, fleet, |_| flow) {
-        planner.ordered(at(ms), &order, true);
+        planner.record_result(at(ms), &order, true);
         sent.push(order);
     }
     sent
--- a/tests/suite/proxy/pace.rs
+++ b/tests/suite/proxy/pace.rs
@@ -5,7 +5,7 @@
 
 use radishstair_core::proxy::fleet::Fleet;
 use radishstair_core::proxy::latency::{Conditions, Latency};
-use radishstair_core::proxy::supply::Planner;
+use radishstair_core::proxy::scaling::Planner;
 use radishstair_core::time::Moment;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -89,7 +89,7 @@
     let table = priced(SERVICE, 20, price, &zones);
     let mut latest = BTreeMap::new();
     while let Some(order) = planner.tick(now, &table, fleet, |_| flow) {
-        planner.ordered(now, &order, true);
+        planner.record_result(now, &order, true);
         latest.insert((order.zone.clone(), order.reclaimable), order.count);
     }
     let sum = |reclaimable| {
@@ -148,7 +148,7 @@
     for ms in (0..30_000).step_by(250) {
         let now = Moment::at_ms(100_000 + ms);
         while let Some(order) = planner.tick(now, &table, &fleet, |_| 3_000_000) {
-            planner.ordered(now, &order, !order.reclaimable);
+            planner.record_result(now, &order, !order.reclaimable);
             match order.reclaimable {
                 true => refused += 1,
                 false => dependable = order.count,
