--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -32,7 +32,7 @@
 pub mod route;
 pub mod scaling;
 pub mod services;
-pub mod tally;
+pub mod usage;
 
 use budget::Budgets;
 use fleet::{Fleet, Key, Listed};
@@ -44,7 +44,7 @@
 use prefix::Index;
 use route::{Route, Table};
 use services::Services;
-use tally::{Ledger, Tally};
+use usage::{Counter, Ledger};
 
 plain! {
     /// Bounds that the operator promises to callers and that hold for all hosts.
@@ -184,7 +184,7 @@
     /// Repeats that are left.
     pub budgets: Budgets,
     /// Usage of this host.
-    pub tally: Tally,
+    pub usage: Counter,
     /// Usage of all hosts, as told.
     pub ledger: Ledger,
     /// Hosts that are alive, this one included.
@@ -208,7 +208,7 @@
             meter: Meter::default(),
             holders: Vec::new(),
             budgets: Budgets::default(),
-            tally: Tally::default(),
+            usage: Counter::default(),
             ledger: Ledger::default(),
             hosts: 1,
         }
@@ -450,7 +450,7 @@
     /// Takes what another host has on runners.
     pub fn hear(&mut self, now: Moment, me: Incarnation, packet: Packet) {
         if let Ok(record) = serde_json::from_slice(&packet.record) {
-            self.ledger.take(now, record);
+            self.ledger.receive(now, record);
         }
         for holder in &packet.holders {
             if let Some(key) = self.fleet.find_hash(holder.runner) {
--- a/crates/core/src/proxy/report.rs
+++ b/crates/core/src/proxy/report.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use super::tally::{Ledger, Window};
+use super::usage::{Ledger, Window};
 use crate::lease::Grant;
 use crate::seal::{Outcome, Writer};
 use crate::store::{Answer, Call, Entry};
@@ -143,7 +143,7 @@
             // A window in which nothing ran is reported as well: nobody can tell a missing
             // report from one of nothing. Before the first host there was nothing to run.
             let window = sum(now, ledger, number);
-            if !window.counts.is_empty() || ledger.since().is_some_and(|since| since < end_ms) {
+            if !window.counts.is_empty() || ledger.earliest_start_ms().is_some_and(|since| since < end_ms) {
                 let call = self.writer.write(now, key(number), window);
                 return call.map(Step::Store);
             }
@@ -225,7 +225,7 @@
 /// A host that is cut off for some seconds comes back with counts; sealed too
 /// early, the window would lack them for good.
 fn is_whole(now: Moment, ledger: &Ledger, end_ms: u64) -> bool {
-    let mut alive = ledger.all(now).filter(|(_, alive)| *alive);
+    let mut alive = ledger.runs(now).filter(|(_, alive)| *alive);
     alive.all(|(record, _)| record.until >= end_ms)
 }
 
@@ -235,7 +235,7 @@
         number,
         ..Window::default()
     };
-    let windows = ledger.all(now).flat_map(|(record, _)| &record.windows);
+    let windows = ledger.runs(now).flat_map(|(record, _)| &record.windows);
     for window in windows.filter(|window| window.number == number) {
         for (customer, count) in &window.counts {
             total.add(customer, *count);
--- a/crates/core/src/proxy/tally.rs
+++ b/crates/core/src/proxy/usage.rs
@@ -114,9 +114,9 @@
 impl Ledger {
     /// Takes a record in as its run has just told it, unless one that reaches further is
     /// known; the run lives.
-    pub fn take(&mut self, now: Moment, record: Record) {
+    pub fn receive(&mut self, now: Moment, record: Record) {
         let run = record.incarnation;
-        if self.read(now, record)
+        if self.load(now, record)
             && let Ok(at) = self.find(run)
         {
             self.rows[at].changed = now;
@@ -128,7 +128,7 @@
     ///
     /// A host that has just come into charge reads all of them for the first time. Taken for
     /// signs of life, the windows of the last seconds would wait for the dead.
-    pub fn read(&mut self, now: Moment, record: Record) -> bool {
+    pub fn load(&mut self, now: Moment, record: Record) -> bool {
         match self.find(record.incarnation) {
             Ok(at) => {
                 let have = &mut self.rows[at];
@@ -151,7 +151,7 @@
     }
 
     /// Takes a run's presence in; what it counted is not known by this.
-    pub fn show(&mut self, now: Moment, presence: Presence) {
+    pub fn add_presence(&mut self, now: Moment, presence: Presence) {
         if let Ok(at) = self.find(presence.incarnation) {
             self.rows[at].record.ended |= presence.ended;
             return;
@@ -163,7 +163,7 @@
             peer,
             ended,
         } = presence;
-        self.take(
+        self.receive(
             now,
             Record {
                 host,
@@ -178,7 +178,7 @@
     }
 
     /// A run has written its counts anew, in this version: it lives.
-    pub fn stir(&mut self, now: Moment, incarnation: Incarnation, version: u64) {
+    pub fn touch(&mut self, now: Moment, incarnation: Incarnation, version: u64) {
         if let Ok(at) = self.find(incarnation)
             && self.rows[at].version < version
         {
@@ -188,14 +188,14 @@
     }
 
     /// The store was away for `gap`: silence in that time means nothing.
-    pub fn excuse(&mut self, gap: Duration) {
+    pub fn extend_deadlines(&mut self, gap: Duration) {
         for row in &mut self.rows {
             row.changed = row.changed + gap;
         }
     }
 
     /// All records, each with whether its run lives.
-    pub fn all(&self, now: Moment) -> impl Iterator<Item = (&Record, bool)> {
+    pub fn runs(&self, now: Moment) -> impl Iterator<Item = (&Record, bool)> {
         let alive = move |row: &Row| {
             let record = &row.record;
             !record.ended && now.since(row.changed) < ALIVE && !self.is_replaced(record)
@@ -204,12 +204,12 @@
     }
 
     /// Civil time in milliseconds at the start of the first run that is known.
-    pub fn since(&self) -> Option<u64> {
+    pub fn earliest_start_ms(&self) -> Option<u64> {
         self.rows.iter().map(|row| row.record.began).min()
     }
 
     /// Takes out the runs that are long gone, and returns them.
-    pub fn forget(&mut self, now: Moment) -> Vec<Record> {
+    pub fn remove_expired(&mut self, now: Moment) -> Vec<Record> {
         let gone = |row: &mut Row| now.since(row.changed) >= GONE;
         self.rows.extract_if(.., gone).map(|row| row.record).collect()
     }
@@ -228,11 +228,11 @@
 
 /// Counts of this host.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct Counter {
     windows: Vec<Window>,
 }
 
-impl Tally {
+impl Counter {
     /// Counts a request that began to run.
     pub fn add(&mut self, window: u64, customer: &str) {
         self.window(window).add(customer, 1);
--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -16,7 +16,7 @@
 use radishstair_core::proxy::document::Document;
 use radishstair_core::proxy::mirror::Mirror;
 use radishstair_core::proxy::readers::Host;
-use radishstair_core::proxy::tally::Record;
+use radishstair_core::proxy::usage::Record;
 use radishstair_core::time::Moment;
 use tokio::sync::Notify;
 
@@ -247,7 +247,7 @@
             peer: settings.peer_listen.to_string(),
             until,
             ended,
-            windows: state.tally.windows().to_vec(),
+            windows: state.usage.windows().to_vec(),
         }
     }
 
@@ -261,6 +261,6 @@
         let window = self
             .clock_of_windows()
             .window_number(now, state.bounds.usage_window_s);
-        state.tally.add(window, customer);
+        state.usage.add(window, customer);
     }
 }
--- a/crates/entry/src/proxy/dialect.rs
+++ b/crates/entry/src/proxy/dialect.rs
@@ -17,7 +17,7 @@
 use radishstair_core::proxy::placement::Segment;
 use radishstair_core::proxy::route::Table;
 use radishstair_core::proxy::scaling::Order;
-use radishstair_core::proxy::tally::Window;
+use radishstair_core::proxy::usage::Window;
 use radishstair_core::store::{Answer, Call, Entry};
 
 /// What a caller's head says.
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -9,7 +9,7 @@
 use radishstair_core::lease::{Grant, Lease, Terms};
 use radishstair_core::proxy::report::{self, Reporter};
 use radishstair_core::proxy::scaling::Planner;
-use radishstair_core::proxy::tally::Window;
+use radishstair_core::proxy::usage::Window;
 use radishstair_core::store::Entry;
 use radishstair_core::time::Moment;
 use tokio::sync::{mpsc, oneshot};
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -12,7 +12,7 @@
 
 use radishstair_core::id::Incarnation;
 use radishstair_core::proxy::readers::Host;
-use radishstair_core::proxy::tally::{Presence, Record};
+use radishstair_core::proxy::usage::{Presence, Record};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
 
@@ -105,23 +105,23 @@
         let mut state = self.shared.state();
         let gap = self.read.map(|last| own.as_of.since(last));
         if let Some(gap) = gap.filter(|gap| *gap >= AWAY) {
-            state.ledger.excuse(gap);
+            state.ledger.extend_deadlines(gap);
         }
         self.read = Some(own.as_of);
         self.versions.clear();
         for entry in &own.entries {
             if entry.key.starts_with(HOSTS) {
                 if let Some(presence) = parse(entry) {
-                    state.ledger.show(now, presence);
+                    state.ledger.add_presence(now, presence);
                 }
             } else if let Some(run) = counted(&entry.key) {
-                state.ledger.stir(now, run, entry.version);
+                state.ledger.touch(now, run, entry.version);
             } else {
                 continue;
             }
             self.versions.push((entry.key.clone(), entry.version));
         }
-        let alive = state.ledger.all(now).filter(|(_, alive)| *alive);
+        let alive = state.ledger.runs(now).filter(|(_, alive)| *alive);
         let peers: Vec<SocketAddr> = alive.filter_map(|(record, _)| record.peer.parse().ok()).collect();
         state.hosts = (peers.len() as u32).max(1);
         drop(state);
@@ -191,7 +191,7 @@
                 .map(|entry| entry.key.clone());
             let now = self.shared.now();
             for record in entries.iter().filter_map(parse) {
-                self.shared.state().ledger.read(now, record);
+                self.shared.state().ledger.load(now, record);
             }
             let Some(last) = last else {
                 break;
@@ -204,7 +204,7 @@
     /// Removes the keys of runs that are long gone.
     pub async fn clean(&mut self) {
         let now = self.shared.now();
-        let gone = self.shared.state().ledger.forget(now);
+        let gone = self.shared.state().ledger.remove_expired(now);
         for record in gone {
             let run = run(&record.host, record.incarnation);
             for key in [format!("{HOSTS}{run}"), format!("{COUNTS}{run}")] {
--- a/tests/suite/proxy/schedule.rs
+++ b/tests/suite/proxy/schedule.rs
@@ -13,7 +13,7 @@
 use radishstair_core::lease::{Lease, Terms};
 use radishstair_core::proxy::mirror::{Changes, Mirror, Page};
 use radishstair_core::proxy::report::{Plan, Reporter, Step};
-use radishstair_core::proxy::tally::{Ledger, Record, Tally, Window};
+use radishstair_core::proxy::usage::{Counter, Ledger, Record, Window};
 use radishstair_core::proxy::{Admission, State};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
@@ -99,7 +99,7 @@
     frozen_until: u64,
     lease: Lease,
     reporter: Reporter,
-    tally: Tally,
+    tally: Counter,
     ledger: Ledger,
     state: State,
     own_version: u64,
@@ -125,7 +125,7 @@
             frozen_until: 0,
             lease: Lease::with(Incarnation(run), "duty".into(), terms),
             reporter: Reporter::default(),
-            tally: Tally::default(),
+            tally: Counter::default(),
             ledger: Ledger::default(),
             state: State::new(bounds(), "zone-a"),
             own_version: 0,
@@ -426,7 +426,7 @@
     host.reporter.adopt(&sealed);
     for entry in others {
         if let Ok(record) = serde_json::from_str(&entry.value) {
-            host.ledger.take(now, record);
+            host.ledger.receive(now, record);
         }
     }
 }
--- a/tests/suite/proxy/usage.rs
+++ b/tests/suite/proxy/usage.rs
@@ -5,7 +5,7 @@
 use radishstair_core::id::Incarnation;
 use radishstair_core::lease::Grant;
 use radishstair_core::proxy::report::{Plan, Reporter, Step};
-use radishstair_core::proxy::tally::{Ledger, Presence, Record, Window};
+use radishstair_core::proxy::usage::{Ledger, Presence, Record, Window};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
 
@@ -60,11 +60,11 @@
 #[test]
 fn a_window_waits_for_a_host_that_was_cut_off() {
     let mut ledger = Ledger::default();
-    ledger.take(at(5_200), record("a", 1, 0, 5_100, 10));
-    ledger.take(at(2_600), record("b", 2, 0, 2_500, 4));
+    ledger.receive(at(5_200), record("a", 1, 0, 5_100, 10));
+    ledger.receive(at(2_600), record("b", 2, 0, 2_500, 4));
     let mut reporter = Reporter::default();
     assert!(tick(&mut reporter, &ledger, 7_000).is_none());
-    ledger.take(at(9_000), record("b", 2, 0, 8_900, 6));
+    ledger.receive(at(9_000), record("b", 2, 0, 8_900, 6));
     let window = sealed(tick(&mut reporter, &ledger, 9_100)).expect("all have told");
     assert_eq!(window.counts, vec![("ana".to_string(), 16)]);
 }
@@ -74,8 +74,8 @@
 #[test]
 fn a_window_is_sealed_before_it_is_due() {
     let mut ledger = Ledger::default();
-    ledger.take(at(12_900), record("a", 1, 0, 12_800, 10));
-    ledger.take(at(12_000), record("b", 2, 0, 2_500, 4));
+    ledger.receive(at(12_900), record("a", 1, 0, 12_800, 10));
+    ledger.receive(at(12_000), record("b", 2, 0, 2_500, 4));
     let mut reporter = Reporter::default();
     assert!(tick(&mut reporter, &ledger, 12_900).is_none());
     assert!(sealed(tick(&mut reporter, &ledger, 13_200)).is_some());
@@ -91,7 +91,7 @@
         windows: Vec::new(),
         ..record("a", 1, 1_000, 5_100, 0)
     };
-    ledger.take(at(5_200), idle);
+    ledger.receive(at(5_200), idle);
     let mut reporter = Reporter::default();
     let window = sealed(tick(&mut reporter, &ledger, 6_300)).expect("all have told");
     assert_eq!((window.number, window.counts), (200, Vec::new()));
@@ -103,11 +103,11 @@
 #[test]
 fn an_outage_does_not_revive_the_dead() {
     let mut ledger = Ledger::default();
-    ledger.take(at(0), record("gone", 1, 0, 100, 1));
-    ledger.take(at(9_000), record("b", 2, 0, 8_900, 4));
-    ledger.excuse(Duration::from_millis(7_000));
-    ledger.take(at(16_100), record("b", 2, 0, 16_000, 4));
-    let alive = |ms| ledger.all(at(ms)).filter(|(_, alive)| *alive).count();
+    ledger.receive(at(0), record("gone", 1, 0, 100, 1));
+    ledger.receive(at(9_000), record("b", 2, 0, 8_900, 4));
+    ledger.extend_deadlines(Duration::from_millis(7_000));
+    ledger.receive(at(16_100), record("b", 2, 0, 16_000, 4));
+    let alive = |ms| ledger.runs(at(ms)).filter(|(_, alive)| *alive).count();
     assert_eq!(alive(16_200), 1);
 }
 
@@ -123,11 +123,11 @@
 #[test]
 fn a_window_waits_for_the_counts_of_a_host_that_is_there() {
     let mut ledger = Ledger::default();
-    ledger.take(at(5_200), record("a", 1, 0, 5_100, 10));
-    ledger.show(at(5_200), presence("b", 2, false));
+    ledger.receive(at(5_200), record("a", 1, 0, 5_100, 10));
+    ledger.add_presence(at(5_200), presence("b", 2, false));
     let mut reporter = Reporter::default();
     assert!(tick(&mut reporter, &ledger, 7_000).is_none());
-    ledger.take(at(7_100), record("b", 2, 0, 5_100, 6));
+    ledger.receive(at(7_100), record("b", 2, 0, 5_100, 6));
     let window = sealed(tick(&mut reporter, &ledger, 7_200)).expect("all have told");
     assert_eq!(window.counts, vec![("ana".to_string(), 16)]);
 }
@@ -146,7 +146,7 @@
         began: 0,
         ..record("a", 1, 0, 20_000, 0)
     };
-    ledger.take(at(14_000), host);
+    ledger.receive(at(14_000), host);
     let mut reporter = Reporter::default();
     let mut reported = Vec::new();
     for ms in [14_300, 14_600, 14_900, 15_200, 15_500, 15_800] {
@@ -169,9 +169,9 @@
 #[test]
 fn old_counts_do_not_revive_the_dead() {
     let mut ledger = Ledger::default();
-    ledger.show(at(7_000), presence("gone", 1, false));
-    ledger.read(at(11_400), record("gone", 1, 0, 1_400, 3));
-    let alive = |ms| ledger.all(at(ms)).filter(|(_, alive)| *alive).count();
+    ledger.add_presence(at(7_000), presence("gone", 1, false));
+    ledger.load(at(11_400), record("gone", 1, 0, 1_400, 3));
+    let alive = |ms| ledger.runs(at(ms)).filter(|(_, alive)| *alive).count();
     assert_eq!((alive(14_900), alive(15_100)), (1, 0));
 }
 
@@ -181,15 +181,15 @@
 #[test]
 fn counts_that_change_tell_that_a_run_lives() {
     let mut ledger = Ledger::default();
-    ledger.show(at(0), presence("a", 1, false));
-    let alive = |ledger: &Ledger, ms| ledger.all(at(ms)).filter(|(_, alive)| *alive).count();
-    ledger.stir(at(5_000), Incarnation(1), 12);
+    ledger.add_presence(at(0), presence("a", 1, false));
+    let alive = |ledger: &Ledger, ms| ledger.runs(at(ms)).filter(|(_, alive)| *alive).count();
+    ledger.touch(at(5_000), Incarnation(1), 12);
     assert_eq!(alive(&ledger, 12_000), 1);
-    ledger.stir(at(10_000), Incarnation(1), 12);
+    ledger.touch(at(10_000), Incarnation(1), 12);
     assert_eq!(alive(&ledger, 13_500), 0);
-    ledger.stir(at(14_000), Incarnation(1), 15);
+    ledger.touch(at(14_000), Incarnation(1), 15);
     assert_eq!(alive(&ledger, 15_000), 1);
-    ledger.show(at(15_000), presence("a", 1, true));
+    ledger.add_presence(at(15_000), presence("a", 1, true));
     assert_eq!(alive(&ledger, 15_100), 0);
 }
 
@@ -199,10 +199,10 @@
 #[test]
 fn runs_add_up_and_copies_do_not() {
     let mut ledger = Ledger::default();
-    ledger.take(at(6_000), record("a", 2, 3_000, 5_900, 5));
-    ledger.take(at(6_000), record("a", 1, 0, 2_900, 8));
-    ledger.take(at(6_100), record("a", 1, 0, 1_000, 3));
-    ledger.take(at(6_200), record("a", 2, 3_000, 6_100, 6));
+    ledger.receive(at(6_000), record("a", 2, 3_000, 5_900, 5));
+    ledger.receive(at(6_000), record("a", 1, 0, 2_900, 8));
+    ledger.receive(at(6_100), record("a", 1, 0, 1_000, 3));
+    ledger.receive(at(6_200), record("a", 2, 3_000, 6_100, 6));
     let window = sealed(tick(&mut Reporter::default(), &ledger, 6_300)).expect("all have told");
     assert_eq!(window.counts, vec![("ana".to_string(), 14)]);
 }
@@ -213,7 +213,7 @@
 #[test]
 fn what_stands_in_the_store_is_what_is_reported() {
     let mut ledger = Ledger::default();
-    ledger.take(at(6_000), record("a", 1, 0, 5_900, 5));
+    ledger.receive(at(6_000), record("a", 1, 0, 5_900, 5));
     let mut reporter = Reporter::default();
     assert!(sealed(tick(&mut reporter, &ledger, 6_300)).is_some());
     let read = reporter.answer(at(6_400), &Answer::Lost);
@@ -249,7 +249,7 @@
     let mut early = record("a", 1, 0, 7_400, 3);
     early.windows[0].number = number;
     let mut ledger = Ledger::default();
-    ledger.take(at(7_400), early);
+    ledger.receive(at(7_400), early);
     let mut reporter = Reporter::default();
     let step = reporter.tick(at(7_500), WINDOW + 7_500, plan, grant(at(7_500)), &ledger);
     assert_eq!(sealed(step).map(|window| window.number), Some(number));
