--- a/crates/core/src/proxy/report.rs
+++ b/crates/core/src/proxy/report.rs
@@ -15,7 +15,7 @@
 use crate::time::Moment;
 
 /// Store prefix of sealed windows.
-pub const SEALED: &str = "radishstair/sealed/";
+pub const SEALED_PREFIX: &str = "radishstair/sealed/";
 /// Wait after a window's end for the hosts to publish their counts of it.
 const GRACE_MS: u64 = 1_200;
 /// Kept back from the time by which a report is due: sealing, sending and one
@@ -59,7 +59,7 @@
 plain! {
     /// How windows are cut and when their reports are due.
     #[derive(Copy)]
-    pub struct Plan {
+    pub struct Schedule {
         /// Length of a window in seconds.
         pub length_s: u64,
         /// Seconds after its end by which the report must be there.
@@ -91,7 +91,7 @@
 
 impl Reporter {
     /// Takes the sealed windows that stand in the store.
-    pub fn adopt(&mut self, entries: &[Entry]) {
+    pub fn load_sealed(&mut self, entries: &[Entry]) {
         for entry in entries {
             if let Some(window) = parse(entry) {
                 self.keep(window, entry.version);
@@ -100,7 +100,7 @@
     }
 
     /// Not in charge: what is under way is forgotten, what was sealed or accepted is not.
-    pub fn rest(&mut self) {
+    pub fn stand_down(&mut self) {
         *self = Self {
             sealed: std::mem::take(&mut self.sealed),
             reported: std::mem::take(&mut self.reported),
@@ -113,7 +113,7 @@
         &mut self,
         now: Moment,
         civil_ms: u64,
-        plan: Plan,
+        plan: Schedule,
         grant: Grant,
         ledger: &Ledger,
     ) -> Option<Step> {
@@ -164,7 +164,7 @@
     }
 
     /// What came of the report.
-    pub fn reported(&mut self, now: Moment, accepted: bool) {
+    pub fn record_result(&mut self, now: Moment, accepted: bool) {
         let State::Reporting { number, .. } = std::mem::replace(&mut self.state, State::Idle) else {
             return;
         };
@@ -245,7 +245,7 @@
 }
 
 fn key(number: u64) -> String {
-    format!("{SEALED}{number:012}")
+    format!("{SEALED_PREFIX}{number:012}")
 }
 
 fn parse(entry: &Entry) -> Option<Window> {
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -83,7 +83,7 @@
         }
         self.records.publish().await;
         let Some(grant) = self.grant() else {
-            self.reporter.rest();
+            self.reporter.stand_down();
             self.planner = Planner::default();
             return;
         };
@@ -109,10 +109,10 @@
         let sealed: Vec<Entry> = own
             .entries
             .iter()
-            .filter(|entry| entry.key.starts_with(report::SEALED))
+            .filter(|entry| entry.key.starts_with(report::SEALED_PREFIX))
             .cloned()
             .collect();
-        self.reporter.adopt(&sealed);
+        self.reporter.load_sealed(&sealed);
         self.records.take(&own);
     }
 
@@ -158,7 +158,7 @@
         let civil = self.shared.civil(now);
         let mut step = {
             let state = self.shared.state();
-            let plan = report::Plan {
+            let plan = report::Schedule {
                 length_s: state.bounds.usage_window_s,
                 due_s: state.bounds.usage_due_s,
             };
@@ -172,7 +172,7 @@
                 }
                 report::Step::Report(grant, window) => {
                     let accepted = self.send_report(grant, &window).await;
-                    self.reporter.reported(self.shared.now(), accepted);
+                    self.reporter.record_result(self.shared.now(), accepted);
                     None
                 }
             };
--- a/tests/suite/proxy/schedule.rs
+++ b/tests/suite/proxy/schedule.rs
@@ -12,7 +12,7 @@
 use radishstair_core::id::Incarnation;
 use radishstair_core::lease::{Lease, Terms};
 use radishstair_core::proxy::mirror::{Changes, Mirror, Page};
-use radishstair_core::proxy::report::{Plan, Reporter, Step};
+use radishstair_core::proxy::report::{Reporter, Schedule, Step};
 use radishstair_core::proxy::usage::{Counter, Ledger, Record, Window};
 use radishstair_core::proxy::{Admission, State};
 use radishstair_core::store::{Answer, Call, Entry};
@@ -30,7 +30,7 @@
 const START: u64 = 1_000_000;
 /// Customer whose key is withdrawn.
 const KEY: &str = "key-a";
-const PLAN: Plan = Plan {
+const PLAN: Schedule = Schedule {
     length_s: 5,
     due_s: 10,
 };
@@ -325,7 +325,7 @@
         let host = &mut self.hosts[at_host];
         let now = at(ms);
         let Some(grant) = host.lease.grant(now) else {
-            host.reporter.rest();
+            host.reporter.stand_down();
             return;
         };
         let mut step = host.reporter.tick(now, ms, PLAN, grant, &host.ledger);
@@ -358,7 +358,8 @@
                     .or_insert(window.counts.clone());
                 assert_eq!(*have, window.counts, "two figures of window {}", window.number);
             }
-            host.reporter.reported(now, accepted && self.rng.random_bool(0.9));
+            host.reporter
+                .record_result(now, accepted && self.rng.random_bool(0.9));
         }
         if let Some((_, admission)) = host.waiting.take_if(|(due, _)| *due <= ms) {
             let looked = match self.fault {
@@ -423,7 +424,7 @@
     let (sealed, others): (Vec<Entry>, Vec<Entry>) = entries
         .into_iter()
         .partition(|entry| entry.key.contains("sealed"));
-    host.reporter.adopt(&sealed);
+    host.reporter.load_sealed(&sealed);
     for entry in others {
         if let Ok(record) = serde_json::from_str(&entry.value) {
             host.ledger.receive(now, record);
--- a/tests/suite/proxy/usage.rs
+++ b/tests/suite/proxy/usage.rs
@@ -4,12 +4,12 @@
 
 use radishstair_core::id::Incarnation;
 use radishstair_core::lease::Grant;
-use radishstair_core::proxy::report::{Plan, Reporter, Step};
+use radishstair_core::proxy::report::{Reporter, Schedule, Step};
 use radishstair_core::proxy::usage::{Ledger, Presence, Record, Window};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
 
-const PLAN: Plan = Plan {
+const PLAN: Schedule = Schedule {
     length_s: 5,
     due_s: 10,
 };
@@ -155,10 +155,10 @@
         };
         reporter.answer(at(ms), &Answer::Written(1));
         assert!(matches!(tick(&mut reporter, &ledger, ms), Some(Step::Report(..))));
-        reporter.reported(at(ms), true);
+        reporter.record_result(at(ms), true);
         reported.push(window.number);
         // Losing the duty does not make it say again what was accepted.
-        reporter.rest();
+        reporter.stand_down();
     }
     assert_eq!(reported[..4], [200, 201, 198, 199]);
 }
@@ -241,7 +241,7 @@
 /// windows to get the duty; all whose report is not yet due are still reported.
 #[test]
 fn short_windows_are_not_left_behind() {
-    let plan = Plan {
+    let plan = Schedule {
         length_s: 1,
         due_s: 10,
     };
