--- a/crates/core/src/proxy/fleet.rs
+++ b/crates/core/src/proxy/fleet.rs
@@ -11,7 +11,7 @@
 
 mod runner;
 
-pub use runner::{Idle, Listed, Load, Runner, Sign, Silence, Stage};
+pub use runner::{Attempt, Idle, Listed, Liveness, Load, Runner, Stage};
 
 key! {
     /// A runner in the fleet.
@@ -298,7 +298,7 @@
     }
 
     /// A runner has answered something, or taken a connection.
-    pub fn hear(&mut self, now: Moment, key: Key) {
+    pub fn record_contact(&mut self, now: Moment, key: Key) {
         if let Some(runner) = self.get_mut(key) {
             runner.heard = now;
         }
@@ -309,19 +309,19 @@
     /// A cut path gives no sign, and looks like a runner that takes its time. Many requests
     /// may wait for one runner; one of them asks, so that a runner with a long queue does
     /// not have to take a connection for each, and all learn what came of it.
-    pub fn silence(&mut self, now: Moment, key: Key, sent: Moment) -> Silence {
+    pub fn liveness(&mut self, now: Moment, key: Key, sent: Moment) -> Liveness {
         let Some(runner) = self.get_mut(key) else {
-            return Silence::Cut;
+            return Liveness::PathLost;
         };
         if runner.lost.is_some_and(|lost| lost.reached(sent)) {
-            return Silence::Cut;
+            return Liveness::PathLost;
         }
         let quiet = now.since(runner.heard).min(now.since(sent));
         if quiet < DOUBT {
-            return Silence::Short(DOUBT - quiet);
+            return Liveness::Recent(DOUBT - quiet);
         }
         runner.heard = now;
-        Silence::Long
+        Liveness::Silent
     }
 
     /// Replaces what other hosts have on each runner, by the hash of its id.
@@ -335,28 +335,28 @@
     ///
     /// The list lags by seconds behind a crash. Without the rest each request
     /// would try the dead runner anew.
-    pub fn sign(&mut self, now: Moment, key: Key, sign: Sign) {
+    pub fn record_attempt(&mut self, now: Moment, key: Key, sign: Attempt) {
         let Some(runner) = self.get_mut(key) else {
             return;
         };
         let zone = runner.listed.zone.clone();
         match sign {
-            Sign::Sound | Sign::Failed => {
+            Attempt::Succeeded | Attempt::Failed => {
                 runner.failures = 0;
-                runner.judge(sign == Sign::Failed);
+                runner.judge(sign == Attempt::Failed);
                 self.cut.retain(|(have, _)| *have != zone);
             }
-            Sign::Full => runner.rest = now + FULL_REST,
-            Sign::Replaced => runner.replaced = true,
-            Sign::Unreachable | Sign::Cut => {
-                if sign == Sign::Cut {
+            Attempt::Full => runner.rest = now + FULL_REST,
+            Attempt::Replaced => runner.replaced = true,
+            Attempt::Unreachable | Attempt::PathLost => {
+                if sign == Attempt::PathLost {
                     runner.lost = Some(now);
                 }
                 runner.rest = now + (REST * 2u32.saturating_pow(runner.failures)).min(REST_MOST);
                 runner.failures = (runner.failures + 1).min(5);
                 self.suspect(now, &zone);
             }
-            Sign::Broken => {
+            Attempt::Broken => {
                 runner.judge(true);
                 // One broken answer in fifty is usual on some days; only a
                 // series tells of the runner.
--- a/crates/core/src/proxy/fleet/runner.rs
+++ b/crates/core/src/proxy/fleet/runner.rs
@@ -50,9 +50,9 @@
 plain! {
     /// How an attempt at a runner ended, as far as its health is concerned.
     #[derive(Copy, Eq)]
-    pub enum Sign {
+    pub enum Attempt {
         /// It answered.
-        Sound,
+        Succeeded,
         /// It answered with a failure of its own.
         Failed,
         /// It said that it was full.
@@ -60,7 +60,7 @@
         /// No connection to it came about.
         Unreachable,
         /// It fell silent, and the path to it is cut.
-        Cut,
+        PathLost,
         /// It broke off, or its answer was not one.
         Broken,
         /// Another instance answered at its address.
@@ -71,13 +71,13 @@
 plain! {
     /// What a request that waits for its answer makes of its runner's silence.
     #[derive(Copy, Eq)]
-    pub enum Silence {
+    pub enum Liveness {
         /// The runner said something lately; look again after this time.
-        Short(Duration),
+        Recent(Duration),
         /// Nothing came for long: ask whether it can be reached.
-        Long,
+        Silent,
         /// It could not be reached since the request was sent.
-        Cut,
+        PathLost,
     }
 }
 
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -16,7 +16,7 @@
 use hyper::http::response;
 use hyper::{Request, StatusCode};
 use radishstair_core::error::{Kind, Refusal};
-use radishstair_core::proxy::fleet::{Key, Sign, Silence};
+use radishstair_core::proxy::fleet::{Attempt, Key, Liveness};
 use radishstair_core::repeat::Fault;
 use radishstair_core::time::Moment;
 use tokio::time::timeout;
@@ -168,7 +168,7 @@
                 Err(Halt::Failed(Fault::Unreachable))
             }
             Ok(Err(Failure::Broken)) => {
-                slot.sign(Sign::Broken);
+                slot.sign(Attempt::Broken);
                 tracing::info!(
                     event = "runner-broke-off",
                     request = job.head.id,
@@ -177,7 +177,7 @@
                 Err(Halt::Failed(Fault::Broken))
             }
             Err(_) => {
-                slot.sign(Sign::Broken);
+                slot.sign(Attempt::Broken);
                 tries.runs.run_out();
                 Err(Halt::Over(self.over(job, tries)))
             }
@@ -193,16 +193,16 @@
         let sent = self.shared.now();
         loop {
             let now = self.shared.now();
-            let silence = self.shared.state().fleet.silence(now, slot.key, sent);
+            let silence = self.shared.state().fleet.liveness(now, slot.key, sent);
             match silence {
-                Silence::Short(rest) => tokio::time::sleep(rest).await,
-                Silence::Long if self.answers(slot).await => {}
-                Silence::Long => {
-                    slot.sign(Sign::Cut);
+                Liveness::Recent(rest) => tokio::time::sleep(rest).await,
+                Liveness::Silent if self.answers(slot).await => {}
+                Liveness::Silent => {
+                    slot.sign(Attempt::PathLost);
                     self.pool.forget(slot.address);
                     break;
                 }
-                Silence::Cut => break,
+                Liveness::PathLost => break,
             }
         }
         tracing::info!(event = "path-lost", request = job.head.id, runner = slot.id);
@@ -229,7 +229,7 @@
         let taken = self.pool.take(now, slot.address, job.once(), limit).await;
         taken.map_err(|err| {
             tracing::info!(event = "runner-unreachable", request = job.head.id, runner = slot.id, reason = %format!("{err:#}"));
-            slot.sign(Sign::Unreachable);
+            slot.sign(Attempt::Unreachable);
             Halt::Failed(Fault::Unreachable)
         })
     }
@@ -255,14 +255,14 @@
     /// Sorts an answer by its head.
     async fn judge(&self, job: &Job, slot: Slot, exchange: Exchange) -> Result<Opened, Halt> {
         let now = self.shared.now();
-        self.shared.state().fleet.hear(now, slot.key);
+        self.shared.state().fleet.record_contact(now, slot.key);
         let (response, kept) = exchange.split();
         let (parts, body) = response.into_parts();
         let mark = self.shared.dialect.mark(&parts);
         if mark.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
             let sign = match parts.status {
-                StatusCode::MISDIRECTED_REQUEST => Sign::Replaced,
-                _ => Sign::Full,
+                StatusCode::MISDIRECTED_REQUEST => Attempt::Replaced,
+                _ => Attempt::Full,
             };
             slot.sign(sign);
             tracing::info!(
@@ -278,7 +278,7 @@
             return Err(Halt::Failed(Fault::NotRun));
         }
         if !is_own(job, &parts, &mark) {
-            slot.sign(Sign::Broken);
+            slot.sign(Attempt::Broken);
             tracing::warn!(
                 event = "answer-not-own",
                 request = job.head.id,
@@ -310,7 +310,7 @@
         let whole = Limited::new(body, ANSWER_BYTES).collect();
         let left = job.left(self.shared.now()).unwrap_or(Duration::from_secs(3_600));
         let Ok(Ok(body)) = timeout(left, whole).await else {
-            slot.sign(Sign::Broken);
+            slot.sign(Attempt::Broken);
             tracing::info!(
                 event = "answer-not-whole",
                 request = job.head.id,
@@ -319,8 +319,8 @@
             return None;
         };
         slot.sign(match parts.status.is_server_error() {
-            true => Sign::Failed,
-            false => Sign::Sound,
+            true => Attempt::Failed,
+            false => Attempt::Succeeded,
         });
         self.give(&slot, kept);
         Some((parts, body.to_bytes()))
--- a/crates/entry/src/proxy/slot.rs
+++ b/crates/entry/src/proxy/slot.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use radishstair_core::proxy::fleet::{Key, Sign};
+use radishstair_core::proxy::fleet::{Attempt, Key};
 use radishstair_core::proxy::latency::Conditions;
 use radishstair_core::time::Moment;
 
@@ -53,9 +53,9 @@
     }
 
     /// Tells of the runner's health.
-    pub fn sign(&self, sign: Sign) {
+    pub fn sign(&self, sign: Attempt) {
         let now = self.shared.now();
-        self.shared.state().fleet.sign(now, self.key, sign);
+        self.shared.state().fleet.record_attempt(now, self.key, sign);
     }
 }
 
--- a/crates/entry/src/proxy/stream/run.rs
+++ b/crates/entry/src/proxy/stream/run.rs
@@ -4,7 +4,7 @@
 
 use http_body_util::BodyExt;
 use hyper::header::CONTENT_LENGTH;
-use radishstair_core::proxy::fleet::Sign;
+use radishstair_core::proxy::fleet::Attempt;
 use radishstair_core::time::Moment;
 use tokio::time::timeout;
 
@@ -153,7 +153,7 @@
     ///
     /// Dropping it closes its connection, so that two runners never work on one stream.
     pub fn abandon(self, job: &Job) -> Option<u64> {
-        self.opened.slot.sign(Sign::Broken);
+        self.opened.slot.sign(Attempt::Broken);
         tracing::info!(
             event = "stream-broken",
             request = job.head.id,
@@ -166,7 +166,7 @@
     /// Ends a run that came to its end; its connection serves on.
     pub fn finish(self, forwarder: &Forwarder) {
         let Opened { slot, kept, .. } = self.opened;
-        slot.sign(Sign::Sound);
+        slot.sign(Attempt::Succeeded);
         if self.framed {
             forwarder.give(&slot, kept);
         }
--- a/tests/suite/proxy/fleet.rs
+++ b/tests/suite/proxy/fleet.rs
@@ -1,6 +1,6 @@
 //! Runners that come and go, as one host believes.
 
-use radishstair_core::proxy::fleet::{Fleet, Idle, Sign, Silence, Stage};
+use radishstair_core::proxy::fleet::{Attempt, Fleet, Idle, Liveness, Stage};
 use radishstair_core::time::Moment;
 
 use super::build::runner;
@@ -79,13 +79,13 @@
     let mut fleet = Fleet::new("zone-a");
     fleet.list(at(0), listed(&["a"]));
     let a = fleet.find("a").expect("it is known");
-    fleet.sign(at(10), a, Sign::Unreachable);
+    fleet.record_attempt(at(10), a, Attempt::Unreachable);
     assert!(open(&fleet, 100).is_empty());
     assert_eq!(open(&fleet, 500), ["a"]);
-    fleet.sign(at(500), a, Sign::Unreachable);
+    fleet.record_attempt(at(500), a, Attempt::Unreachable);
     assert!(open(&fleet, 1_200).is_empty());
-    fleet.sign(at(1_400), a, Sign::Sound);
-    fleet.sign(at(1_500), a, Sign::Unreachable);
+    fleet.record_attempt(at(1_400), a, Attempt::Succeeded);
+    fleet.record_attempt(at(1_500), a, Attempt::Unreachable);
     assert_eq!(open(&fleet, 2_000), ["a"]);
 }
 
@@ -97,7 +97,7 @@
     let mut fleet = Fleet::new("zone-a");
     fleet.list(at(0), listed(&["a"]));
     let a = fleet.find("a").expect("it is known");
-    fleet.sign(at(10), a, Sign::Replaced);
+    fleet.record_attempt(at(10), a, Attempt::Replaced);
     fleet.list(at(1_000), listed(&["a"]));
     assert!(open(&fleet, 9_000).is_empty());
     let mut again = listed(&["a"]);
@@ -133,13 +133,13 @@
     items.extend(["b1", "b2", "b3"].map(|id| runner(id, "engines", "zone-b")));
     fleet.list(at(0), items);
     let key = |fleet: &Fleet, id: &str| fleet.find(id).expect("it is known");
-    fleet.sign(at(10), key(&fleet, "b1"), Sign::Unreachable);
+    fleet.record_attempt(at(10), key(&fleet, "b1"), Attempt::Unreachable);
     assert_eq!(open(&fleet, 20), ["a", "b2", "b3"]);
-    fleet.sign(at(30), key(&fleet, "b2"), Sign::Unreachable);
+    fleet.record_attempt(at(30), key(&fleet, "b2"), Attempt::Unreachable);
     assert_eq!(open(&fleet, 40), ["a"]);
-    fleet.sign(at(50), key(&fleet, "a"), Sign::Unreachable);
+    fleet.record_attempt(at(50), key(&fleet, "a"), Attempt::Unreachable);
     assert_eq!(open(&fleet, 60), ["b3"], "better than none");
-    fleet.sign(at(70), key(&fleet, "b3"), Sign::Sound);
+    fleet.record_attempt(at(70), key(&fleet, "b3"), Attempt::Succeeded);
     assert_eq!(open(&fleet, 500), ["a", "b1", "b2", "b3"], "it is reached again");
 }
 
@@ -151,15 +151,15 @@
     let mut fleet = Fleet::new("zone-a");
     fleet.list(at(0), listed(&["a"]));
     let key = fleet.find("a").expect("listed");
-    let rest = |ms| Silence::Short(Duration::from_millis(ms));
-    assert_eq!(fleet.silence(at(0), key, at(0)), rest(800));
-    fleet.hear(at(500), key);
-    assert_eq!(fleet.silence(at(800), key, at(0)), rest(500));
-    assert_eq!(fleet.silence(at(1_300), key, at(0)), Silence::Long);
+    let rest = |ms| Liveness::Recent(Duration::from_millis(ms));
+    assert_eq!(fleet.liveness(at(0), key, at(0)), rest(800));
+    fleet.record_contact(at(500), key);
+    assert_eq!(fleet.liveness(at(800), key, at(0)), rest(500));
+    assert_eq!(fleet.liveness(at(1_300), key, at(0)), Liveness::Silent);
     for _ in 0..50 {
-        assert_eq!(fleet.silence(at(1_301), key, at(0)), rest(799));
+        assert_eq!(fleet.liveness(at(1_301), key, at(0)), rest(799));
     }
-    assert_eq!(fleet.silence(at(2_100), key, at(0)), Silence::Long);
+    assert_eq!(fleet.liveness(at(2_100), key, at(0)), Liveness::Silent);
 }
 
 /// Requests wait for their runner behind a cut until the route's time-out. Once one of
@@ -170,13 +170,13 @@
     let mut fleet = Fleet::new("zone-a");
     fleet.list(at(0), listed(&["a"]));
     let key = fleet.find("a").expect("listed");
-    fleet.sign(at(100), key, Sign::Unreachable);
-    assert!(matches!(fleet.silence(at(200), key, at(0)), Silence::Short(_)));
-    fleet.sign(at(1_200), key, Sign::Cut);
-    assert_eq!(fleet.silence(at(1_300), key, at(0)), Silence::Cut);
+    fleet.record_attempt(at(100), key, Attempt::Unreachable);
+    assert!(matches!(fleet.liveness(at(200), key, at(0)), Liveness::Recent(_)));
+    fleet.record_attempt(at(1_200), key, Attempt::PathLost);
+    assert_eq!(fleet.liveness(at(1_300), key, at(0)), Liveness::PathLost);
     assert!(matches!(
-        fleet.silence(at(1_400), key, at(1_300)),
-        Silence::Short(_)
+        fleet.liveness(at(1_400), key, at(1_300)),
+        Liveness::Recent(_)
     ));
 }
 
--- a/tests/suite/proxy/place.rs
+++ b/tests/suite/proxy/place.rs
@@ -2,7 +2,7 @@
 
 use radishstair_core::id::Incarnation;
 use radishstair_core::proxy::State;
-use radishstair_core::proxy::fleet::{Fleet, Key, Listed, Load, Runner, Sign};
+use radishstair_core::proxy::fleet::{Attempt, Fleet, Key, Listed, Load, Runner};
 use radishstair_core::proxy::gossip::{self, Meter, Peers};
 use radishstair_core::proxy::latency::Latency;
 use radishstair_core::proxy::partition::{self, Partition};
@@ -360,14 +360,22 @@
         grey += u32::from(at_grey);
         if at_grey && draws.random_bool(0.4) {
             fleet.end(choice.key, choice.prefill_us, demand.kv_tokens());
-            fleet.sign(at(1), choice.key, if judges { Sign::Failed } else { Sign::Sound });
+            fleet.record_attempt(
+                at(1),
+                choice.key,
+                if judges {
+                    Attempt::Failed
+                } else {
+                    Attempt::Succeeded
+                },
+            );
         } else {
             running.push_back((choice, demand));
         }
         if running.len() > 12 {
             let (choice, demand) = running.pop_front().expect("there are some");
             fleet.end(choice.key, choice.prefill_us, demand.kv_tokens());
-            fleet.sign(at(1), choice.key, Sign::Sound);
+            fleet.record_attempt(at(1), choice.key, Attempt::Succeeded);
         }
     }
     grey
