--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -396,8 +396,8 @@
         };
         let service = runner.listed.service.clone();
         let latency = self.latencies.of(&service);
-        runner.compare(took, latency.predict(conditions));
-        let lag = runner.lag;
+        runner.record_slowdown(took, latency.predict(conditions));
+        let lag = runner.slowdown;
         if lag < STRAGGLER * self.fleet.usual_lag(&service) {
             latency.observe_first_event(conditions, took);
         }
@@ -408,9 +408,9 @@
         let Some(runner) = self.fleet.get(key) else {
             return;
         };
-        let reading = runner.reads(self.partition(&runner.listed.service).long_prompt);
+        let reading = runner.is_prefilling(self.partition(&runner.listed.service).long_prompt);
         let latency = self.latencies.of(&runner.listed.service);
-        latency.observe_event_gap(pause, runner.load(), reading);
+        latency.observe_event_gap(pause, runner.running(), reading);
     }
 
     /// A request that read a prompt has left its runner after `stay`.
--- a/crates/core/src/proxy/fleet.rs
+++ b/crates/core/src/proxy/fleet.rs
@@ -112,7 +112,7 @@
         };
         let key = self.ids[at].1;
         let runner = &mut self.arena[key.index()];
-        let same = runner.listed.address == item.address && runner.listed.born == item.born;
+        let same = runner.listed.address == item.address && runner.listed.started_ms == item.started_ms;
         let former = runner.listed.address;
         runner.present = true;
         runner.listed = item;
@@ -122,8 +122,8 @@
         runner.replaced = false;
         runner.rest = Moment::default();
         runner.failures = 0;
-        runner.failing = 0.0;
-        runner.lag = 1.0;
+        runner.failure_rate = 0.0;
+        runner.slowdown = 1.0;
         runner.since = sent;
         vec![former, runner.listed.address]
     }
@@ -137,11 +137,11 @@
         self.arena.push(Runner {
             listed,
             hash,
-            own: Load::default(),
-            others: Load::default(),
-            failing: 0.0,
-            lag: 1.0,
-            long: false,
+            local_load: Load::default(),
+            peer_load: Load::default(),
+            failure_rate: 0.0,
+            slowdown: 1.0,
+            for_long_prompts: false,
             idle: None,
             present: true,
             replaced: false,
@@ -181,7 +181,7 @@
 
     /// Runners of a service that take new work.
     pub fn open<'a>(&'a self, now: Moment, service: &'a str) -> impl Iterator<Item = (Key, &'a Runner)> {
-        let own = move |runner: &Runner| runner.listed.service == service && runner.is_open(now);
+        let own = move |runner: &Runner| runner.listed.service == service && runner.is_available(now);
         let near = move |runner: &Runner| !self.is_cut(now, &runner.listed.zone);
         // A zone that seems cut off is better than none.
         let any = self.arena.iter().any(|runner| own(runner) && near(runner));
@@ -192,7 +192,7 @@
     /// Whether a runner still keeps what it first read at `since`.
     pub fn keeps(&self, now: Moment, key: Key, since: Moment) -> bool {
         let runner = self.get(key);
-        runner.is_some_and(|runner| runner.is_open(now) && runner.since <= since)
+        runner.is_some_and(|runner| runner.is_available(now) && runner.since <= since)
     }
 
     /// The same, to change what is believed of it.
@@ -211,7 +211,7 @@
             .arena
             .iter()
             .filter(|runner| runner.is_listed() && runner.listed.service == service);
-        let mut lags: Vec<f64> = own.map(|runner| runner.lag).collect();
+        let mut lags: Vec<f64> = own.map(|runner| runner.slowdown).collect();
         if lags.is_empty() {
             return 1.0;
         }
@@ -275,25 +275,25 @@
     /// A request goes to a runner: `work` microseconds to read, `held` tokens in its memory.
     pub fn begin(&mut self, key: Key, work: u64, held: u64) {
         if let Some(runner) = self.get_mut(key) {
-            runner.own.running += 1;
-            runner.own.work += work;
-            runner.own.held += held;
+            runner.local_load.running += 1;
+            runner.local_load.prefill_us += work;
+            runner.local_load.kv_tokens += held;
         }
     }
 
     /// The runner has read the prompt: the first token came.
     pub fn read(&mut self, key: Key, work: u64) {
         if let Some(runner) = self.get_mut(key) {
-            runner.own.work = runner.own.work.saturating_sub(work);
+            runner.local_load.prefill_us = runner.local_load.prefill_us.saturating_sub(work);
         }
     }
 
     /// The request is over; `work` was not yet read.
     pub fn end(&mut self, key: Key, work: u64, held: u64) {
         if let Some(runner) = self.get_mut(key) {
-            runner.own.running = runner.own.running.saturating_sub(1);
-            runner.own.work = runner.own.work.saturating_sub(work);
-            runner.own.held = runner.own.held.saturating_sub(held);
+            runner.local_load.running = runner.local_load.running.saturating_sub(1);
+            runner.local_load.prefill_us = runner.local_load.prefill_us.saturating_sub(work);
+            runner.local_load.kv_tokens = runner.local_load.kv_tokens.saturating_sub(held);
         }
     }
 
@@ -327,7 +327,7 @@
     /// Replaces what other hosts have on each runner, by the hash of its id.
     pub fn others(&mut self, of: impl Fn(u64) -> Load) {
         for runner in &mut self.arena {
-            runner.others = of(runner.hash);
+            runner.peer_load = of(runner.hash);
         }
     }
 
@@ -343,7 +343,7 @@
         match sign {
             Attempt::Succeeded | Attempt::Failed => {
                 runner.failures = 0;
-                runner.judge(sign == Attempt::Failed);
+                runner.record_result(sign == Attempt::Failed);
                 self.cut.retain(|(have, _)| *have != zone);
             }
             Attempt::Full => runner.rest = now + FULL_REST,
@@ -357,7 +357,7 @@
                 self.suspect(now, &zone);
             }
             Attempt::Broken => {
-                runner.judge(true);
+                runner.record_result(true);
                 // One broken answer in fifty is usual on some days; only a
                 // series tells of the runner.
                 runner.failures = (runner.failures + 1).min(5);
--- a/crates/core/src/proxy/fleet/runner.rs
+++ b/crates/core/src/proxy/fleet/runner.rs
@@ -43,7 +43,7 @@
         /// Whether it is cheap and can be taken away.
         pub reclaimable: bool,
         /// Start in milliseconds since the Unix epoch; 0 if not told.
-        pub born: u64,
+        pub started_ms: u64,
     }
 }
 
@@ -88,7 +88,7 @@
         /// Since when.
         pub since: Moment,
         /// How long the runner keeps it.
-        pub kept: Duration,
+        pub keep_alive: Duration,
     }
 }
 
@@ -103,9 +103,9 @@
 impl Idle {
     /// Whether a request may be sent on it; `once` if it may run only once.
     pub fn is_usable(&self, now: Moment, once: bool) -> bool {
-        let safe = self.kept.saturating_sub(MARGIN);
+        let safe = self.keep_alive.saturating_sub(MARGIN);
         let limit = match once {
-            true => safe.min(self.kept / ONCE_PART),
+            true => safe.min(self.keep_alive / ONCE_PART),
             false => safe,
         };
         now.since(self.since) < limit
@@ -119,9 +119,9 @@
         /// Requests that run or wait there.
         pub running: u32,
         /// Time that it has yet to read, in microseconds.
-        pub work: u64,
+        pub prefill_us: u64,
         /// Tokens that its requests hold in memory at their end.
-        pub held: u64,
+        pub kv_tokens: u64,
     }
 }
 
@@ -133,16 +133,16 @@
         /// Hash of its id, by which hosts name it to each other.
         pub hash: u64,
         /// What this host has on it.
-        pub own: Load,
+        pub local_load: Load,
         /// What other hosts have on it, as they last said.
-        pub others: Load,
+        pub peer_load: Load,
         /// Part of its last answers to this host that were failures, newest first in
         /// weight.
-        pub failing: f64,
+        pub failure_rate: f64,
         /// How much longer than others of its service it takes; 1 for as long.
-        pub lag: f64,
+        pub slowdown: f64,
         /// Kept for long prompts, so that these do not delay short streams.
-        pub long: bool,
+        pub for_long_prompts: bool,
         /// Idle connection that was used last, and how long the runner keeps it.
         pub idle: Option<Idle>,
         pub(super) present: bool,
@@ -160,7 +160,7 @@
 
 impl Runner {
     /// Whether new work may go there.
-    pub fn is_open(&self, now: Moment) -> bool {
+    pub fn is_available(&self, now: Moment) -> bool {
         self.is_listed() && now.reached(self.rest)
     }
 
@@ -174,36 +174,36 @@
         self.present && self.listed.stage == Stage::Draining
     }
 
-    pub(super) fn judge(&mut self, failed: bool) {
-        self.failing += NEWEST * (f64::from(u8::from(failed)) - self.failing);
+    pub(super) fn record_result(&mut self, failed: bool) {
+        self.failure_rate += NEWEST * (f64::from(u8::from(failed)) - self.failure_rate);
     }
 
     /// Requests on it, as far as this host knows.
-    pub fn load(&self) -> u32 {
-        self.own.running + self.others.running
+    pub fn running(&self) -> u32 {
+        self.local_load.running + self.peer_load.running
     }
 
     /// Time that it has yet to read, as far as this host knows, at the usual pace.
     pub fn backlog(&self) -> Duration {
-        Duration::from_micros(self.own.work + self.others.work)
+        Duration::from_micros(self.local_load.prefill_us + self.peer_load.prefill_us)
     }
 
     /// Whether it has yet to read that much for this host.
-    pub fn reads(&self, least: Duration) -> bool {
-        Duration::from_micros(self.own.work) >= least
+    pub fn is_prefilling(&self, least: Duration) -> bool {
+        Duration::from_micros(self.local_load.prefill_us) >= least
     }
 
     /// Takes in how long it took for something, and how long is usual.
     ///
     /// A slow engine says that it is well, and its queue looks as short as the others'.
-    pub fn compare(&mut self, took: Duration, usual: Duration) {
+    pub fn record_slowdown(&mut self, took: Duration, usual: Duration) {
         let ratio = ms(took) / ms(usual).max(1.0);
-        self.lag += LAG_NEWEST * (ratio.clamp(LAG_LEAST, LAG_MOST) - self.lag);
+        self.slowdown += LAG_NEWEST * (ratio.clamp(LAG_LEAST, LAG_MOST) - self.slowdown);
     }
 
     /// Tokens in its memory when all that runs there has ended, as far as this
     /// host knows.
-    pub fn held(&self) -> u64 {
-        self.own.held + self.others.held
+    pub fn kv_tokens(&self) -> u64 {
+        self.local_load.kv_tokens + self.peer_load.kv_tokens
     }
 }
--- a/crates/core/src/proxy/gossip.rs
+++ b/crates/core/src/proxy/gossip.rs
@@ -39,10 +39,10 @@
     pub running: u32,
     /// Time that it has yet to read, in microseconds.
     #[prost(uint64, tag = "5")]
-    pub work: u64,
+    pub prefill_us: u64,
     /// Tokens that its requests hold in memory at their end.
     #[prost(uint64, tag = "4")]
-    pub held: u64,
+    pub kv_tokens: u64,
 }
 
 /// Work that one host sends to a service.
@@ -211,8 +211,8 @@
             let own = loads[from..].iter().take_while(|load| load.runner == hash);
             own.fold(fleet::Load::default(), |sum, load| fleet::Load {
                 running: sum.running + load.running,
-                work: sum.work + load.work,
-                held: sum.held + load.held,
+                prefill_us: sum.prefill_us + load.prefill_us,
+                kv_tokens: sum.kv_tokens + load.kv_tokens,
             })
         });
     }
@@ -222,12 +222,12 @@
 pub fn packet(me: Incarnation, number: u64, fleet: &Fleet, flows: Vec<Flow>) -> Packet {
     let loads = fleet
         .all()
-        .filter(|(_, runner)| runner.own.running > 0)
+        .filter(|(_, runner)| runner.local_load.running > 0)
         .map(|(_, runner)| Load {
             runner: runner.hash,
-            running: runner.own.running,
-            work: runner.own.work,
-            held: runner.own.held,
+            running: runner.local_load.running,
+            prefill_us: runner.local_load.prefill_us,
+            kv_tokens: runner.local_load.kv_tokens,
         });
     Packet {
         incarnation: me.0,
--- a/crates/core/src/proxy/partition.rs
+++ b/crates/core/src/proxy/partition.rs
@@ -98,7 +98,7 @@
         // The last one of a zone serves both.
         let long = ((size as f64 * partition.long_share).round() as usize).min(size - 1);
         for (rank, at) in here.iter().enumerate() {
-            runners[*at].long = rank < long;
+            runners[*at].for_long_prompts = rank < long;
         }
         rest = tail;
     }
--- a/crates/core/src/proxy/placement.rs
+++ b/crates/core/src/proxy/placement.rs
@@ -197,9 +197,9 @@
         let shares = COPY * (readable - kept) as f64 + REREAD * anew as f64;
         let cost = shares / 1e3 * known.latency.prefill_ms_per_1k()
             // Relative to the others, so that it does not count twice what the latency knows.
-            + waiting(known, runner, work) * runner.lag / usual_lag
-            + partition::crossing_cost_ms(known.partition, is_long, runner.long, f64::from(runner.load()))
-            + FAILURE * runner.failing
+            + waiting(known, runner, work) * runner.slowdown / usual_lag
+            + partition::crossing_cost_ms(known.partition, is_long, runner.for_long_prompts, f64::from(runner.running()))
+            + FAILURE * runner.failure_rate
             + connecting(now, runner, demand)
             + way(known, now, runner, demand);
         (cost, *key, *runner, work, readable)
@@ -213,7 +213,7 @@
             prompt: demand.prompt,
             cached: kept,
             backlog: runner.backlog(),
-            concurrent: runner.load(),
+            concurrent: runner.running(),
             cross_zone: runner.listed.zone != known.fleet.zone,
         },
         candidates: among,
@@ -223,8 +223,8 @@
 
 /// Milliseconds that a request and those beside it wait on a runner, at the usual latency.
 fn waiting(known: Inputs<'_>, runner: &Runner, work: Duration) -> f64 {
-    let beside = f64::from(runner.load());
-    let queued = (runner.load() + 1).saturating_sub(runner.listed.slots);
+    let beside = f64::from(runner.running());
+    let queued = (runner.running() + 1).saturating_sub(runner.listed.slots);
     let turn = ms(known.latency.residence()) / f64::from(runner.listed.slots.max(1));
     ms(runner.backlog() + work) + (BESIDE + known.latency.contention_ms()) * beside + turn * f64::from(queued)
 }
@@ -330,7 +330,7 @@
     let subject = demand.shared_prefix()?.id;
     let order = |runner: &Runner| {
         let near = runner.listed.zone == known.fleet.zone;
-        let fits = runner.long == is_long;
+        let fits = runner.for_long_prompts == is_long;
         (near, fits, weight(subject, runner.hash))
     };
     let home = open.iter().max_by_key(|(_, runner)| order(runner));
@@ -341,7 +341,7 @@
 fn nearest(now: Moment, fleet: &Fleet, open: &[(Key, &Runner)], demand: &Demand) -> Option<Key> {
     let near: Vec<(Key, &Runner)> = open
         .iter()
-        .filter(|(_, runner)| runner.listed.zone == fleet.zone && runner.load() < runner.listed.slots / 2)
+        .filter(|(_, runner)| runner.listed.zone == fleet.zone && runner.running() < runner.listed.slots / 2)
         .copied()
         .collect();
     least(now, fleet, if near.is_empty() { open } else { &near }, demand)
@@ -350,12 +350,12 @@
 fn least(now: Moment, fleet: &Fleet, set: &[(Key, &Runner)], demand: &Demand) -> Option<Key> {
     let order = |key: Key, runner: &Runner| {
         let cold = connecting(now, runner, demand) > 0.0;
-        let fails = runner.failing > FAILS;
+        let fails = runner.failure_rate > FAILS;
         let quiet = fleet.is_quiet(now, &runner.listed.zone);
         (
             fails,
             quiet,
-            runner.load(),
+            runner.running(),
             cold,
             weight(demand.draw, u64::from(key.0)),
         )
--- a/crates/core/src/proxy/scaling.rs
+++ b/crates/core/src/proxy/scaling.rs
@@ -153,7 +153,7 @@
             listed.service == service && listed.zone == name && runner.is_listed()
         });
         for runner in own {
-            zone.running += runner.load();
+            zone.running += runner.running();
             match runner.listed.reclaimable {
                 true => zone.cheap += 1,
                 false => zone.dependable += 1,
--- a/crates/entry/src/upstream/pool.rs
+++ b/crates/entry/src/upstream/pool.rs
@@ -64,7 +64,7 @@
         lines.retain(|waiting| waiting.idle.is_usable(now, false));
         let idle = Idle {
             since: now,
-            kept: kept.unwrap_or(KEPT),
+            keep_alive: kept.unwrap_or(KEPT),
         };
         if lines.len() < MOST && idle.is_usable(now, false) {
             lines.push(Waiting { line, idle });
--- a/tests/suite/proxy/build.rs
+++ b/tests/suite/proxy/build.rs
@@ -93,7 +93,7 @@
         stage: Stage::Ready,
         slots: 32,
         reclaimable: false,
-        born: 1,
+        started_ms: 1,
     }
 }
 
--- a/tests/suite/proxy/fleet.rs
+++ b/tests/suite/proxy/fleet.rs
@@ -101,7 +101,7 @@
     fleet.list(at(1_000), listed(&["a"]));
     assert!(open(&fleet, 9_000).is_empty());
     let mut again = listed(&["a"]);
-    again[0].born = 2;
+    again[0].started_ms = 2;
     let address = again[0].address;
     let void = fleet.list(at(9_500), again);
     assert_eq!(void, [address, address], "its connections are another process's");
@@ -115,7 +115,7 @@
 fn postings_use_only_fresh_connections() {
     let idle = Idle {
         since: at(0),
-        kept: Duration::from_secs(10),
+        keep_alive: Duration::from_secs(10),
     };
     assert!(idle.is_usable(at(3_000), true));
     assert!(!idle.is_usable(at(3_500), true));
--- a/tests/suite/proxy/model.rs
+++ b/tests/suite/proxy/model.rs
@@ -233,7 +233,7 @@
                 self.state
                     .first_event(run.choice.key, &run.choice.conditions, took);
                 if !self.play.judges_engines {
-                    self.state.fleet.get_mut(run.choice.key).expect("known").lag = 1.0;
+                    self.state.fleet.get_mut(run.choice.key).expect("known").slowdown = 1.0;
                 }
             }
         }
--- a/tests/suite/proxy/place.rs
+++ b/tests/suite/proxy/place.rs
@@ -78,8 +78,8 @@
     for subject in 10..60 {
         let long = choose(&fleet, &memory, at(1), &demand(12_000, subject), &[]).expect("one");
         let short = choose(&fleet, &memory, at(1), &demand(800, subject), &[]).expect("one");
-        assert!(fleet.get(long.key).expect("known").long);
-        assert!(!fleet.get(short.key).expect("known").long);
+        assert!(fleet.get(long.key).expect("known").for_long_prompts);
+        assert!(!fleet.get(short.key).expect("known").for_long_prompts);
     }
 }
 
@@ -93,7 +93,7 @@
     let mut crossed = 0;
     for subject in 0..200 {
         let choice = choose(&fleet, &memory, at(1), &demand(12_000, subject), &[]).expect("one");
-        crossed += u32::from(!fleet.get(choice.key).expect("known").long);
+        crossed += u32::from(!fleet.get(choice.key).expect("known").for_long_prompts);
         fleet.begin(choice.key, choice.prefill_us, 12_100);
     }
     assert!((20..100).contains(&crossed), "{crossed} of 200 crossed over");
@@ -305,7 +305,7 @@
     let mut state = host(2);
     let first = state.place(at(1), &demand(12_000, 5), &[]).expect("one");
     let mut again = listed(2);
-    again.iter_mut().for_each(|runner| runner.born += 1_000);
+    again.iter_mut().for_each(|runner| runner.started_ms += 1_000);
     state.fleet.list(at(1_000), again);
     let second = state
         .place(at(2_000), &demand(12_000, 5), &[first.key])
@@ -338,7 +338,7 @@
     let mut draws = ChaCha8Rng::seed_from_u64(4);
     let mut running = std::collections::VecDeque::new();
     // In the host's zone and kept for long prompts, so that both kinds may go there.
-    let fits = |runner: &Runner| runner.long && runner.listed.zone == "zone-0";
+    let fits = |runner: &Runner| runner.for_long_prompts && runner.listed.zone == "zone-0";
     let grey_key = fleet.all().find(|(_, runner)| fits(runner)).expect("one").0;
     let mut grey = 0;
     for draw in 0..300 {
@@ -396,7 +396,7 @@
     peers.hear(at(0), me, news(2, &busy), &mut mine, 2);
     let load = |fleet: &Fleet| {
         let runner = fleet.get(target).expect("known");
-        (runner.load(), runner.backlog(), runner.held())
+        (runner.running(), runner.backlog(), runner.kv_tokens())
     };
     assert_eq!(load(&mine), (1, Duration::from_millis(50), 60_000));
     peers.hear(at(10), me, news(1, &fleet(4)), &mut mine, 2);
