--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -340,7 +340,7 @@
     /// Takes the whole list of runners, as read by a question that left at `sent`; the
     /// addresses at which another process now listens.
     pub fn list(&mut self, now: Moment, sent: Moment, items: Vec<Listed>) -> Vec<SocketAddr> {
-        let void = self.fleet.list(sent, items);
+        let void = self.fleet.update(sent, items);
         self.divide(now);
         void
     }
@@ -375,7 +375,7 @@
         };
         let choice = placement::choose(known, now, demand, tried)?;
         self.fleet
-            .begin(choice.key, choice.prefill_us, demand.kv_tokens());
+            .start_request(choice.key, choice.prefill_us, demand.kv_tokens());
         self.meter
             .add(now, &demand.service, choice.prefill_us, choice.is_long);
         for (id, tokens) in demand.shared_prefixes() {
@@ -398,7 +398,7 @@
         let latency = self.latencies.of(&service);
         runner.record_slowdown(took, latency.predict(conditions));
         let lag = runner.slowdown;
-        if lag < STRAGGLER * self.fleet.usual_lag(&service) {
+        if lag < STRAGGLER * self.fleet.median_slowdown(&service) {
             latency.observe_first_event(conditions, took);
         }
     }
@@ -453,7 +453,7 @@
             self.ledger.receive(now, record);
         }
         for holder in &packet.holders {
-            if let Some(key) = self.fleet.find_hash(holder.runner) {
+            if let Some(key) = self.fleet.find_by_hash(holder.runner) {
                 self.prefixes.note(now, holder.subject, key);
             }
         }
--- a/crates/core/src/proxy/fleet.rs
+++ b/crates/core/src/proxy/fleet.rs
@@ -84,7 +84,7 @@
     /// away: then the entries of live runners may have lapsed, and dropping
     /// them would leave nobody to serve. They count as present until the store
     /// has been back for long enough to list them again.
-    pub fn list(&mut self, sent: Moment, items: Vec<Listed>) -> Vec<SocketAddr> {
+    pub fn update(&mut self, sent: Moment, items: Vec<Listed>) -> Vec<SocketAddr> {
         // The first list of a process brings no such doubt: what lapsed before is not in it,
         // and an entry that is goes for good when it is removed.
         if self.listed.is_some_and(|last| sent.since(last) >= AWAY) {
@@ -168,29 +168,29 @@
     }
 
     /// A runner by the hash of its id.
-    pub fn find_hash(&self, hash: u64) -> Option<Key> {
+    pub fn find_by_hash(&self, hash: u64) -> Option<Key> {
         let at = self.hashes.binary_search_by_key(&hash, |(have, _)| *have).ok()?;
         Some(self.hashes[at].1)
     }
 
     /// All runners that were ever listed.
-    pub fn all(&self) -> impl Iterator<Item = (Key, &Runner)> {
+    pub fn runners(&self) -> impl Iterator<Item = (Key, &Runner)> {
         let keys = (0..self.arena.len() as u32).map(Key);
         keys.zip(&self.arena)
     }
 
     /// Runners of a service that take new work.
-    pub fn open<'a>(&'a self, now: Moment, service: &'a str) -> impl Iterator<Item = (Key, &'a Runner)> {
+    pub fn available<'a>(&'a self, now: Moment, service: &'a str) -> impl Iterator<Item = (Key, &'a Runner)> {
         let own = move |runner: &Runner| runner.listed.service == service && runner.is_available(now);
         let near = move |runner: &Runner| !self.is_cut(now, &runner.listed.zone);
         // A zone that seems cut off is better than none.
         let any = self.arena.iter().any(|runner| own(runner) && near(runner));
-        self.all()
+        self.runners()
             .filter(move |(_, runner)| own(runner) && (!any || near(runner)))
     }
 
     /// Whether a runner still keeps what it first read at `since`.
-    pub fn keeps(&self, now: Moment, key: Key, since: Moment) -> bool {
+    pub fn has_cached(&self, now: Moment, key: Key, since: Moment) -> bool {
         let runner = self.get(key);
         runner.is_some_and(|runner| runner.is_available(now) && runner.since <= since)
     }
@@ -206,7 +206,7 @@
     }
 
     /// Middle of how far the runners of a service lag behind.
-    pub fn usual_lag(&self, service: &str) -> f64 {
+    pub fn median_slowdown(&self, service: &str) -> f64 {
         let own = self
             .arena
             .iter()
@@ -227,7 +227,7 @@
     }
 
     /// A host of a zone was heard; the next word is due within `limit`.
-    pub fn hear_zone(&mut self, now: Moment, zone: &str, limit: Duration) {
+    pub fn record_zone_contact(&mut self, now: Moment, zone: &str, limit: Duration) {
         let until = now + limit;
         match self.quiet.binary_search_by(|(have, _)| have.as_str().cmp(zone)) {
             Ok(at) => self.quiet[at].1 = until,
@@ -240,7 +240,7 @@
     /// A cut gives no sign: each request that crosses it costs the time-out of a connection,
     /// and each copy that a runner asks for across it a part of a second. The silence of a
     /// zone's hosts shows it sooner than either. It is no proof, so it only counts as cost.
-    pub fn is_quiet(&self, now: Moment, zone: &str) -> bool {
+    pub fn is_zone_silent(&self, now: Moment, zone: &str) -> bool {
         let found = self.quiet.binary_search_by(|(have, _)| have.as_str().cmp(zone));
         zone != self.zone && found.is_ok_and(|at| now.reached(self.quiet[at].1))
     }
@@ -266,14 +266,14 @@
     }
 
     /// Tells which idle connection to a runner would be used next.
-    pub fn idle(&mut self, key: Key, idle: Option<Idle>) {
+    pub fn set_idle(&mut self, key: Key, idle: Option<Idle>) {
         if let Some(runner) = self.get_mut(key) {
             runner.idle = idle;
         }
     }
 
     /// A request goes to a runner: `work` microseconds to read, `held` tokens in its memory.
-    pub fn begin(&mut self, key: Key, work: u64, held: u64) {
+    pub fn start_request(&mut self, key: Key, work: u64, held: u64) {
         if let Some(runner) = self.get_mut(key) {
             runner.local_load.running += 1;
             runner.local_load.prefill_us += work;
@@ -282,14 +282,14 @@
     }
 
     /// The runner has read the prompt: the first token came.
-    pub fn read(&mut self, key: Key, work: u64) {
+    pub fn finish_prefill(&mut self, key: Key, work: u64) {
         if let Some(runner) = self.get_mut(key) {
             runner.local_load.prefill_us = runner.local_load.prefill_us.saturating_sub(work);
         }
     }
 
     /// The request is over; `work` was not yet read.
-    pub fn end(&mut self, key: Key, work: u64, held: u64) {
+    pub fn finish_request(&mut self, key: Key, work: u64, held: u64) {
         if let Some(runner) = self.get_mut(key) {
             runner.local_load.running = runner.local_load.running.saturating_sub(1);
             runner.local_load.prefill_us = runner.local_load.prefill_us.saturating_sub(work);
@@ -325,7 +325,7 @@
     }
 
     /// Replaces what other hosts have on each runner, by the hash of its id.
-    pub fn others(&mut self, of: impl Fn(u64) -> Load) {
+    pub fn set_peer_loads(&mut self, of: impl Fn(u64) -> Load) {
         for runner in &mut self.arena {
             runner.peer_load = of(runner.hash);
         }
--- a/crates/core/src/proxy/gossip.rs
+++ b/crates/core/src/proxy/gossip.rs
@@ -165,7 +165,7 @@
         if packet.incarnation == me.0 {
             return;
         }
-        fleet.hear_zone(now, &packet.zone, interval(hosts) * QUIET);
+        fleet.record_zone_contact(now, &packet.zone, interval(hosts) * QUIET);
         let found = self
             .peers
             .binary_search_by_key(&packet.incarnation, |peer| peer.packet.incarnation);
@@ -206,7 +206,7 @@
             .flat_map(|peer| peer.packet.loads.iter().copied())
             .collect();
         loads.sort_unstable_by_key(|load| load.runner);
-        fleet.others(|hash| {
+        fleet.set_peer_loads(|hash| {
             let from = loads.partition_point(|load| load.runner < hash);
             let own = loads[from..].iter().take_while(|load| load.runner == hash);
             own.fold(fleet::Load::default(), |sum, load| fleet::Load {
@@ -221,7 +221,7 @@
 /// What this host tells.
 pub fn packet(me: Incarnation, number: u64, fleet: &Fleet, flows: Vec<Flow>) -> Packet {
     let loads = fleet
-        .all()
+        .runners()
         .filter(|(_, runner)| runner.local_load.running > 0)
         .map(|(_, runner)| Load {
             runner: runner.hash,
--- a/crates/core/src/proxy/placement.rs
+++ b/crates/core/src/proxy/placement.rs
@@ -165,7 +165,7 @@
 pub fn choose(known: Inputs<'_>, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
     let open: Vec<(Key, &Runner)> = known
         .fleet
-        .open(now, &demand.service)
+        .available(now, &demand.service)
         .filter(|(key, _)| !tried.contains(key))
         .collect();
     let among = open.len() as u32;
@@ -188,7 +188,7 @@
         true => None,
         false => home(known, &open, demand, is_long),
     };
-    let usual_lag = known.fleet.usual_lag(&demand.service);
+    let usual_lag = known.fleet.median_slowdown(&demand.service);
     let candidates = open.iter().map(|(key, runner)| {
         let kept = read.kept(*key);
         let readable = kept.max(read.longest);
@@ -235,7 +235,7 @@
     if *zone == known.fleet.zone {
         return 0.0;
     }
-    let quiet = if known.fleet.is_quiet(now, zone) {
+    let quiet = if known.fleet.is_zone_silent(now, zone) {
         QUIET
     } else {
         0.0
@@ -264,7 +264,7 @@
         for (id, tokens) in demand.shared_prefixes().into_iter().rev() {
             let holders = known.prefixes.holders(now, id);
             let here: Vec<&Holder> = holders
-                .filter(|holder| known.fleet.keeps(now, holder.key, holder.since))
+                .filter(|holder| known.fleet.has_cached(now, holder.key, holder.since))
                 .collect();
             for holder in &here {
                 if let Err(at) = read.find(holder.key) {
@@ -299,7 +299,7 @@
             return Some(near);
         }
         let lacks = self.kept(key) < self.longest;
-        let reached = |source: &Key| zone(*source).is_some_and(|zone| !known.fleet.is_quiet(now, zone));
+        let reached = |source: &Key| zone(*source).is_some_and(|zone| !known.fleet.is_zone_silent(now, zone));
         others.filter(|_| lacks).find(reached)
     }
 
@@ -351,7 +351,7 @@
     let order = |key: Key, runner: &Runner| {
         let cold = connecting(now, runner, demand) > 0.0;
         let fails = runner.failure_rate > FAILS;
-        let quiet = fleet.is_quiet(now, &runner.listed.zone);
+        let quiet = fleet.is_zone_silent(now, &runner.listed.zone);
         (
             fails,
             quiet,
--- a/crates/core/src/proxy/scaling.rs
+++ b/crates/core/src/proxy/scaling.rs
@@ -147,7 +147,7 @@
             dependable: 0,
             running: 0,
         };
-        let runners = fleet.all().map(|(_, runner)| runner);
+        let runners = fleet.runners().map(|(_, runner)| runner);
         let own = runners.filter(|runner| {
             let listed = &runner.listed;
             listed.service == service && listed.zone == name && runner.is_listed()
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -335,7 +335,7 @@
     /// Lets placement know whether a new connection would be needed.
     fn tell_idle(&self, slot: &Slot) {
         let idle = self.pool.next(slot.address);
-        self.shared.state().fleet.idle(slot.key, idle);
+        self.shared.state().fleet.set_idle(slot.key, idle);
     }
 
     fn is_listed(&self, slot: &Slot) -> bool {
--- a/crates/entry/src/proxy/slot.rs
+++ b/crates/entry/src/proxy/slot.rs
@@ -33,7 +33,7 @@
     pub fn read(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.read(self.key, self.work);
+        state.fleet.finish_prefill(self.key, self.work);
         if let Some(sent) = self.sent.filter(|_| self.work > 0) {
             state.first_event(self.key, &self.outlook, now.since(sent));
         }
@@ -43,7 +43,7 @@
     /// The runner has read what it had before as well as the prompt; that tells nothing of
     /// its pace.
     pub fn read_again(&mut self) {
-        self.shared.state().fleet.read(self.key, self.work);
+        self.shared.state().fleet.finish_prefill(self.key, self.work);
         self.work = 0;
     }
 
@@ -63,7 +63,7 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.end(self.key, self.work, self.held);
+        state.fleet.finish_request(self.key, self.work, self.held);
         if let Some(sent) = self.sent.filter(|_| self.outlook.prompt > 0) {
             state.left(self.key, now.since(sent));
         }
--- a/tests/suite/proxy/fleet.rs
+++ b/tests/suite/proxy/fleet.rs
@@ -11,7 +11,7 @@
 }
 
 fn open(fleet: &Fleet, ms: u64) -> Vec<String> {
-    let open = fleet.open(at(ms), "engines");
+    let open = fleet.available(at(ms), "engines");
     let mut ids: Vec<String> = open.map(|(_, runner)| runner.listed.id.clone()).collect();
     ids.sort();
     ids
@@ -28,13 +28,13 @@
 #[test]
 fn entries_that_lapsed_with_the_store_are_waited_for() {
     let mut fleet = Fleet::new("zone-a");
-    fleet.list(at(0), listed(&["a", "b"]));
-    fleet.list(at(1_000), listed(&["a", "b"]));
-    fleet.list(at(6_000), Vec::new());
+    fleet.update(at(0), listed(&["a", "b"]));
+    fleet.update(at(1_000), listed(&["a", "b"]));
+    fleet.update(at(6_000), Vec::new());
     assert_eq!(open(&fleet, 6_100), ["a", "b"]);
-    fleet.list(at(7_500), listed(&["a"]));
+    fleet.update(at(7_500), listed(&["a"]));
     assert_eq!(open(&fleet, 7_600), ["a", "b"]);
-    fleet.list(at(8_400), listed(&["a"]));
+    fleet.update(at(8_400), listed(&["a"]));
     assert_eq!(open(&fleet, 8_500), ["a"]);
 }
 
@@ -42,9 +42,9 @@
 #[test]
 fn an_entry_that_stays_away_after_a_cut_is_gone_in_time() {
     let mut fleet = Fleet::new("zone-a");
-    fleet.list(at(0), listed(&["a", "b"]));
-    fleet.list(at(6_000), listed(&["a"]));
-    fleet.list(at(8_200), listed(&["a"]));
+    fleet.update(at(0), listed(&["a", "b"]));
+    fleet.update(at(6_000), listed(&["a"]));
+    fleet.update(at(8_200), listed(&["a"]));
     assert_eq!(open(&fleet, 8_500), ["a"]);
 }
 
@@ -54,9 +54,9 @@
 fn an_entry_that_is_removed_from_a_sound_store_is_gone() {
     let mut fleet = Fleet::new("zone-a");
     for ms in [0, 1_000, 2_000, 3_000] {
-        fleet.list(at(ms), listed(&["a", "b"]));
+        fleet.update(at(ms), listed(&["a", "b"]));
     }
-    fleet.list(at(4_000), listed(&["b"]));
+    fleet.update(at(4_000), listed(&["b"]));
     assert_eq!(open(&fleet, 4_001), ["b"]);
 }
 
@@ -66,7 +66,7 @@
     let mut fleet = Fleet::new("zone-a");
     let mut items = listed(&["a", "b"]);
     items[0].stage = Stage::Draining;
-    fleet.list(at(0), items);
+    fleet.update(at(0), items);
     assert_eq!(open(&fleet, 1), ["b"]);
     let a = fleet.find("a").expect("it is known");
     assert!(fleet.get(a).expect("it is there").is_leaving());
@@ -77,7 +77,7 @@
 #[test]
 fn an_unreachable_runner_rests_and_comes_back() {
     let mut fleet = Fleet::new("zone-a");
-    fleet.list(at(0), listed(&["a"]));
+    fleet.update(at(0), listed(&["a"]));
     let a = fleet.find("a").expect("it is known");
     fleet.record_attempt(at(10), a, Attempt::Unreachable);
     assert!(open(&fleet, 100).is_empty());
@@ -95,15 +95,15 @@
 #[test]
 fn a_replaced_runner_gets_nothing_until_it_is_listed_anew() {
     let mut fleet = Fleet::new("zone-a");
-    fleet.list(at(0), listed(&["a"]));
+    fleet.update(at(0), listed(&["a"]));
     let a = fleet.find("a").expect("it is known");
     fleet.record_attempt(at(10), a, Attempt::Replaced);
-    fleet.list(at(1_000), listed(&["a"]));
+    fleet.update(at(1_000), listed(&["a"]));
     assert!(open(&fleet, 9_000).is_empty());
     let mut again = listed(&["a"]);
     again[0].started_ms = 2;
     let address = again[0].address;
-    let void = fleet.list(at(9_500), again);
+    let void = fleet.update(at(9_500), again);
     assert_eq!(void, [address, address], "its connections are another process's");
     assert_eq!(open(&fleet, 9_600), ["a"]);
 }
@@ -131,7 +131,7 @@
     let mut fleet = Fleet::new("zone-a");
     let mut items = listed(&["a"]);
     items.extend(["b1", "b2", "b3"].map(|id| runner(id, "engines", "zone-b")));
-    fleet.list(at(0), items);
+    fleet.update(at(0), items);
     let key = |fleet: &Fleet, id: &str| fleet.find(id).expect("it is known");
     fleet.record_attempt(at(10), key(&fleet, "b1"), Attempt::Unreachable);
     assert_eq!(open(&fleet, 20), ["a", "b2", "b3"]);
@@ -149,7 +149,7 @@
 #[test]
 fn one_request_asks_for_all_that_wait() {
     let mut fleet = Fleet::new("zone-a");
-    fleet.list(at(0), listed(&["a"]));
+    fleet.update(at(0), listed(&["a"]));
     let key = fleet.find("a").expect("listed");
     let rest = |ms| Liveness::Recent(Duration::from_millis(ms));
     assert_eq!(fleet.liveness(at(0), key, at(0)), rest(800));
@@ -168,7 +168,7 @@
 #[test]
 fn all_that_wait_learn_of_a_cut() {
     let mut fleet = Fleet::new("zone-a");
-    fleet.list(at(0), listed(&["a"]));
+    fleet.update(at(0), listed(&["a"]));
     let key = fleet.find("a").expect("listed");
     fleet.record_attempt(at(100), key, Attempt::Unreachable);
     assert!(matches!(fleet.liveness(at(200), key, at(0)), Liveness::Recent(_)));
@@ -186,7 +186,7 @@
 #[test]
 fn a_host_that_has_just_started_believes_a_removal() {
     let mut fleet = Fleet::new("zone-a");
-    fleet.list(at(0), listed(&["a", "b"]));
-    fleet.list(at(1_000), listed(&["a"]));
+    fleet.update(at(0), listed(&["a", "b"]));
+    fleet.update(at(1_000), listed(&["a"]));
     assert_eq!(open(&fleet, 1_100), ["a"]);
 }
--- a/tests/suite/proxy/freshness.rs
+++ b/tests/suite/proxy/freshness.rs
@@ -91,7 +91,7 @@
 #[test]
 fn a_host_without_its_own_way_to_the_store_hands_its_callers_over() {
     let mut state = state(at(0), vec![customer("ana", &["key-a"])]);
-    state.fleet.list(at(0), Vec::new());
+    state.fleet.update(at(0), Vec::new());
     state.store_contact.renew(at(0));
     assert!(state.is_ready(at(2_000)) && !state.hands_over(at(2_000)));
     state.freshness.renew(at(2_600));
--- a/tests/suite/proxy/limits.rs
+++ b/tests/suite/proxy/limits.rs
@@ -133,7 +133,7 @@
         item.reclaimable = true;
         item
     });
-    fleet.list(at(0), listed.collect());
+    fleet.update(at(0), listed.collect());
     let cheap = |orders: &[Order]| {
         let of_zone = orders
             .iter()
@@ -160,7 +160,7 @@
                 item
             })
         });
-        fleet.list(at(0), listed.collect());
+        fleet.update(at(0), listed.collect());
         fleet
     };
     let mut planner = Planner::default();
--- a/tests/suite/proxy/model.rs
+++ b/tests/suite/proxy/model.rs
@@ -229,7 +229,9 @@
                 run.first = None;
                 let took = Duration::from_millis(ms - run.sent);
                 self.seen.timely += u32::from(took.as_millis() as u64 <= self.play.target_ms);
-                self.state.fleet.read(run.choice.key, run.choice.prefill_us);
+                self.state
+                    .fleet
+                    .finish_prefill(run.choice.key, run.choice.prefill_us);
                 self.state
                     .first_event(run.choice.key, &run.choice.conditions, took);
                 if !self.play.judges_engines {
@@ -241,7 +243,9 @@
         self.running.retain(|run| {
             let on = run.ends > ms;
             if !on {
-                state.fleet.end(run.choice.key, 0, run.demand.kv_tokens());
+                state
+                    .fleet
+                    .finish_request(run.choice.key, 0, run.demand.kv_tokens());
             }
             on
         });
--- a/tests/suite/proxy/place.rs
+++ b/tests/suite/proxy/place.rs
@@ -27,7 +27,7 @@
 
 fn fleet(count: usize) -> Fleet {
     let mut fleet = Fleet::new("zone-0");
-    fleet.list(at(0), listed(count));
+    fleet.update(at(0), listed(count));
     partition::assign(fleet.runners_mut(), "engines", &Partition::default());
     fleet
 }
@@ -94,7 +94,7 @@
     for subject in 0..200 {
         let choice = choose(&fleet, &memory, at(1), &demand(12_000, subject), &[]).expect("one");
         crossed += u32::from(!fleet.get(choice.key).expect("known").for_long_prompts);
-        fleet.begin(choice.key, choice.prefill_us, 12_100);
+        fleet.start_request(choice.key, choice.prefill_us, 12_100);
     }
     assert!((20..100).contains(&crossed), "{crossed} of 200 crossed over");
 }
@@ -124,7 +124,9 @@
     let wanted: Vec<_> = (100..200).map(|subject| demand(12_000, subject)).collect();
     let place = |state: &mut State, demand, ms| {
         let choice = state.place(at(ms), demand, &[]).expect("one");
-        state.fleet.end(choice.key, choice.prefill_us, demand.kv_tokens());
+        state
+            .fleet
+            .finish_request(choice.key, choice.prefill_us, demand.kv_tokens());
         state.fleet.get(choice.key).expect("known").listed.id.clone()
     };
     let first: Vec<_> = wanted.iter().map(|demand| place(&mut one, demand, 1)).collect();
@@ -137,7 +139,7 @@
     assert_eq!(told, subjects.collect::<Vec<u64>>(), "each subject is told");
     other.hear(at(3), Incarnation(2), packet);
     for state in [&mut one, &mut other] {
-        state.fleet.list(at(4), listed(20));
+        state.fleet.update(at(4), listed(20));
         let then: Vec<_> = wanted.iter().map(|demand| place(state, demand, 5)).collect();
         assert_eq!(first, then);
     }
@@ -149,8 +151,8 @@
     assert!(moved.count() > 10, "a host that was not told moves some");
     let mut left = listed(20);
     left.retain(|runner| runner.id != first[0]);
-    one.fleet.list(at(2_000), left.clone());
-    one.fleet.list(at(4_000), left);
+    one.fleet.update(at(2_000), left.clone());
+    one.fleet.update(at(4_000), left);
     assert_ne!(
         place(&mut one, &wanted[0], 4_100),
         first[0],
@@ -169,7 +171,7 @@
     for _ in 0..40 {
         let demand = demand(12_000, 5);
         let choice = choose(&fleet, &memory, at(1), &demand, &[]).expect("one");
-        fleet.begin(choice.key, choice.prefill_us, demand.kv_tokens());
+        fleet.start_request(choice.key, choice.prefill_us, demand.kv_tokens());
         memory.note(at(1), 5, choice.key);
         used.push(choice.key);
     }
@@ -256,7 +258,7 @@
     };
     for key in near {
         // No place is free near by.
-        (0..20).for_each(|_| again.fleet.begin(key, 0, 0));
+        (0..20).for_each(|_| again.fleet.start_request(key, 0, 0));
     }
     let runner = |state: &State, key| state.fleet.get(key).expect("known").listed.zone.clone();
     let choice = again.place(at(2_200), &plain, &[]).expect("one");
@@ -306,7 +308,7 @@
     let first = state.place(at(1), &demand(12_000, 5), &[]).expect("one");
     let mut again = listed(2);
     again.iter_mut().for_each(|runner| runner.started_ms += 1_000);
-    state.fleet.list(at(1_000), again);
+    state.fleet.update(at(1_000), again);
     let second = state
         .place(at(2_000), &demand(12_000, 5), &[first.key])
         .expect("one");
@@ -339,7 +341,7 @@
     let mut running = std::collections::VecDeque::new();
     // In the host's zone and kept for long prompts, so that both kinds may go there.
     let fits = |runner: &Runner| runner.for_long_prompts && runner.listed.zone == "zone-0";
-    let grey_key = fleet.all().find(|(_, runner)| fits(runner)).expect("one").0;
+    let grey_key = fleet.runners().find(|(_, runner)| fits(runner)).expect("one").0;
     let mut grey = 0;
     for draw in 0..300 {
         let demand = match prompt {
@@ -355,11 +357,11 @@
             },
         };
         let choice = choose(&fleet, &memory, at(1), &demand, &[]).expect("one");
-        fleet.begin(choice.key, choice.prefill_us, demand.kv_tokens());
+        fleet.start_request(choice.key, choice.prefill_us, demand.kv_tokens());
         let at_grey = choice.key == grey_key;
         grey += u32::from(at_grey);
         if at_grey && draws.random_bool(0.4) {
-            fleet.end(choice.key, choice.prefill_us, demand.kv_tokens());
+            fleet.finish_request(choice.key, choice.prefill_us, demand.kv_tokens());
             fleet.record_attempt(
                 at(1),
                 choice.key,
@@ -374,7 +376,7 @@
         }
         if running.len() > 12 {
             let (choice, demand) = running.pop_front().expect("there are some");
-            fleet.end(choice.key, choice.prefill_us, demand.kv_tokens());
+            fleet.finish_request(choice.key, choice.prefill_us, demand.kv_tokens());
             fleet.record_attempt(at(1), choice.key, Attempt::Succeeded);
         }
     }
@@ -388,7 +390,7 @@
 fn the_peers_load_counts() {
     let mut busy = fleet(4);
     let target = busy.find("r0").expect("known");
-    busy.begin(target, 50_000, 60_000);
+    busy.start_request(target, 50_000, 60_000);
     let mut mine = fleet(4);
     let mut peers = Peers::default();
     let (me, peer) = (Incarnation(1), Incarnation(2));
