--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -37,7 +37,7 @@
 use budget::Budgets;
 use fleet::{Fleet, Key, Listed};
 use freshness::Freshness;
-use gossip::{Flow, Holder, Meter, Packet, Peers};
+use gossip::{CachedPrefix, Flow, Meter, Packet, Peers};
 use latency::{Conditions, Latency};
 use partition::Partition;
 use placement::{Choice, Demand, Inputs};
@@ -180,7 +180,7 @@
     /// What this host sends.
     pub meter: Meter,
     /// Where long beginnings went since the last packet.
-    holders: Vec<Holder>,
+    holders: Vec<CachedPrefix>,
     /// Repeats that are left.
     pub budgets: Budgets,
     /// Usage of this host.
@@ -425,7 +425,10 @@
         let Some(runner) = self.fleet.get(key).map(|runner| runner.hash) else {
             return;
         };
-        let holder = Holder { subject, runner };
+        let holder = CachedPrefix {
+            prefix: subject,
+            runner,
+        };
         if self.holders.len() < HOLDERS && !self.holders.contains(&holder) {
             self.holders.push(holder);
         }
@@ -434,7 +437,7 @@
     /// What this host tells the others.
     pub fn packet(&mut self, now: Moment, me: Incarnation, number: u64) -> Packet {
         Packet {
-            holders: std::mem::take(&mut self.holders),
+            prefixes: std::mem::take(&mut self.holders),
             ..gossip::packet(me, number, &self.fleet, self.meter.flows(now))
         }
     }
@@ -444,7 +447,7 @@
         let others = self.peers.flow(service);
         let own = self.meter.flows(now);
         let own = own.iter().find(|flow| flow.service == others.service);
-        own.map_or(others, |own| others.and(own))
+        own.map_or(others, |own| others.plus(own))
     }
 
     /// Takes what another host has on runners.
@@ -452,12 +455,12 @@
         if let Ok(record) = serde_json::from_slice(&packet.record) {
             self.ledger.receive(now, record);
         }
-        for holder in &packet.holders {
+        for holder in &packet.prefixes {
             if let Some(key) = self.fleet.find_by_hash(holder.runner) {
-                self.prefixes.note(now, holder.subject, key);
+                self.prefixes.note(now, holder.prefix, key);
             }
         }
-        self.peers.hear(now, me, packet, &mut self.fleet, self.hosts);
+        self.peers.receive(now, me, packet, &mut self.fleet, self.hosts);
     }
 
     /// Takes a repeat out of the shared budget, if one is left.
--- a/crates/core/src/proxy/gossip.rs
+++ b/crates/core/src/proxy/gossip.rs
@@ -61,7 +61,7 @@
 
 impl Flow {
     /// Both together.
-    pub fn and(self, other: &Flow) -> Self {
+    pub fn plus(self, other: &Flow) -> Self {
         Self {
             service: self.service,
             rate: self.rate + other.rate,
@@ -72,10 +72,10 @@
 
 /// A runner that reads the beginning of prompts about a subject.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Holder {
+pub struct CachedPrefix {
     /// Id of the part that the prompts share.
     #[prost(fixed64, tag = "1")]
-    pub subject: u64,
+    pub prefix: u64,
     /// Hash of the runner's id.
     #[prost(fixed64, tag = "2")]
     pub runner: u64,
@@ -89,7 +89,7 @@
     pub incarnation: u64,
     /// Rises with each; an older one that comes late says nothing.
     #[prost(uint64, tag = "2")]
-    pub number: u64,
+    pub sequence: u64,
     /// Runners on which it has anything.
     #[prost(message, repeated, tag = "3")]
     pub loads: Vec<Load>,
@@ -101,16 +101,16 @@
     pub record: Vec<u8>,
     /// Long beginnings that it has sent since its last packet, and where.
     #[prost(message, repeated, tag = "7")]
-    pub holders: Vec<Holder>,
+    pub prefixes: Vec<CachedPrefix>,
     /// Availability zone of the sender.
     #[prost(string, tag = "8")]
     pub zone: String,
     /// Says only that the sender has just read something new in the store.
     #[prost(bool, tag = "6")]
-    pub nudge: bool,
+    pub change_hint: bool,
     /// Beside a nudge: version of the operator's document that the sender has.
     #[prost(uint64, tag = "9")]
-    pub document: u64,
+    pub document_version: u64,
     /// Bandwidth of the sender's link, in Mbit/s.
     #[prost(uint32, tag = "10")]
     pub link_mbps: u32,
@@ -125,12 +125,12 @@
 ///
 /// Most of a zone's requests stay there, so it is the zone's own load that has to be known
 /// well. With hundreds of hosts, telling all of them alike made news seconds old.
-pub fn pause(near: u32, hosts: u32) -> Duration {
+pub fn zone_interval(near: u32, hosts: u32) -> Duration {
     interval(near.min(hosts))
 }
 
 /// Whether the packet of this number goes to the hosts of other zones as well.
-pub fn goes_far(number: u64, hosts: u32) -> bool {
+pub fn is_cross_zone(number: u64, hosts: u32) -> bool {
     hosts <= FEW || number.is_multiple_of(FAR_EVERY)
 }
 
@@ -140,7 +140,7 @@
 }
 
 /// The same of a packet that goes to other zones.
-pub fn has_record_far(number: u64, hosts: u32) -> bool {
+pub fn has_record_cross_zone(number: u64, hosts: u32) -> bool {
     match hosts <= FEW {
         true => has_record(number),
         false => number.is_multiple_of(FAR_EVERY * RECORD_EVERY_FAR),
@@ -161,7 +161,7 @@
 
 impl Peers {
     /// Takes a packet in.
-    pub fn hear(&mut self, now: Moment, me: Incarnation, packet: Packet, fleet: &mut Fleet, hosts: u32) {
+    pub fn receive(&mut self, now: Moment, me: Incarnation, packet: Packet, fleet: &mut Fleet, hosts: u32) {
         if packet.incarnation == me.0 {
             return;
         }
@@ -170,7 +170,7 @@
             .peers
             .binary_search_by_key(&packet.incarnation, |peer| peer.packet.incarnation);
         match found {
-            Ok(at) if self.peers[at].packet.number >= packet.number => return,
+            Ok(at) if self.peers[at].packet.sequence >= packet.sequence => return,
             Ok(at) => self.peers[at] = Peer { heard: now, packet },
             Err(at) => self.peers.insert(at, Peer { heard: now, packet }),
         }
@@ -189,7 +189,7 @@
                 rate: 0,
                 long: 0,
             },
-            |sum, flow| sum.and(flow),
+            |sum, flow| sum.plus(flow),
         )
     }
 
@@ -231,14 +231,14 @@
         });
     Packet {
         incarnation: me.0,
-        number,
+        sequence: number,
         loads: loads.collect(),
         flows,
         record: Vec::new(),
-        holders: Vec::new(),
+        prefixes: Vec::new(),
         zone: fleet.zone.clone(),
-        nudge: false,
-        document: 0,
+        change_hint: false,
+        document_version: 0,
         link_mbps: 0,
     }
 }
--- a/crates/entry/src/proxy/peers.rs
+++ b/crates/entry/src/proxy/peers.rs
@@ -9,7 +9,7 @@
 
 use prost::Message;
 use radishstair_core::id::digest;
-use radishstair_core::proxy::gossip::{self, Holder, Packet};
+use radishstair_core::proxy::gossip::{self, CachedPrefix, Packet};
 use radishstair_core::proxy::readers::Host;
 use tokio::net::UdpSocket;
 
@@ -63,7 +63,7 @@
     /// The same of other zones.
     far_knows_idle: bool,
     /// What other zones were not told yet.
-    untold: Vec<Holder>,
+    untold: Vec<CachedPrefix>,
     /// Peers that were told last.
     told: Arc<Vec<SocketAddr>>,
 }
@@ -80,16 +80,16 @@
         packet.link_mbps = self.shared.own_place().link_mbps;
         packet.record = self.record(gossip::has_record(self.number));
         self.announce_to_new_peers();
-        self.untold.extend(packet.holders.iter().copied());
+        self.untold.extend(packet.prefixes.iter().copied());
         self.untold.truncate(UNTOLD);
         let is_far = |peer: &SocketAddr| beyond.binary_search(peer).is_ok();
         if says_something(&packet) || !self.near_knows_idle {
             self.near_knows_idle = packet.loads.is_empty();
             send(&self.shared, &self.socket, &packet, |peer| !is_far(peer)).await;
         }
-        if gossip::goes_far(self.number, hosts) {
-            packet.holders = std::mem::take(&mut self.untold);
-            packet.record = self.record(gossip::has_record_far(self.number, hosts));
+        if gossip::is_cross_zone(self.number, hosts) {
+            packet.prefixes = std::mem::take(&mut self.untold);
+            packet.record = self.record(gossip::has_record_cross_zone(self.number, hosts));
             if says_something(&packet) || !self.far_knows_idle {
                 self.far_knows_idle = packet.loads.is_empty();
                 send(&self.shared, &self.socket, &packet, is_far).await;
@@ -97,7 +97,7 @@
         }
         let peers = self.shared.peers.load();
         let near = peers.iter().filter(|peer| !is_far(peer)).count();
-        gossip::pause(near as u32, hosts)
+        gossip::zone_interval(near as u32, hosts)
     }
 
     /// Makes the next packets go out though nothing runs here, if there are other peers
@@ -123,14 +123,14 @@
 
 /// Whether a packet tells more than that nothing runs.
 fn says_something(packet: &Packet) -> bool {
-    !packet.loads.is_empty() || !packet.record.is_empty() || !packet.holders.is_empty()
+    !packet.loads.is_empty() || !packet.record.is_empty() || !packet.prefixes.is_empty()
 }
 
 fn nudge(shared: &Shared) -> Packet {
     Packet {
         incarnation: shared.me.0,
-        nudge: true,
-        document: shared.document().version(),
+        change_hint: true,
+        document_version: shared.document().version(),
         ..Packet::default()
     }
 }
@@ -166,8 +166,8 @@
             continue;
         };
         if let Ok(packet) = Packet::decode(&bytes[..length]) {
-            if packet.nudge {
-                document::hear_version(&shared, peer, packet.document);
+            if packet.change_hint {
+                document::hear_version(&shared, peer, packet.document_version);
                 shared.nudged.notify_one();
                 continue;
             }
--- a/tests/suite/proxy/place.rs
+++ b/tests/suite/proxy/place.rs
@@ -131,7 +131,7 @@
     };
     let first: Vec<_> = wanted.iter().map(|demand| place(&mut one, demand, 1)).collect();
     let packet = one.packet(at(2), Incarnation(1), 1);
-    let mut told: Vec<u64> = packet.holders.iter().map(|holder| holder.subject).collect();
+    let mut told: Vec<u64> = packet.prefixes.iter().map(|holder| holder.prefix).collect();
     told.sort_unstable();
     told.dedup();
     // The first part, which all of them share, is told as well.
@@ -273,21 +273,25 @@
 /// less, and nobody hears more than twice as much as where all are told alike.
 #[test]
 fn a_zones_own_hosts_are_told_first() {
-    assert_eq!(gossip::pause(8, 8), gossip::interval(8), "few hosts tell all");
-    assert!((1..=20).all(|number| gossip::goes_far(number, 8)));
+    assert_eq!(
+        gossip::zone_interval(8, 8),
+        gossip::interval(8),
+        "few hosts tell all"
+    );
+    assert!((1..=20).all(|number| gossip::is_cross_zone(number, 8)));
     let (near, hosts) = (27, 80);
-    let pause = gossip::pause(near, hosts);
+    let pause = gossip::zone_interval(near, hosts);
     assert!(pause * 2 < gossip::interval(hosts));
     let far_packets = (1..=240)
-        .filter(|number| gossip::goes_far(*number, hosts))
+        .filter(|number| gossip::is_cross_zone(*number, hosts))
         .count() as f64;
     let part_far = far_packets / 240.0;
     let heard = (f64::from(near - 1) + f64::from(hosts - near) * part_far) / pause.as_secs_f64();
     let alike = f64::from(hosts - 1) / gossip::interval(hosts).as_secs_f64();
     assert!(heard < alike * 2.0, "{heard} packets a second for {alike}");
-    let records = (1..=240).filter(|number| gossip::has_record_far(*number, hosts));
+    let records = (1..=240).filter(|number| gossip::has_record_cross_zone(*number, hosts));
     assert!(records.clone().count() >= 16);
-    assert!(records.clone().all(|number| gossip::goes_far(number, hosts)));
+    assert!(records.clone().all(|number| gossip::is_cross_zone(number, hosts)));
 }
 
 /// Two requests about a new subject come together. What the first runner is just reading
@@ -395,20 +399,20 @@
     let mut peers = Peers::default();
     let (me, peer) = (Incarnation(1), Incarnation(2));
     let news = |number, fleet: &Fleet| gossip::packet(peer, number, fleet, Vec::new());
-    peers.hear(at(0), me, news(2, &busy), &mut mine, 2);
+    peers.receive(at(0), me, news(2, &busy), &mut mine, 2);
     let load = |fleet: &Fleet| {
         let runner = fleet.get(target).expect("known");
         (runner.running(), runner.backlog(), runner.kv_tokens())
     };
     assert_eq!(load(&mine), (1, Duration::from_millis(50), 60_000));
-    peers.hear(at(10), me, news(1, &fleet(4)), &mut mine, 2);
+    peers.receive(at(10), me, news(1, &fleet(4)), &mut mine, 2);
     assert_eq!(
         load(&mine),
         (1, Duration::from_millis(50), 60_000),
         "old news says nothing"
     );
     let third = gossip::packet(Incarnation(3), 1, &fleet(4), Vec::new());
-    peers.hear(at(60_000), me, third, &mut mine, 2);
+    peers.receive(at(60_000), me, third, &mut mine, 2);
     assert_eq!(load(&mine), (0, Duration::ZERO, 0), "a silent peer is forgotten");
     assert_eq!(Load::default().running, 0);
 }
