--- a/crates/core/src/proxy/mirror.rs
+++ b/crates/core/src/proxy/mirror.rs
@@ -40,7 +40,7 @@
 
 /// A key that no longer stands.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Gone {
+pub struct Removal {
     /// Its name.
     #[prost(string, tag = "1")]
     pub key: String,
@@ -54,7 +54,7 @@
 pub struct Changes {
     /// Revision up to which the teller has seen everything.
     #[prost(uint64, tag = "1")]
-    pub upto: u64,
+    pub revision: u64,
     /// Microseconds since the question left that the teller's knowledge comes from.
     #[prost(uint64, tag = "2")]
     pub age_us: u64,
@@ -63,13 +63,13 @@
     pub items: Vec<Item>,
     /// Keys removed since.
     #[prost(message, repeated, tag = "4")]
-    pub gone: Vec<Gone>,
+    pub removed: Vec<Removal>,
     /// Whether the items are all keys that stand.
     #[prost(bool, tag = "5")]
-    pub whole: bool,
+    pub full: bool,
     /// Checksum over all keys that the teller knows.
     #[prost(fixed64, tag = "6")]
-    pub sum: u64,
+    pub checksum: u64,
     /// The operator's document, which is not among the keys.
     #[prost(message, optional, tag = "7")]
     pub document: Option<Notice>,
@@ -99,13 +99,13 @@
     /// Checksum over them.
     sum: u64,
     /// Revision up to which everything was seen; 0 before the first listing.
-    upto: u64,
+    revision: u64,
     /// Moment as of which that is so.
     as_of: Option<Moment>,
     /// Oldest revision since which removals are remembered.
     since: u64,
     /// Removed keys, oldest revision first.
-    gone: Vec<Gone>,
+    gone: Vec<Removal>,
     /// First page of the listing under way.
     listing: Option<(u64, Moment)>,
 }
@@ -122,7 +122,7 @@
     }
 
     /// Keys under a prefix, in order.
-    pub fn under(&self, prefix: &str) -> &[Entry] {
+    pub fn with_prefix(&self, prefix: &str) -> &[Entry] {
         let from = self.entries.partition_point(|entry| entry.key.as_str() < prefix);
         let rest = &self.entries[from..];
         &rest[..rest.partition_point(|entry| entry.key.starts_with(prefix))]
@@ -135,8 +135,8 @@
     }
 
     /// Revision up to which everything was seen; 0 before the first listing.
-    pub fn upto(&self) -> u64 {
-        self.upto
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     /// Moment as of which everything was seen.
@@ -145,7 +145,7 @@
     }
 
     /// Takes a page in; the last one completes its listing.
-    pub fn page(&mut self, page: Page) {
+    pub fn add_page(&mut self, page: Page) {
         if page.after.is_empty() {
             self.listing = Some((page.revision, page.sent));
         }
@@ -174,7 +174,7 @@
             return;
         }
         if let Some((revision, sent)) = self.listing.take() {
-            if self.upto == 0 {
+            if self.revision == 0 {
                 // What was removed before the last page came was never seen here.
                 self.since = page.revision;
             }
@@ -190,49 +190,49 @@
         let items = self.entries.iter().filter(|entry| whole || entry.version > after);
         let gone = self.gone.iter().filter(|gone| !whole && gone.revision > after);
         Some(Changes {
-            upto: self.upto,
+            revision: self.revision,
             age_us: now.since(as_of).as_micros() as u64,
             items: items.map(item).collect(),
-            gone: gone.cloned().collect(),
-            whole,
-            sum: self.sum,
+            removed: gone.cloned().collect(),
+            full: whole,
+            checksum: self.sum,
             document: None,
         })
     }
 
     /// Takes in what another host told when it was asked at `asked` for what came
-    /// after [`upto`](Self::upto); false if everything must be asked for.
+    /// after [`revision`](Self::revision); false if everything must be asked for.
     ///
     /// The answer may have been under way for long, or have lain in a process that
     /// was frozen. The age it tells is counted back from the moment of the
     /// question, which errs on the old side by all such delays.
-    pub fn take(&mut self, asked: Moment, changes: Changes) -> bool {
+    pub fn apply(&mut self, asked: Moment, changes: Changes) -> bool {
         let as_of = asked.back(Duration::from_micros(changes.age_us));
-        if changes.upto < self.upto {
+        if changes.revision < self.revision {
             // What is known here is newer, and so as good as of that moment.
-            self.see(changes.upto, as_of);
+            self.see(changes.revision, as_of);
             return true;
         }
         let items: Vec<Entry> = changes.items.into_iter().map(entry).collect();
-        if changes.whole {
-            if sum(&items) != changes.sum {
+        if changes.full {
+            if sum(&items) != changes.checksum {
                 return false;
             }
             self.entries = items;
             self.gone.clear();
-            self.since = changes.upto;
+            self.since = changes.revision;
         } else {
-            self.put(items, changes.gone);
+            self.put(items, changes.removed);
         }
         self.sum = sum(&self.entries);
-        if self.sum != changes.sum {
+        if self.sum != changes.checksum {
             return false;
         }
-        self.see(changes.upto, as_of);
+        self.see(changes.revision, as_of);
         true
     }
 
-    fn put(&mut self, items: Vec<Entry>, gone: Vec<Gone>) {
+    fn put(&mut self, items: Vec<Entry>, gone: Vec<Removal>) {
         for gone in gone {
             let found = self.entries.binary_search_by(|have| have.key.cmp(&gone.key));
             if let Ok(at) = found
@@ -251,7 +251,7 @@
     }
 
     fn see(&mut self, revision: u64, as_of: Moment) {
-        self.upto = self.upto.max(revision);
+        self.revision = self.revision.max(revision);
         if self.as_of.is_none_or(|have| as_of.reached(have)) {
             self.as_of = Some(as_of);
         }
@@ -259,7 +259,7 @@
 
     fn forget(&mut self, key: String, revision: u64) {
         let at = self.gone.partition_point(|have| have.revision <= revision);
-        self.gone.insert(at, Gone { key, revision });
+        self.gone.insert(at, Removal { key, revision });
         let over = self.gone.len().saturating_sub(GONE);
         for gone in self.gone.drain(..over) {
             self.since = self.since.max(gone.revision);
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -119,7 +119,7 @@
     async fn ask(&mut self, peer: SocketAddr) -> bool {
         let (after, before) = {
             let mirror = self.shared.mirror();
-            (mirror.upto(), mirror.as_of())
+            (mirror.revision(), mirror.as_of())
         };
         let told = match self.ask_after(peer, after).await {
             // Something was missed; all keys tell what.
@@ -154,7 +154,7 @@
         if let Some(notice) = told.document.take() {
             document::hear(&shared, asked, notice);
         }
-        Some(self.shared.mirror().take(asked, told))
+        Some(self.shared.mirror().apply(asked, told))
     }
 
     /// The connections to a peer; those to hosts that no longer live are dropped.
@@ -206,7 +206,7 @@
             {
                 return self.ask(peer).await;
             }
-            self.shared.mirror().page(mirror::Page {
+            self.shared.mirror().add_page(mirror::Page {
                 after,
                 entries,
                 more: last.is_some(),
@@ -228,7 +228,7 @@
     /// nothing is known yet, as after a start. When hundreds of hosts start at once, the
     /// store would turn most of them away again and again.
     fn defers(&mut self, now: Moment, first: &[Entry]) -> Option<SocketAddr> {
-        if self.deferred >= DEFERRED || self.shared.mirror().upto() > 0 {
+        if self.deferred >= DEFERRED || self.shared.mirror().revision() > 0 {
             return None;
         }
         let me = self.shared.settings.load().peer_listen;
@@ -249,7 +249,7 @@
             let Some(as_of) = mirror.as_of() else {
                 return false;
             };
-            let under = |prefix: &str| mirror.under(prefix).to_vec();
+            let under = |prefix: &str| mirror.with_prefix(prefix).to_vec();
             (as_of, under(keys.runners), under(PREFIX))
         };
         let changed = self.beliefs.list(as_of, &runners);
--- a/tests/suite/proxy/mirror.rs
+++ b/tests/suite/proxy/mirror.rs
@@ -56,7 +56,7 @@
             let more = rest.len() > PAGE;
             let entries: Vec<Entry> = rest.into_iter().take(PAGE).map(entry).collect();
             let last = entries.last().map(|entry| entry.key.clone());
-            mirror.page(Page {
+            mirror.add_page(Page {
                 after: after.clone(),
                 entries,
                 more,
@@ -75,7 +75,7 @@
     /// Whether a host knows everything up to its revision, and nothing that never
     /// was.
     fn is_known(&self, mirror: &Mirror) -> bool {
-        let upto = mirror.upto();
+        let upto = mirror.revision();
         if upto > self.revision() {
             return false;
         }
@@ -119,11 +119,11 @@
         if asker == 0 {
             store.list(at(step), &mut hosts[0]);
         } else if asker != teller {
-            let mut told = tell(&hosts, teller, hosts[asker].upto());
+            let mut told = tell(&hosts, teller, hosts[asker].revision());
             spoil(&mut told);
-            if !hosts[asker].take(at(step), told) {
+            if !hosts[asker].apply(at(step), told) {
                 let told = tell(&hosts, teller, 0);
-                assert!(hosts[asker].take(at(step), told), "everything is enough");
+                assert!(hosts[asker].apply(at(step), told), "everything is enough");
             }
         }
         for (at_host, host) in hosts.iter().enumerate() {
@@ -151,7 +151,7 @@
 #[test]
 fn an_answer_that_lacks_something_is_not_taken() {
     for seed in 0..40 {
-        play(seed, |changes| changes.gone.clear()).expect("all is known");
+        play(seed, |changes| changes.removed.clear()).expect("all is known");
         play(seed, |changes| drop(changes.items.pop())).expect("all is known");
     }
 }
@@ -159,7 +159,7 @@
 /// The checker must see a host that believes to know more than it does.
 #[test]
 fn a_host_that_knows_too_little_is_seen() {
-    let caught = (0..40).filter(|seed| play(*seed, |changes| changes.upto += 20).is_err());
+    let caught = (0..40).filter(|seed| play(*seed, |changes| changes.revision += 20).is_err());
     assert!(caught.count() > 0);
 }
 
@@ -173,8 +173,8 @@
     store.list(at(0), &mut reader);
     store.list(at(1), &mut asker);
     store.list(at(4_000), &mut reader);
-    let told = reader.changes(at(4_700), asker.upto()).expect("it can tell");
-    asker.take(at(4_500), told);
+    let told = reader.changes(at(4_700), asker.revision()).expect("it can tell");
+    asker.apply(at(4_500), told);
     let as_of = asker.as_of().expect("it has listed");
     assert_eq!(at(4_500).since(as_of), Duration::from_millis(700));
 }
@@ -189,7 +189,7 @@
     store.list(at(0), &mut early);
     store.change(30);
     store.list(at(1), &mut late);
-    let whole = |after| late.changes(at(2), after).expect("it has listed").whole;
-    assert!(whole(early.upto()) && whole(0));
-    assert!(!early.changes(at(2), late.upto()).expect("it has listed").whole);
+    let whole = |after| late.changes(at(2), after).expect("it has listed").full;
+    assert!(whole(early.revision()) && whole(0));
+    assert!(!early.changes(at(2), late.revision()).expect("it has listed").full);
 }
--- a/tests/suite/proxy/schedule.rs
+++ b/tests/suite/proxy/schedule.rs
@@ -256,7 +256,7 @@
             if let Some((_, changes)) = host.told.take_if(|(due, _)| *due <= ms) {
                 let asked = if self.fault == Fault::Unaged { ms } else { asked };
                 host.asking = None;
-                host.mirror.take(at(asked), changes);
+                host.mirror.apply(at(asked), changes);
                 believe(host, at(ms));
             } else if ms > asked + 4_000 {
                 host.asking = None;
@@ -267,7 +267,7 @@
         if !begins || peer == at_host {
             return;
         }
-        let after = host.mirror.upto();
+        let after = host.mirror.revision();
         // A frozen peer answers when it wakes, by what it knew before.
         let handled = self.hosts[peer].frozen_until.max(ms);
         let Some(changes) = self.hosts[peer].mirror.changes(at(handled), after) else {
@@ -396,7 +396,7 @@
     });
     let mut entries: Vec<Entry> = items.chain([document]).collect();
     entries.sort_by(|a, b| a.key.cmp(&b.key));
-    host.mirror.page(Page {
+    host.mirror.add_page(Page {
         after: String::new(),
         entries,
         more: false,
@@ -420,7 +420,7 @@
         .configure(table(document.version, vec![customer("ana", keys)]));
     host.state.freshness.renew(as_of);
     host.lease.show(now, host.mirror.find("duty"));
-    let entries = host.mirror.under("").to_vec();
+    let entries = host.mirror.with_prefix("").to_vec();
     let (sealed, others): (Vec<Entry>, Vec<Entry>) = entries
         .into_iter()
         .partition(|entry| entry.key.contains("sealed"));
