--- a/crates/core/src/proxy/document.rs
+++ b/crates/core/src/proxy/document.rs
@@ -17,7 +17,7 @@
 /// Longest text or difference, in bytes, that a peer tells along with its version. A
 /// reader tells two dozen hosts at once, and its link may be no faster than theirs; a
 /// longer text is read from the store.
-pub const SHORT: usize = 16 * 1024;
+pub const INLINE_BYTES: usize = 16 * 1024;
 /// Former texts that are kept, to tell what has changed since: changes may come in quick
 /// succession.
 const FORMER: usize = 2;
@@ -44,15 +44,15 @@
 
 /// What a peer's notice means to the host that asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum Update {
     /// The text that is known was the newest at that moment.
-    Proven(Moment),
+    Current(Moment),
     /// A newer text, which was the newest at that moment.
     Text(Moment, u64, String),
     /// A newer version stands, and its text has to be read.
     Newer(u64),
     /// The peer knows an older version.
-    Older,
+    Outdated,
 }
 
 /// The newest text that is known, and how far it is proven.
@@ -75,7 +75,7 @@
     }
 
     /// Newest version that is known to stand, of which the text may have yet to be read.
-    pub fn newest(&self) -> u64 {
+    pub fn newest_version(&self) -> u64 {
         self.newest
     }
 
@@ -90,14 +90,14 @@
     }
 
     /// The text that is known was the newest at `as_of`.
-    pub fn renew(&mut self, as_of: Moment) {
+    pub fn confirm(&mut self, as_of: Moment) {
         if self.as_of.is_none_or(|have| as_of.reached(have)) {
             self.as_of = Some(as_of);
         }
     }
 
     /// Takes a text that was the newest at `as_of`; whether it is newer than the known one.
-    pub fn take(&mut self, as_of: Moment, entry: Arc<Entry>) -> bool {
+    pub fn replace(&mut self, as_of: Moment, entry: Arc<Entry>) -> bool {
         if entry.version < self.version() {
             return false;
         }
@@ -107,7 +107,7 @@
         }
         self.newest = self.newest.max(entry.version);
         self.entry = Some(entry);
-        self.renew(as_of);
+        self.confirm(as_of);
         is_newer
     }
 
@@ -131,7 +131,7 @@
         if entry.version <= have {
             return Some(notice);
         }
-        if entry.value.len() > SHORT {
+        if entry.value.len() > INLINE_BYTES {
             notice.delta = self.delta(&entry, have, most);
         }
         if notice.delta.is_none() && entry.value.len() <= most {
@@ -152,18 +152,18 @@
     ///
     /// The age is counted back from the question, as the answer may have been under way
     /// for long.
-    pub fn hear(&mut self, asked: Moment, notice: Notice) -> News {
+    pub fn receive(&mut self, asked: Moment, notice: Notice) -> Update {
         let as_of = asked.back(Duration::from_micros(notice.age_us));
         if notice.version < self.version() {
-            return News::Older;
+            return Update::Outdated;
         }
         if notice.version == self.version() {
-            return News::Proven(as_of);
+            return Update::Current(as_of);
         }
         self.newest = self.newest.max(notice.version);
         match notice.text.or_else(|| self.changed(notice.have, notice.delta?)) {
-            Some(text) => News::Text(as_of, notice.version, text),
-            None => News::Newer(notice.version),
+            Some(text) => Update::Text(as_of, notice.version, text),
+            None => Update::Newer(notice.version),
         }
     }
 
--- a/crates/entry/src/proxy/changes.rs
+++ b/crates/entry/src/proxy/changes.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode, Uri};
 use prost::Message;
-use radishstair_core::proxy::document::{Notice, SHORT};
+use radishstair_core::proxy::document::{INLINE_BYTES, Notice};
 use radishstair_core::proxy::mirror::Changes;
 
 use super::reply::{Body, answer};
@@ -60,7 +60,7 @@
     };
     let changes = shared.mirror().changes(shared.now(), after);
     let changes = changes.map(|changes| Changes {
-        document: document::notice(shared, have, SHORT),
+        document: document::notice(shared, have, INLINE_BYTES),
         ..changes
     });
     encoded(changes)
@@ -110,7 +110,7 @@
     have: u64,
     most: usize,
 ) -> Option<Notice> {
-    let timeouts = if most <= SHORT {
+    let timeouts = if most <= INLINE_BYTES {
         SHORT_ANSWER
     } else {
         call::TRANSFER
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use radishstair_core::proxy::document::{News, Notice, SHORT};
+use radishstair_core::proxy::document::{INLINE_BYTES, Notice, Update};
 use radishstair_core::proxy::readers::{self, Readers};
 use radishstair_core::proxy::refresh::{Failure, Plan, Standing, Step};
 use radishstair_core::store::{Answer, Call, Entry};
@@ -50,7 +50,7 @@
         let began = self.shared.now();
         let holder = self.shared.document_holder().take();
         if let Some(peer) = holder {
-            self.ask(peer, SHORT).await;
+            self.ask(peer, INLINE_BYTES).await;
         }
         let standing = self.standing();
         let step = self.plan.step(standing);
@@ -140,7 +140,7 @@
 fn renew(shared: &Shared, as_of: Moment) {
     let (version, is_behind) = {
         let mut document = shared.document();
-        document.renew(as_of);
+        document.confirm(as_of);
         (document.version(), document.is_behind())
     };
     let mut state = shared.state();
@@ -158,7 +158,7 @@
 /// Takes a text that was the newest at `as_of`, and puts it in force; whether it is new.
 fn take(shared: &Shared, as_of: Moment, entry: Entry) -> bool {
     let entry = Arc::new(entry);
-    let is_new = shared.document().take(as_of, entry.clone());
+    let is_new = shared.document().replace(as_of, entry.clone());
     if is_new {
         put_in_force(shared, as_of, &entry);
     }
@@ -196,18 +196,18 @@
 pub fn hear(shared: &Shared, asked: Moment, notice: Notice) -> bool {
     let (known, news) = {
         let mut document = shared.document();
-        (document.newest(), document.hear(asked, notice))
+        (document.newest_version(), document.receive(asked, notice))
     };
     match news {
-        News::Proven(as_of) => {
+        Update::Current(as_of) => {
             renew(shared, as_of);
             false
         }
-        News::Text(as_of, version, value) => {
+        Update::Text(as_of, version, value) => {
             let key = shared.dialect.keys().document.to_string();
             take(shared, as_of, Entry { key, version, value })
         }
-        News::Newer(version) => {
+        Update::Newer(version) => {
             if known < version {
                 tracing::info!(event = "configuration-to-read", revision = version);
             }
@@ -215,7 +215,7 @@
             shared.document_wanted.notify_one();
             false
         }
-        News::Older => false,
+        Update::Outdated => false,
     }
 }
 
@@ -224,7 +224,7 @@
 /// Of several that read, the one with the fastest link says so first, and is asked for
 /// what has changed while the others may still be reading.
 pub fn hear_version(shared: &Shared, peer: SocketAddr, version: u64) {
-    if version > shared.document().newest() {
+    if version > shared.document().newest_version() {
         *shared.document_holder() = Some(peer);
         shared.document_wanted.notify_one();
     }
--- a/tests/suite/proxy/document.rs
+++ b/tests/suite/proxy/document.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use radishstair_core::proxy::delta::Delta;
-use radishstair_core::proxy::document::{Document, News, SHORT};
+use radishstair_core::proxy::document::{Document, INLINE_BYTES, Update};
 use radishstair_core::store::Entry;
 use radishstair_core::time::Moment;
 
@@ -22,7 +22,7 @@
 
 fn host(version: u64, length: usize, as_of: Moment) -> Document {
     let mut document = Document::default();
-    document.take(as_of, text(version, length));
+    document.replace(as_of, text(version, length));
     document
 }
 
@@ -30,24 +30,26 @@
 #[test]
 fn a_host_that_has_the_text_is_told_its_version_only() {
     let mut reader = host(7, 1_000, at(0));
-    let notice = reader.notice(at(100), 7, SHORT).expect("it has a text");
+    let notice = reader.notice(at(100), 7, INLINE_BYTES).expect("it has a text");
     assert_eq!((notice.version, notice.text.as_deref()), (7, None));
     let mut asker = host(7, 1_000, at(0));
-    assert_eq!(asker.hear(at(600), notice), News::Proven(at(500)));
+    assert_eq!(asker.receive(at(600), notice), Update::Current(at(500)));
 }
 
 /// Guards against readers' links that a large text fills, once for each host that asks.
 #[test]
 fn a_large_text_is_not_told_along_with_its_version() {
     let mut asker = host(6, 1_000, at(0));
-    let short = host(7, 1_000, at(400)).notice(at(500), 6, SHORT).expect("a text");
-    assert!(matches!(asker.clone().hear(at(500), short), News::Text(as_of, 7, _) if as_of == at(400)));
+    let short = host(7, 1_000, at(400))
+        .notice(at(500), 6, INLINE_BYTES)
+        .expect("a text");
+    assert!(matches!(asker.clone().receive(at(500), short), Update::Text(as_of, 7, _) if as_of == at(400)));
     let mut reader = host(7, 500_000, at(400));
-    let large = reader.notice(at(500), 6, SHORT).expect("a text");
-    assert_eq!(asker.hear(at(500), large), News::Newer(7));
+    let large = reader.notice(at(500), 6, INLINE_BYTES).expect("a text");
+    assert_eq!(asker.receive(at(500), large), Update::Newer(7));
     assert!(asker.is_behind() && asker.version() == 6);
     let asked_for = reader.notice(at(600), 6, usize::MAX).expect("a text");
-    assert!(matches!(asker.hear(at(600), asked_for), News::Text(..)));
+    assert!(matches!(asker.receive(at(600), asked_for), Update::Text(..)));
 }
 
 /// Guards against a proof of the newer version that is taken for one of the older text.
@@ -55,11 +57,11 @@
 fn a_version_that_has_to_be_read_proves_nothing_of_the_known_one() {
     let mut asker = host(6, 10, at(0));
     let notice = host(7, 500_000, at(900))
-        .notice(at(1_000), 6, SHORT)
+        .notice(at(1_000), 6, INLINE_BYTES)
         .expect("a text");
-    asker.hear(at(1_000), notice);
+    asker.receive(at(1_000), notice);
     assert_eq!(asker.age(at(1_500)), Some(Duration::from_millis(1_500)));
-    assert!(asker.take(at(1_200), text(7, 500_000)));
+    assert!(asker.replace(at(1_200), text(7, 500_000)));
     assert!(!asker.is_behind());
     assert_eq!(asker.age(at(1_500)), Some(Duration::from_millis(300)));
 }
@@ -68,9 +70,11 @@
 #[test]
 fn an_older_text_is_not_taken() {
     let mut document = host(7, 10, at(500));
-    assert!(!document.take(at(600), text(6, 10)));
-    let notice = host(6, 10, at(700)).notice(at(700), 0, SHORT).expect("a text");
-    assert_eq!(document.hear(at(700), notice), News::Older);
+    assert!(!document.replace(at(600), text(6, 10)));
+    let notice = host(6, 10, at(700))
+        .notice(at(700), 0, INLINE_BYTES)
+        .expect("a text");
+    assert_eq!(document.receive(at(700), notice), Update::Outdated);
     assert_eq!(
         (document.version(), document.age(at(700))),
         (7, Some(Duration::from_millis(200)))
@@ -82,7 +86,9 @@
 fn a_host_without_a_text_tells_nothing() {
     let mut document = Document::default();
     assert!(document.is_behind());
-    assert!(document.notice(at(0), 0, SHORT).is_none() && document.notice(at(0), 0, usize::MAX).is_none());
+    assert!(
+        document.notice(at(0), 0, INLINE_BYTES).is_none() && document.notice(at(0), 0, usize::MAX).is_none()
+    );
 }
 
 /// Rows of a document, as the operator writes them.
@@ -131,19 +137,23 @@
     };
     let (former, new) = (rows(1, 4_000, None), rows(2, 4_000, Some(9)));
     let (mut reader, mut asker) = (Document::default(), Document::default());
-    reader.take(at(0), entry(6, former.clone()));
-    asker.take(at(0), entry(6, former));
-    reader.take(at(400), entry(7, new.clone()));
-    let notice = reader.notice(at(500), 6, SHORT).expect("a text");
+    reader.replace(at(0), entry(6, former.clone()));
+    asker.replace(at(0), entry(6, former));
+    reader.replace(at(400), entry(7, new.clone()));
+    let notice = reader.notice(at(500), 6, INLINE_BYTES).expect("a text");
     assert!(notice.text.is_none() && notice.delta.is_some());
     assert_eq!(
-        asker.clone().hear(at(500), notice.clone()),
-        News::Text(at(400), 7, new)
+        asker.clone().receive(at(500), notice.clone()),
+        Update::Text(at(400), 7, new)
     );
-    asker.take(at(450), entry(8, "a newer one, read meanwhile".into()));
-    assert_eq!(asker.hear(at(500), notice), News::Older);
+    asker.replace(at(450), entry(8, "a newer one, read meanwhile".into()));
+    assert_eq!(asker.receive(at(500), notice), Update::Outdated);
     assert!(
-        reader.notice(at(500), 5, SHORT).expect("a text").delta.is_none(),
+        reader
+            .notice(at(500), 5, INLINE_BYTES)
+            .expect("a text")
+            .delta
+            .is_none(),
         "not kept"
     );
 }
--- a/tests/suite/proxy/refresh.rs
+++ b/tests/suite/proxy/refresh.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use radishstair_core::proxy::document::{Document, News, SHORT};
+use radishstair_core::proxy::document::{Document, INLINE_BYTES, Update};
 use radishstair_core::proxy::readers::{self, Host, Readers, Source};
 use radishstair_core::proxy::refresh::{Failure, Plan, ROUND, Standing, Step};
 use radishstair_core::store::Entry;
@@ -211,7 +211,7 @@
         let took = Duration::from_millis(self.now - asked);
         let state = &mut self.nodes[node];
         state.asks = false;
-        state.document.take(at(asked), document);
+        state.document.replace(at(asked), document);
         let pause = state.plan.answered(took);
         self.plan((pause.as_millis() as u64).max(1), node, Event::Look);
     }
@@ -230,15 +230,15 @@
 
     fn told(&mut self, node: usize, peer: usize, asked: u64) {
         let have = self.nodes[node].document.version();
-        let notice = self.nodes[peer].document.notice(at(self.now), have, SHORT);
+        let notice = self.nodes[peer].document.notice(at(self.now), have, INLINE_BYTES);
         let Some(notice) = notice else {
             return;
         };
-        match self.nodes[node].document.hear(at(asked), notice) {
-            News::Newer(_) => self.plan(0, node, Event::Look),
-            News::Text(..) => unreachable!("the document is large"),
-            News::Proven(as_of) => self.nodes[node].document.renew(as_of),
-            News::Older => {}
+        match self.nodes[node].document.receive(at(asked), notice) {
+            Update::Newer(_) => self.plan(0, node, Event::Look),
+            Update::Text(..) => unreachable!("the document is large"),
+            Update::Current(as_of) => self.nodes[node].document.confirm(as_of),
+            Update::Outdated => {}
         }
     }
 
