--- a/crates/core/src/proxy/refresh.rs
+++ b/crates/core/src/proxy/refresh.rs
@@ -11,7 +11,7 @@
 /// Time between the beginnings of two rounds. Withdrawn routes must stop within
 /// two seconds, also where the word of a peer that has read something new is lost:
 /// its round, one's own, and an answer that is lost fit in.
-pub const ROUND: Duration = Duration::from_millis(600);
+pub const ROUND_INTERVAL: Duration = Duration::from_millis(600);
 /// Age of the proof past which a host that hears nothing from its peers asks the store:
 /// a reader's round and its own. A reader with a slow link may be reading a new text.
 const UNHEARD: Duration = Duration::from_millis(1_300);
@@ -24,9 +24,9 @@
 plain! {
     /// What a host knows of its document.
     #[derive(Copy, Eq)]
-    pub struct Standing {
+    pub struct Status {
         /// Whether it reads the store for others.
-        pub reads: bool,
+        pub is_reader: bool,
         /// Whether it lacks a text that is known to stand.
         pub is_behind: bool,
         /// Age of its proof, if there is one.
@@ -39,11 +39,11 @@
     #[derive(Copy, Eq)]
     pub enum Step {
         /// Nothing for that long.
-        Rest(Duration),
+        Wait(Duration),
         /// Ask whether the version still stands.
-        Renew,
+        Revalidate,
         /// Read the text.
-        Read,
+        Fetch,
     }
 }
 
@@ -68,19 +68,19 @@
 
 impl Plan {
     /// What is to be done now.
-    pub fn step(&self, standing: Standing) -> Step {
-        let age = standing.age.unwrap_or(Duration::MAX);
-        if standing.is_behind {
-            return Step::Read;
+    pub fn step(&self, status: Status) -> Step {
+        let age = status.age.unwrap_or(Duration::MAX);
+        if status.is_behind {
+            return Step::Fetch;
         }
-        if !standing.reads && age < UNHEARD {
-            return Step::Rest((UNHEARD - age).max(LEAST));
+        if !status.is_reader && age < UNHEARD {
+            return Step::Wait((UNHEARD - age).max(LEAST));
         }
         // The question for the version is a change to the store, whose answers may be lost
         // one after the other; a read is answered, if with the whole text.
         match self.unanswered {
-            true => Step::Read,
-            false => Step::Renew,
+            true => Step::Fetch,
+            false => Step::Revalidate,
         }
     }
 
@@ -88,13 +88,13 @@
     pub fn answered(&mut self, took: Duration) -> Duration {
         self.backoff.reset();
         self.unanswered = false;
-        ROUND.saturating_sub(took)
+        ROUND_INTERVAL.saturating_sub(took)
     }
 
     /// The question brought nothing; the pause before the next one, spread by a draw.
     /// `is_away`: the store answers this host nothing at all.
     pub fn failed(&mut self, step: Step, failure: Failure, is_away: bool, draw: u32) -> Duration {
-        self.unanswered = step == Step::Renew && failure == Failure::Lost;
+        self.unanswered = step == Step::Revalidate && failure == Failure::Lost;
         let pause = self.backoff.pause(draw);
         match is_away {
             true => pause.max(AWAY),
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -11,7 +11,7 @@
 
 use radishstair_core::proxy::document::{INLINE_BYTES, Notice, Update};
 use radishstair_core::proxy::readers::{self, Readers};
-use radishstair_core::proxy::refresh::{Failure, Plan, Standing, Step};
+use radishstair_core::proxy::refresh::{Failure, Plan, Status, Step};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
 
@@ -54,10 +54,10 @@
         }
         let standing = self.standing();
         let step = self.plan.step(standing);
-        if let Step::Rest(pause) = step {
+        if let Step::Wait(pause) = step {
             return pause;
         }
-        let Err(failure) = self.read(step, standing.reads).await else {
+        let Err(failure) = self.read(step, standing.is_reader).await else {
             let took = self.shared.now().since(began);
             return self.plan.answered(took);
         };
@@ -68,12 +68,12 @@
         self.plan.failed(step, failure, is_away, rand::random())
     }
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> Status {
         let now = self.shared.now();
         let reads = self.is_reader();
         let document = self.shared.document();
-        Standing {
-            reads,
+        Status {
+            is_reader: reads,
             is_behind: document.is_behind(),
             age: document.age(now),
         }
@@ -90,8 +90,8 @@
         let key = self.shared.dialect.keys().document.to_string();
         let version = self.shared.document().version();
         let call = match step {
-            Step::Renew => Call::Renew { key, version },
-            Step::Read | Step::Rest(_) => Call::Get { key },
+            Step::Revalidate => Call::Renew { key, version },
+            Step::Fetch | Step::Wait(_) => Call::Get { key },
         };
         let page = call::ask_with(&self.shared, &self.store, &call, TRANSFER).await;
         match page.answer {
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -12,7 +12,7 @@
 
 use radishstair_core::proxy::backoff::Backoff;
 use radishstair_core::proxy::readers::{self, Readers, Source};
-use radishstair_core::proxy::refresh::ROUND;
+use radishstair_core::proxy::refresh::ROUND_INTERVAL;
 use radishstair_core::proxy::{STORE_PROBE_INTERVAL, mirror};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
@@ -55,7 +55,7 @@
     while !reader.own.is_closed() {
         let began = reader.shared.now();
         let waits = match reader.round(began).await {
-            true => reader.rest(ROUND, began),
+            true => reader.rest(ROUND_INTERVAL, began),
             false => reader.backoff.pause(rand::random()),
         };
         // Peers tell only those that ask them; one that reads has its own rounds.
--- a/tests/suite/proxy/refresh.rs
+++ b/tests/suite/proxy/refresh.rs
@@ -6,7 +6,7 @@
 
 use radishstair_core::proxy::document::{Document, INLINE_BYTES, Update};
 use radishstair_core::proxy::readers::{self, Host, Readers, Source};
-use radishstair_core::proxy::refresh::{Failure, Plan, ROUND, Standing, Step};
+use radishstair_core::proxy::refresh::{Failure, Plan, ROUND_INTERVAL, Status, Step};
 use radishstair_core::store::Entry;
 use radishstair_core::time::Moment;
 use rand::{RngExt, SeedableRng};
@@ -176,19 +176,19 @@
         if state.asks {
             return;
         }
-        let standing = Standing {
-            reads: readers::is_reader(state.host.address, &self.hosts),
+        let standing = Status {
+            is_reader: readers::is_reader(state.host.address, &self.hosts),
             is_behind: state.document.is_behind(),
             age: state.document.age(now),
         };
         let step = state.plan.step(standing);
-        state.asks = !matches!(step, Step::Rest(_));
-        if let Step::Rest(pause) = step {
+        state.asks = !matches!(step, Step::Wait(_));
+        if let Step::Wait(pause) = step {
             self.plan((pause.as_millis() as u64).max(1), node, Event::Look);
         } else if AWAY.contains(&self.now) {
             self.plan(GIVEN_UP_MS, node, Event::Failed(step));
         } else {
-            let same = step == Step::Renew && state.document.version() == self.document.version;
+            let same = step == Step::Revalidate && state.document.version() == self.document.version;
             let bytes = match same {
                 true => SMALL,
                 false => self.document.value.len() as u64,
@@ -225,7 +225,7 @@
             let asked = self.now;
             self.plan(5, node, Event::Told(peer.expect("it lives"), asked));
         }
-        self.plan(ROUND.as_millis() as u64, node, Event::Round);
+        self.plan(ROUND_INTERVAL.as_millis() as u64, node, Event::Round);
     }
 
     fn told(&mut self, node: usize, peer: usize, asked: u64) {
