--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -294,7 +294,7 @@
                 Some(found.ok_or_else(|| unless_newest(Kind::UnknownKey))?)
             }
         };
-        let service = route.service(ask.draw);
+        let service = route.pick_service(ask.draw);
         let engine = table.service(service).and_then(|service| service.engine);
         Ok(Admission {
             service: service.to_string(),
@@ -330,7 +330,7 @@
         let again = self.admit(now, ask)?;
         let still = again.customer == admission.customer
             && again.route.name == admission.route.name
-            && again.route.has(&admission.service);
+            && again.route.uses(&admission.service);
         match still {
             true => Ok(()),
             false => Err(Refusal::new(Kind::Stale).detail("the configuration has just changed")),
--- a/crates/core/src/proxy/partition.rs
+++ b/crates/core/src/proxy/partition.rs
@@ -74,8 +74,11 @@
 
 /// Shortest pause that any route of a service allows.
 pub fn allowed_pause(table: &Table, service: &str) -> Duration {
-    let routes = table.routes().iter().filter(|route| route.has(service));
-    routes.filter_map(|route| route.gap).min().unwrap_or(USUAL_PAUSE)
+    let routes = table.routes().iter().filter(|route| route.uses(service));
+    routes
+        .filter_map(|route| route.max_event_gap)
+        .min()
+        .unwrap_or(USUAL_PAUSE)
 }
 
 /// Divides each zone's runners of a service between long and short prompts,
--- a/crates/core/src/proxy/route.rs
+++ b/crates/core/src/proxy/route.rs
@@ -55,9 +55,9 @@
         /// Most runners that one request may be sent to.
         pub attempts: u32,
         /// Time within which an answer is worth most.
-        pub target: Option<Duration>,
+        pub target_latency: Option<Duration>,
         /// Longest pause between events of a stream that is on time.
-        pub gap: Option<Duration>,
+        pub max_event_gap: Option<Duration>,
         /// Rank, 0 first.
         pub priority: u8,
         /// Whether it needs no key.
@@ -69,14 +69,14 @@
 
 impl Route {
     /// Whether a service runs some of it.
-    pub fn has(&self, service: &str) -> bool {
+    pub fn uses(&self, service: &str) -> bool {
         self.shares
             .iter()
             .any(|share| share.service == service && share.weight > 0)
     }
 
     /// Service of one request, by its draw.
-    pub fn service(&self, draw: u64) -> &str {
+    pub fn pick_service(&self, draw: u64) -> &str {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
         let mut left = draw % total.max(1);
         for share in &self.shares {
@@ -150,13 +150,13 @@
     #[derive(Copy)]
     pub struct Limits {
         /// Most bytes of a head.
-        pub head: usize,
+        pub head_bytes: usize,
         /// Most bytes of a body.
-        pub body: usize,
+        pub body_bytes: usize,
         /// Longest time for a head to come.
-        pub head_time: Duration,
+        pub head_timeout: Duration,
         /// Longest time that a connection may stay idle.
-        pub idle: Duration,
+        pub idle_timeout: Duration,
     }
 }
 
@@ -165,10 +165,10 @@
     /// the first documents of the users carry.
     fn default() -> Self {
         Self {
-            head: 16 * 1024,
-            body: 4 * 1024 * 1024,
-            head_time: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            head_bytes: 16 * 1024,
+            body_bytes: 4 * 1024 * 1024,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -80,8 +80,8 @@
     // The time for a head also runs while a connection is idle, so it must not
     // be shorter than the idle time that callers were told.
     let limits = serve::Limits {
-        head_time: limits.idle.max(limits.head_time),
-        head: limits.head.max(HEAD_BUFFER),
+        head_time: limits.idle_timeout.max(limits.head_timeout),
+        head: limits.head_bytes.max(HEAD_BUFFER),
     };
     serve::connection(stream, limits, service, stop).await;
 }
@@ -97,7 +97,7 @@
     if shared.is_stopping() || shared.state().hands_over(arrived) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     } else {
-        let idle = limits(&shared).idle.as_secs().max(1);
+        let idle = limits(&shared).idle_timeout.as_secs().max(1);
         if let Ok(value) = HeaderValue::from_str(&format!("timeout={idle}")) {
             headers.insert(HeaderName::from_static("keep-alive"), value);
         }
@@ -115,7 +115,7 @@
     let (parts, body) = request.into_parts();
     let head = shared.dialect.head(&parts);
     let deadline = head.as_ref().ok().and_then(|head| head.deadline);
-    let body = read(body, limits(&shared).body, deadline.unwrap_or(BODY)).await;
+    let body = read(body, limits(&shared).body_bytes, deadline.unwrap_or(BODY)).await;
     let head = head.map_err(|kind| refused(&shared, None, Refusal::new(kind)))?;
     let body = body.map_err(|kind| refused(&shared, Some(&head), Refusal::new(kind)))?;
     let admission =
--- a/crates/entry/src/proxy/stream/run.rs
+++ b/crates/entry/src/proxy/stream/run.rs
@@ -84,7 +84,7 @@
     /// Longest silence of a run that another one could follow.
     fn patience(&self, job: &Job) -> Option<Duration> {
         self.last.filter(|_| !job.once())?;
-        let gap = job.admission.route.gap?;
+        let gap = job.admission.route.max_event_gap?;
         Some((gap * SILENCE_GAPS).max(SILENCE))
     }
 
--- a/tests/suite/proxy/build.rs
+++ b/tests/suite/proxy/build.rs
@@ -31,8 +31,8 @@
         mode,
         timeout: Some(Duration::from_secs(15)),
         attempts: 2,
-        target: Some(Duration::from_millis(800)),
-        gap: None,
+        target_latency: Some(Duration::from_millis(800)),
+        max_event_gap: None,
         priority: 1,
         public: false,
         shares: vec![Share {
--- a/tests/suite/proxy/limits.rs
+++ b/tests/suite/proxy/limits.rs
@@ -68,7 +68,11 @@
         weight,
     };
     split.shares = vec![share("a", 90), share("b", 10), share("c", 0)];
-    let count = |name: &str| (0..1_000).filter(|draw| split.service(*draw) == name).count();
+    let count = |name: &str| {
+        (0..1_000)
+            .filter(|draw| split.pick_service(*draw) == name)
+            .count()
+    };
     assert_eq!((count("a"), count("b"), count("c")), (900, 100, 0));
 }
 
