--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -120,7 +120,7 @@
 
 plain! {
     /// What a request's head says, in the product's words.
-    pub struct Ask<'a> {
+    pub struct RequestHead<'a> {
         /// Name in the `Host` header.
         pub host: &'a str,
         /// Path without query.
@@ -242,7 +242,7 @@
     /// elsewhere while it can still serve them, and refuses nobody meanwhile. Where
     /// the store answers no host at all, the peers' proof is old as well, and nobody
     /// is sent about.
-    pub fn hands_over(&self, now: Moment) -> bool {
+    pub fn should_hand_off(&self, now: Moment) -> bool {
         self.is_fresh(now) && !self.reaches_store(now)
     }
 
@@ -276,7 +276,7 @@
     /// # Errors
     ///
     /// The refusal that the caller gets.
-    pub fn admit(&self, now: Moment, ask: &Ask<'_>) -> Result<Admission, Refusal> {
+    pub fn admit(&self, now: Moment, ask: &RequestHead<'_>) -> Result<Admission, Refusal> {
         let Some(table) = &self.table else {
             return Err(Refusal::new(Kind::Stale).detail("no configuration is known yet"));
         };
@@ -318,7 +318,7 @@
     /// # Errors
     ///
     /// The refusal that the caller gets.
-    pub fn may_send(&self, now: Moment, admission: &Admission, ask: &Ask<'_>) -> Result<(), Refusal> {
+    pub fn may_send(&self, now: Moment, admission: &Admission, ask: &RequestHead<'_>) -> Result<(), Refusal> {
         if admission.keyed && !self.is_fresh(now) {
             return Err(Refusal::new(Kind::Stale));
         }
@@ -339,7 +339,7 @@
 
     /// Takes the whole list of runners, as read by a question that left at `sent`; the
     /// addresses at which another process now listens.
-    pub fn list(&mut self, now: Moment, sent: Moment, items: Vec<Listed>) -> Vec<SocketAddr> {
+    pub fn update_runners(&mut self, now: Moment, sent: Moment, items: Vec<Listed>) -> Vec<SocketAddr> {
         let void = self.fleet.update(sent, items);
         self.divide(now);
         void
@@ -354,8 +354,13 @@
         for service in engines {
             let flow = self.flow(now, &service.name);
             let allowed = partition::allowed_pause(&table, &service.name);
-            let partition = self.partitions.of(&service.name);
-            partition.update(self.latencies.of(&service.name), allowed, flow.long, flow.rate);
+            let partition = self.partitions.get_or_default(&service.name);
+            partition.update(
+                self.latencies.get_or_default(&service.name),
+                allowed,
+                flow.long,
+                flow.rate,
+            );
             partition::assign(self.fleet.runners_mut(), &service.name, partition);
         }
     }
@@ -371,7 +376,7 @@
             fleet: &self.fleet,
             prefixes: &self.prefixes,
             partition: &self.partition(&demand.service),
-            latency: self.latencies.of(&demand.service),
+            latency: self.latencies.get_or_default(&demand.service),
         };
         let choice = placement::choose(known, now, demand, tried)?;
         self.fleet
@@ -390,12 +395,12 @@
     /// A request's first event came `took` after it was sent.
     ///
     /// A straggler tells nothing of the others, so it does not slow the common latency down.
-    pub fn first_event(&mut self, key: Key, conditions: &Conditions, took: Duration) {
+    pub fn record_first_event(&mut self, key: Key, conditions: &Conditions, took: Duration) {
         let Some(runner) = self.fleet.get_mut(key) else {
             return;
         };
         let service = runner.listed.service.clone();
-        let latency = self.latencies.of(&service);
+        let latency = self.latencies.get_or_default(&service);
         runner.record_slowdown(took, latency.predict(conditions));
         let lag = runner.slowdown;
         if lag < STRAGGLER * self.fleet.median_slowdown(&service) {
@@ -404,19 +409,21 @@
     }
 
     /// A stream's event came from a runner, `pause` after the one before.
-    pub fn event(&mut self, key: Key, pause: Duration) {
+    pub fn record_event(&mut self, key: Key, pause: Duration) {
         let Some(runner) = self.fleet.get(key) else {
             return;
         };
         let reading = runner.is_prefilling(self.partition(&runner.listed.service).long_prompt);
-        let latency = self.latencies.of(&runner.listed.service);
+        let latency = self.latencies.get_or_default(&runner.listed.service);
         latency.observe_event_gap(pause, runner.running(), reading);
     }
 
     /// A request that read a prompt has left its runner after `stay`.
-    pub fn left(&mut self, key: Key, stay: Duration) {
+    pub fn record_residence(&mut self, key: Key, stay: Duration) {
         if let Some(runner) = self.fleet.get(key) {
-            self.latencies.of(&runner.listed.service).observe_residence(stay);
+            self.latencies
+                .get_or_default(&runner.listed.service)
+                .observe_residence(stay);
         }
     }
 
@@ -451,7 +458,7 @@
     }
 
     /// Takes what another host has on runners.
-    pub fn hear(&mut self, now: Moment, me: Incarnation, packet: Packet) {
+    pub fn receive(&mut self, now: Moment, me: Incarnation, packet: Packet) {
         if let Ok(record) = serde_json::from_slice(&packet.record) {
             self.ledger.receive(now, record);
         }
@@ -464,7 +471,7 @@
     }
 
     /// Takes a repeat out of the shared budget, if one is left.
-    pub fn may_repeat(&mut self, now: Moment, service: &str) -> bool {
+    pub fn take_retry(&mut self, now: Moment, service: &str) -> bool {
         self.budgets.take(now, service, &self.bounds, self.hosts)
     }
 }
--- a/crates/core/src/proxy/budget.rs
+++ b/crates/core/src/proxy/budget.rs
@@ -62,12 +62,12 @@
 impl Budgets {
     /// Counts a request of a caller for a service.
     pub fn count(&mut self, now: Moment, service: &str) {
-        self.services.of(service).step(now).requests += 1;
+        self.services.get_or_default(service).step(now).requests += 1;
     }
 
     /// Takes a repeat if one is left.
     pub fn take(&mut self, now: Moment, service: &str, bounds: &Bounds, hosts: u32) -> bool {
-        let service = self.services.of(service);
+        let service = self.services.get_or_default(service);
         service.forget(now, bounds.repeat_window_s);
         let requests: u32 = service.steps.iter().map(|step| step.requests).sum();
         let repeats: u32 = service.steps.iter().map(|step| step.repeats).sum();
--- a/crates/core/src/proxy/scaling.rs
+++ b/crates/core/src/proxy/scaling.rs
@@ -326,7 +326,7 @@
         let found: u32 = zones.iter().map(|zone| zone.dependable + zone.cheap).sum();
         let running: u32 = zones.iter().map(|zone| zone.running).sum();
         let slots = service.engine.map_or(u32::MAX, |engine| engine.slots.max(1));
-        let peak = self.peaks.of(&service.name);
+        let peak = self.peaks.get_or_default(&service.name);
         let reading = (flow / 1_000) as u32;
         let urgent = f64::from(peak.urgent.rise(now, reading, HOLD)) / 1e3;
         let usual = f64::from(peak.usual.rise(now, reading, HOLD_CHEAP)) / 1e3;
--- a/crates/core/src/proxy/services.rs
+++ b/crates/core/src/proxy/services.rs
@@ -19,7 +19,7 @@
     }
 
     /// What is kept of a service; the default for one that is new.
-    pub fn of(&mut self, service: &str) -> &mut T {
+    pub fn get_or_default(&mut self, service: &str) -> &mut T {
         let at = self.find(service).unwrap_or_else(|at| {
             self.rows.insert(at, (service.to_string(), T::default()));
             at
--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -94,7 +94,7 @@
         Err(refusal) => reply::refuse(&refusal),
     };
     let headers = answer.headers_mut();
-    if shared.is_stopping() || shared.state().hands_over(arrived) {
+    if shared.is_stopping() || shared.state().should_hand_off(arrived) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     } else {
         let idle = limits(&shared).idle_timeout.as_secs().max(1);
--- a/crates/entry/src/proxy/beliefs.rs
+++ b/crates/entry/src/proxy/beliefs.rs
@@ -60,7 +60,7 @@
         self.parsed = parsed;
         let listed = self.parsed.iter().filter_map(|parsed| parsed.listed.clone());
         let now = self.shared.now();
-        let void = self.shared.state().list(now, as_of, listed.collect());
+        let void = self.shared.state().update_runners(now, as_of, listed.collect());
         self.tell_pace(now);
         for address in void {
             self.runners.forget(address);
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -88,7 +88,7 @@
     /// Takes note of a failed attempt; the refusal, if no other may follow.
     pub fn fail(&self, job: &Job, tries: &mut Tries, fault: Fault) -> Option<Refusal> {
         let now = self.shared.now();
-        let budget = || self.shared.state().may_repeat(now, &job.admission.service);
+        let budget = || self.shared.state().take_retry(now, &job.admission.service);
         let bar = tries.runs.fail(&job.rule(), fault, job.is_over(now), budget)?;
         tracing::info!(
             event = "not-repeated",
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -8,7 +8,7 @@
 use radishstair_core::proxy::fleet::Key;
 use radishstair_core::proxy::placement::Demand;
 use radishstair_core::proxy::route::Mode;
-use radishstair_core::proxy::{Admission, Ask};
+use radishstair_core::proxy::{Admission, RequestHead};
 use radishstair_core::repeat::{self, Rule};
 use radishstair_core::time::Moment;
 
@@ -65,7 +65,7 @@
     }
 
     /// What was asked, for a second look at the document.
-    pub fn ask(&self) -> Ask<'_> {
+    pub fn ask(&self) -> RequestHead<'_> {
         ask(&self.parts, &self.head)
     }
 
@@ -85,9 +85,9 @@
 }
 
 /// What a head asks of the document.
-pub fn ask<'a>(parts: &'a request::Parts, head: &'a Head) -> Ask<'a> {
+pub fn ask<'a>(parts: &'a request::Parts, head: &'a Head) -> RequestHead<'a> {
     let host = parts.headers.get(HOST);
-    Ask {
+    RequestHead {
         host: host.and_then(|host| host.to_str().ok()).unwrap_or_default(),
         path: parts.uri.path(),
         key: head.key.as_deref(),
--- a/crates/entry/src/proxy/peers.rs
+++ b/crates/entry/src/proxy/peers.rs
@@ -179,7 +179,7 @@
             });
             let mut state = shared.state();
             locate(&far, peer, packet.zone != state.fleet.zone);
-            state.hear(now, shared.me, packet);
+            state.receive(now, shared.me, packet);
         }
     }
 }
--- a/crates/entry/src/proxy/slot.rs
+++ b/crates/entry/src/proxy/slot.rs
@@ -35,7 +35,7 @@
         let mut state = self.shared.state();
         state.fleet.finish_prefill(self.key, self.work);
         if let Some(sent) = self.sent.filter(|_| self.work > 0) {
-            state.first_event(self.key, &self.outlook, now.since(sent));
+            state.record_first_event(self.key, &self.outlook, now.since(sent));
         }
         self.work = 0;
     }
@@ -49,7 +49,7 @@
 
     /// An event came, `pause` after the one before.
     pub fn event(&self, pause: Duration) {
-        self.shared.state().event(self.key, pause);
+        self.shared.state().record_event(self.key, pause);
     }
 
     /// Tells of the runner's health.
@@ -65,7 +65,7 @@
         let mut state = self.shared.state();
         state.fleet.finish_request(self.key, self.work, self.held);
         if let Some(sent) = self.sent.filter(|_| self.outlook.prompt > 0) {
-            state.left(self.key, now.since(sent));
+            state.record_residence(self.key, now.since(sent));
         }
     }
 }
--- a/tests/suite/proxy/build.rs
+++ b/tests/suite/proxy/build.rs
@@ -4,7 +4,7 @@
 
 use radishstair_core::proxy::fleet::{Listed, Stage};
 use radishstair_core::proxy::route::{Customer, Engine, Limits, Mode, Route, Scaling, Service, Share, Table};
-use radishstair_core::proxy::{Ask, Bounds, State};
+use radishstair_core::proxy::{Bounds, RequestHead, State};
 use radishstair_core::time::Moment;
 
 /// The bounds of the users' sites.
@@ -106,8 +106,8 @@
 }
 
 /// A request for the stream route with a key.
-pub fn ask(key: &str) -> Ask<'_> {
-    Ask {
+pub fn ask(key: &str) -> RequestHead<'_> {
+    RequestHead {
         host: "books.example",
         path: "/notes/1",
         key: Some(key),
--- a/tests/suite/proxy/freshness.rs
+++ b/tests/suite/proxy/freshness.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use radishstair_core::error::{Kind, Refusal};
-use radishstair_core::proxy::Ask;
+use radishstair_core::proxy::RequestHead;
 use radishstair_core::proxy::route::{Limits, Mode, Route, Table};
 use radishstair_core::time::Moment;
 
@@ -93,14 +93,17 @@
     let mut state = state(at(0), vec![customer("ana", &["key-a"])]);
     state.fleet.update(at(0), Vec::new());
     state.store_contact.renew(at(0));
-    assert!(state.is_ready(at(2_000)) && !state.hands_over(at(2_000)));
+    assert!(state.is_ready(at(2_000)) && !state.should_hand_off(at(2_000)));
     state.freshness.renew(at(2_600));
-    assert!(!state.is_ready(at(2_700)) && state.hands_over(at(2_700)));
+    assert!(!state.is_ready(at(2_700)) && state.should_hand_off(at(2_700)));
     assert!(state.admit(at(2_700), &ask("key-a")).is_ok(), "it refuses nobody");
-    assert!(!state.hands_over(at(6_000)), "its peers have no proof either");
+    assert!(
+        !state.should_hand_off(at(6_000)),
+        "its peers have no proof either"
+    );
     state.store_contact.renew(at(6_100));
     state.freshness.renew(at(6_100));
-    assert!(state.is_ready(at(6_200)) && !state.hands_over(at(6_200)));
+    assert!(state.is_ready(at(6_200)) && !state.should_hand_off(at(6_200)));
 }
 
 /// Guards against requests without a key that go where a change, known but not read, forbids.
@@ -120,7 +123,7 @@
         customers,
         Limits::default(),
     ));
-    let open = Ask {
+    let open = RequestHead {
         key: None,
         path: "/open/1",
         ..ask("key-a")
--- a/tests/suite/proxy/model.rs
+++ b/tests/suite/proxy/model.rs
@@ -187,7 +187,7 @@
             .filter(here)
             .map(|at| runner(&format!("e{at}"), SERVICE, zones[at]))
             .collect();
-        self.state.list(moment(ms), moment(ms), items);
+        self.state.update_runners(moment(ms), moment(ms), items);
         for at in 0..zones.len() {
             self.keys[at] = self.state.fleet.find(&format!("e{at}"));
         }
@@ -233,7 +233,7 @@
                     .fleet
                     .finish_prefill(run.choice.key, run.choice.prefill_us);
                 self.state
-                    .first_event(run.choice.key, &run.choice.conditions, took);
+                    .record_first_event(run.choice.key, &run.choice.conditions, took);
                 if !self.play.judges_engines {
                     self.state.fleet.get_mut(run.choice.key).expect("known").slowdown = 1.0;
                 }
--- a/tests/suite/proxy/pace.rs
+++ b/tests/suite/proxy/pace.rs
@@ -78,7 +78,12 @@
 fn a_straggler_does_not_slow_the_common_pace() {
     for engine in 0..6 {
         let play = with_straggler(Play::default(), engine);
-        let latency = play.run().state.latencies.of(SERVICE).prefill_ms_per_1k();
+        let latency = play
+            .run()
+            .state
+            .latencies
+            .get_or_default(SERVICE)
+            .prefill_ms_per_1k();
         assert!(latency < 14.0, "{latency} ms a thousand tokens, {engine} slow");
     }
 }
--- a/tests/suite/proxy/place.rs
+++ b/tests/suite/proxy/place.rs
@@ -137,7 +137,7 @@
     // The first part, which all of them share, is told as well.
     let subjects = std::iter::once(1).chain(100..200);
     assert_eq!(told, subjects.collect::<Vec<u64>>(), "each subject is told");
-    other.hear(at(3), Incarnation(2), packet);
+    other.receive(at(3), Incarnation(2), packet);
     for state in [&mut one, &mut other] {
         state.fleet.update(at(4), listed(20));
         let then: Vec<_> = wanted.iter().map(|demand| place(state, demand, 5)).collect();
@@ -231,7 +231,7 @@
     let hear = |state: &mut State, number, ms| {
         let far = Fleet::new("zone-1");
         let packet = gossip::packet(Incarnation(7), number, &far, Vec::new());
-        state.hear(at(ms), Incarnation(1), packet);
+        state.receive(at(ms), Incarnation(1), packet);
     };
     hear(&mut state, 1, 0);
     // Only the other zone's runners have read it.
