--- a/crates/core/src/proxy/refresh.rs
+++ b/crates/core/src/proxy/refresh.rs
@@ -60,13 +60,13 @@
 
 /// One host's questions, one after the other.
 #[derive(Debug, Default)]
-pub struct Plan {
+pub struct Schedule {
     backoff: Backoff,
     /// Whether the last question for the version got no answer.
     unanswered: bool,
 }
 
-impl Plan {
+impl Schedule {
     /// What is to be done now.
     pub fn step(&self, status: Status) -> Step {
         let age = status.age.unwrap_or(Duration::MAX);
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -11,7 +11,7 @@
 
 use radishstair_core::proxy::document::{INLINE_BYTES, Notice, Update};
 use radishstair_core::proxy::readers::{self, Readers};
-use radishstair_core::proxy::refresh::{Failure, Plan, Status, Step};
+use radishstair_core::proxy::refresh::{Failure, Schedule, Status, Step};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
 
@@ -26,7 +26,7 @@
         shared,
         store,
         share: Readers::default(),
-        plan: Plan::default(),
+        plan: Schedule::default(),
     };
     loop {
         let pause = keeper.round().await;
@@ -41,7 +41,7 @@
     shared: Arc<Shared>,
     store: Arc<Asker>,
     share: Readers,
-    plan: Plan,
+    plan: Schedule,
 }
 
 impl Keeper {
--- a/tests/suite/proxy/refresh.rs
+++ b/tests/suite/proxy/refresh.rs
@@ -6,7 +6,7 @@
 
 use radishstair_core::proxy::document::{Document, INLINE_BYTES, Update};
 use radishstair_core::proxy::readers::{self, Host, Readers, Source};
-use radishstair_core::proxy::refresh::{Failure, Plan, ROUND_INTERVAL, Status, Step};
+use radishstair_core::proxy::refresh::{Failure, ROUND_INTERVAL, Schedule, Status, Step};
 use radishstair_core::store::Entry;
 use radishstair_core::time::Moment;
 use rand::{RngExt, SeedableRng};
@@ -26,7 +26,7 @@
 struct Node {
     host: Host,
     document: Document,
-    plan: Plan,
+    plan: Schedule,
     share: Readers,
     /// When its link is free, in milliseconds.
     link_free: u64,
@@ -93,7 +93,7 @@
         let node = |host: &Host| Node {
             host: *host,
             document: Document::default(),
-            plan: Plan::default(),
+            plan: Schedule::default(),
             share: Readers::default(),
             link_free: 0,
             life: 0,
@@ -162,7 +162,7 @@
                 let node_state = &mut self.nodes[node];
                 node_state.life += 1;
                 node_state.document = Document::default();
-                node_state.plan = Plan::default();
+                node_state.plan = Schedule::default();
                 node_state.asks = false;
                 self.plan(0, node, Event::Look);
                 self.plan(0, node, Event::Round);
