--- a/tests/suite/proxy.rs
+++ b/tests/suite/proxy.rs
@@ -1,17 +1,17 @@
 //! Decisions of the opaque front, without sockets.
 
-mod build;
 mod document;
 mod events;
+mod fixtures;
 mod fleet;
 mod freshness;
+mod latency;
 mod lease;
 mod limits;
 mod mirror;
 mod model;
-mod pace;
-mod place;
+mod placement;
+mod readers;
 mod refresh;
 mod schedule;
-mod share;
 mod usage;
--- a/tests/suite/proxy/fleet.rs
+++ b/tests/suite/proxy/fleet.rs
@@ -3,7 +3,7 @@
 use radishstair_core::proxy::fleet::{Attempt, Fleet, Idle, Liveness, Stage};
 use radishstair_core::time::Moment;
 
-use super::build::runner;
+use super::fixtures::runner;
 use std::time::Duration;
 
 fn at(ms: u64) -> Moment {
--- a/tests/suite/proxy/freshness.rs
+++ b/tests/suite/proxy/freshness.rs
@@ -7,7 +7,7 @@
 use radishstair_core::proxy::route::{Limits, Mode, Route, Table};
 use radishstair_core::time::Moment;
 
-use super::build::{ask, customer, route, state, table};
+use super::fixtures::{ask, customer, route, state, table};
 
 const START: u64 = 100_000;
 
--- a/tests/suite/proxy/pace.rs
+++ b/tests/suite/proxy/latency.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::build::priced;
+use super::fixtures::priced;
 use super::model::{Play, SERVICE};
 
 /// Engines three times slower or faster than assumed answer a few hundred requests, one in
--- a/tests/suite/proxy/limits.rs
+++ b/tests/suite/proxy/limits.rs
@@ -6,7 +6,7 @@
 use radishstair_core::proxy::scaling::{Order, Planner};
 use radishstair_core::time::Moment;
 
-use super::build::{bounds, customer, priced, route, runner};
+use super::fixtures::{bounds, customer, priced, route, runner};
 
 fn at(ms: u64) -> Moment {
     Moment::at_ms(100_000 + ms)
--- a/tests/suite/proxy/model.rs
+++ b/tests/suite/proxy/model.rs
@@ -13,7 +13,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::build::{bounds, runner, table};
+use super::fixtures::{bounds, runner, table};
 
 /// Service of the engines.
 pub const SERVICE: &str = "engines";
--- a/tests/suite/proxy/place.rs
+++ b/tests/suite/proxy/placement.rs
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::build::{bounds, runner};
+use super::fixtures::{bounds, runner};
 
 fn at(ms: u64) -> Moment {
     Moment::at_ms(100_000 + ms)
--- a/tests/suite/proxy/schedule.rs
+++ b/tests/suite/proxy/schedule.rs
@@ -20,7 +20,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::build::{ask, bounds, customer, table};
+use super::fixtures::{ask, bounds, customer, table};
 
 /// Length of a schedule.
 const LENGTH_MS: u64 = 60_000;
