--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -14,37 +14,37 @@
 
 pub mod backoff;
 pub mod budget;
-pub mod civil;
+pub mod clock;
 pub mod delta;
 pub mod document;
-pub mod fit;
 pub mod fleet;
+pub mod freshness;
 pub mod gossip;
+pub mod latency;
 pub mod mirror;
-pub mod pace;
-pub mod parting;
-pub mod place;
+pub mod partition;
+pub mod placement;
 pub mod prefix;
-pub mod proof;
+pub mod readers;
 pub mod refresh;
+pub mod regression;
 pub mod report;
 pub mod route;
+pub mod scaling;
 pub mod services;
-pub mod share;
-pub mod supply;
-pub mod tally;
+pub mod usage;
 
 use budget::Budgets;
 use fleet::{Fleet, Key, Listed};
-use gossip::{Flow, Holder, Meter, Packet, Peers};
-use pace::{Outlook, Pace};
-use parting::Parting;
-use place::{Choice, Demand, Known};
+use freshness::Freshness;
+use gossip::{CachedPrefix, Flow, Meter, Packet, Peers};
+use latency::{Conditions, Latency};
+use partition::Partition;
+use placement::{Choice, Demand, Inputs};
 use prefix::Index;
-use proof::Proof;
 use route::{Route, Table};
 use services::Services;
-use tally::{Ledger, Tally};
+use usage::{Counter, Ledger};
 
 plain! {
     /// Bounds that the operator promises to callers and that hold for all hosts.
@@ -87,11 +87,11 @@
 const NEWEST: Duration = Duration::from_millis(1_700);
 
 /// Time without an answer of the store to this host past which it hands its callers
-/// over: two questions of [`STORE_ASKED`] in a row and the wait for their answers.
+/// over: two questions of [`STORE_PROBE_INTERVAL`] in a row and the wait for their answers.
 const STORE_SILENT: Duration = Duration::from_millis(2_500);
 /// Time after which a host that learns from its peers asks whether the store still
 /// answers it.
-pub const STORE_ASKED: Duration = Duration::from_millis(1_000);
+pub const STORE_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Tokens from which a subject's place is told to the other hosts: telling takes 16 bytes a
 /// request and host.
@@ -108,19 +108,19 @@
 impl Bounds {
     /// How old the proof of a document may be once a newer one is known to stand. The newer
     /// one was acknowledged after the proof, so this keeps the bound without a margin.
-    pub fn superseded(&self) -> Duration {
+    pub fn max_superseded_age(&self) -> Duration {
         Duration::from_millis(self.configuration_ms)
     }
 
     /// How old the proof may be when a keyed request is passed on.
-    pub fn proof(&self) -> Duration {
+    pub fn max_age(&self) -> Duration {
         Duration::from_millis((self.revocation_ms as f64 * PROOF_PART) as u64)
     }
 }
 
 plain! {
     /// What a request's head says, in the product's words.
-    pub struct Ask<'a> {
+    pub struct RequestHead<'a> {
         /// Name in the `Host` header.
         pub host: &'a str,
         /// Path without query.
@@ -144,7 +144,7 @@
         /// Urgency, 0 first, up to [`LAST_RANK`].
         pub rank: u8,
         /// Whether its runner copies from others what it has not read of the prompt.
-        pub copies: bool,
+        pub copies_prefix: bool,
         /// Whether it needs a fresh proof when it is passed on.
         pub keyed: bool,
         /// Version of the document that admitted it.
@@ -162,11 +162,11 @@
     /// The operator's document; none before the first read.
     pub table: Option<Arc<Table>>,
     /// When the document was known to be the newest.
-    pub proof: Proof,
+    pub freshness: Freshness,
     /// Whether a newer one stands that this host has yet to read.
     pub is_behind: bool,
     /// When the store last answered this host itself.
-    pub store_answered: Proof,
+    pub store_contact: Freshness,
     /// Runners.
     pub fleet: Fleet,
     /// Where prompts were read.
@@ -174,17 +174,17 @@
     /// What other hosts have on runners.
     pub peers: Peers,
     /// How fast runners are.
-    pub paces: Services<Pace>,
+    pub latencies: Services<Latency>,
     /// How the runners of each service are divided.
-    partings: Services<Parting>,
+    partitions: Services<Partition>,
     /// What this host sends.
     pub meter: Meter,
     /// Where long beginnings went since the last packet.
-    holders: Vec<Holder>,
+    holders: Vec<CachedPrefix>,
     /// Repeats that are left.
     pub budgets: Budgets,
     /// Usage of this host.
-    pub tally: Tally,
+    pub usage: Counter,
     /// Usage of all hosts, as told.
     pub ledger: Ledger,
     /// Hosts that are alive, this one included.
@@ -197,18 +197,18 @@
         Self {
             bounds,
             table: None,
-            proof: Proof::default(),
+            freshness: Freshness::default(),
             is_behind: false,
-            store_answered: Proof::default(),
+            store_contact: Freshness::default(),
             fleet: Fleet::new(zone),
             prefixes: Index::default(),
             peers: Peers::default(),
-            paces: Services::default(),
-            partings: Services::default(),
+            latencies: Services::default(),
+            partitions: Services::default(),
             meter: Meter::default(),
             holders: Vec::new(),
             budgets: Budgets::default(),
-            tally: Tally::default(),
+            usage: Counter::default(),
             ledger: Ledger::default(),
             hosts: 1,
         }
@@ -242,12 +242,12 @@
     /// elsewhere while it can still serve them, and refuses nobody meanwhile. Where
     /// the store answers no host at all, the peers' proof is old as well, and nobody
     /// is sent about.
-    pub fn hands_over(&self, now: Moment) -> bool {
+    pub fn should_hand_off(&self, now: Moment) -> bool {
         self.is_fresh(now) && !self.reaches_store(now)
     }
 
     fn reaches_store(&self, now: Moment) -> bool {
-        self.store_answered.covers(now, STORE_SILENT)
+        self.store_contact.is_within(now, STORE_SILENT)
     }
 
     /// Whether keyed requests may be passed on.
@@ -256,7 +256,7 @@
     /// serve it for ever. It stops when its last proof is too old, whatever the
     /// reason.
     pub fn is_fresh(&self, now: Moment) -> bool {
-        self.proof.covers(now, self.bounds.proof())
+        self.freshness.is_within(now, self.bounds.max_age())
     }
 
     /// Refuses while a newer document has not come in time.
@@ -265,7 +265,7 @@
     /// away. A host that knows of a change, and does not know the change, would send them
     /// where they no longer go.
     fn refuse_superseded(&self, now: Moment) -> Result<(), Refusal> {
-        match self.is_behind && !self.proof.covers(now, self.bounds.superseded()) {
+        match self.is_behind && !self.freshness.is_within(now, self.bounds.max_superseded_age()) {
             true => Err(Refusal::new(Kind::Stale).detail("a newer configuration has yet to come")),
             false => Ok(()),
         }
@@ -276,12 +276,12 @@
     /// # Errors
     ///
     /// The refusal that the caller gets.
-    pub fn admit(&self, now: Moment, ask: &Ask<'_>) -> Result<Admission, Refusal> {
+    pub fn admit(&self, now: Moment, ask: &RequestHead<'_>) -> Result<Admission, Refusal> {
         let Some(table) = &self.table else {
             return Err(Refusal::new(Kind::Stale).detail("no configuration is known yet"));
         };
         self.refuse_superseded(now)?;
-        let newest = self.proof.covers(now, NEWEST);
+        let newest = self.freshness.is_within(now, NEWEST);
         let unless_newest = |kind| Refusal::new(if newest { kind } else { Kind::Stale });
         let Some(route) = table.find(ask.host, ask.path) else {
             return Err(unless_newest(Kind::NotFound));
@@ -294,11 +294,11 @@
                 Some(found.ok_or_else(|| unless_newest(Kind::UnknownKey))?)
             }
         };
-        let service = route.service(ask.draw);
+        let service = route.pick_service(ask.draw);
         let engine = table.service(service).and_then(|service| service.engine);
         Ok(Admission {
             service: service.to_string(),
-            copies: engine.is_some_and(|engine| engine.copies),
+            copies_prefix: engine.is_some_and(|engine| engine.copies_prefix),
             customer: customer.map(|customer| customer.name.clone()),
             rank: table.rank(route, customer, LAST_RANK),
             keyed: customer.is_some(),
@@ -318,7 +318,7 @@
     /// # Errors
     ///
     /// The refusal that the caller gets.
-    pub fn may_send(&self, now: Moment, admission: &Admission, ask: &Ask<'_>) -> Result<(), Refusal> {
+    pub fn may_send(&self, now: Moment, admission: &Admission, ask: &RequestHead<'_>) -> Result<(), Refusal> {
         if admission.keyed && !self.is_fresh(now) {
             return Err(Refusal::new(Kind::Stale));
         }
@@ -330,7 +330,7 @@
         let again = self.admit(now, ask)?;
         let still = again.customer == admission.customer
             && again.route.name == admission.route.name
-            && again.route.has(&admission.service);
+            && again.route.uses(&admission.service);
         match still {
             true => Ok(()),
             false => Err(Refusal::new(Kind::Stale).detail("the configuration has just changed")),
@@ -339,8 +339,8 @@
 
     /// Takes the whole list of runners, as read by a question that left at `sent`; the
     /// addresses at which another process now listens.
-    pub fn list(&mut self, now: Moment, sent: Moment, items: Vec<Listed>) -> Vec<SocketAddr> {
-        let void = self.fleet.list(sent, items);
+    pub fn update_runners(&mut self, now: Moment, sent: Moment, items: Vec<Listed>) -> Vec<SocketAddr> {
+        let void = self.fleet.update(sent, items);
         self.divide(now);
         void
     }
@@ -353,30 +353,37 @@
         let engines = table.services().iter().filter(|service| service.engine.is_some());
         for service in engines {
             let flow = self.flow(now, &service.name);
-            let allowed = parting::allowed_pause(&table, &service.name);
-            let parting = self.partings.of(&service.name);
-            parting.judge(self.paces.of(&service.name), allowed, flow.long, flow.rate);
-            parting::divide(self.fleet.runners_mut(), &service.name, parting);
+            let allowed = partition::allowed_pause(&table, &service.name);
+            let partition = self.partitions.get_or_default(&service.name);
+            partition.update(
+                self.latencies.get_or_default(&service.name),
+                allowed,
+                flow.long,
+                flow.rate,
+            );
+            partition::assign(self.fleet.runners_mut(), &service.name, partition);
         }
     }
 
     /// How the runners of a service are divided.
-    pub fn parting(&self, service: &str) -> Parting {
-        self.partings.get(service).copied().unwrap_or_default()
+    pub fn partition(&self, service: &str) -> Partition {
+        self.partitions.get(service).copied().unwrap_or_default()
     }
 
     /// Chooses a runner and counts the request there.
     pub fn place(&mut self, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
-        let known = Known {
+        let known = Inputs {
             fleet: &self.fleet,
             prefixes: &self.prefixes,
-            parting: &self.parting(&demand.service),
-            pace: self.paces.of(&demand.service),
+            partition: &self.partition(&demand.service),
+            latency: self.latencies.get_or_default(&demand.service),
         };
-        let choice = place::choose(known, now, demand, tried)?;
-        self.fleet.begin(choice.key, choice.work, demand.held());
-        self.meter.add(now, &demand.service, choice.work, choice.is_long);
-        for (id, tokens) in demand.beginnings() {
+        let choice = placement::choose(known, now, demand, tried)?;
+        self.fleet
+            .start_request(choice.key, choice.prefill_us, demand.kv_tokens());
+        self.meter
+            .add(now, &demand.service, choice.prefill_us, choice.is_long);
+        for (id, tokens) in demand.shared_prefixes() {
             self.prefixes.note(now, id, choice.key);
             if tokens >= TOLD {
                 self.tell(id, choice.key);
@@ -387,34 +394,36 @@
 
     /// A request's first event came `took` after it was sent.
     ///
-    /// A straggler tells nothing of the others, so it does not slow the common pace down.
-    pub fn first_event(&mut self, key: Key, outlook: &Outlook, took: Duration) {
+    /// A straggler tells nothing of the others, so it does not slow the common latency down.
+    pub fn record_first_event(&mut self, key: Key, conditions: &Conditions, took: Duration) {
         let Some(runner) = self.fleet.get_mut(key) else {
             return;
         };
         let service = runner.listed.service.clone();
-        let pace = self.paces.of(&service);
-        runner.compare(took, pace.expect(outlook));
-        let lag = runner.lag;
-        if lag < STRAGGLER * self.fleet.usual_lag(&service) {
-            pace.learn_first(outlook, took);
+        let latency = self.latencies.get_or_default(&service);
+        runner.record_slowdown(took, latency.predict(conditions));
+        let lag = runner.slowdown;
+        if lag < STRAGGLER * self.fleet.median_slowdown(&service) {
+            latency.observe_first_event(conditions, took);
         }
     }
 
     /// A stream's event came from a runner, `pause` after the one before.
-    pub fn event(&mut self, key: Key, pause: Duration) {
+    pub fn record_event(&mut self, key: Key, pause: Duration) {
         let Some(runner) = self.fleet.get(key) else {
             return;
         };
-        let reading = runner.reads(self.parting(&runner.listed.service).long);
-        let pace = self.paces.of(&runner.listed.service);
-        pace.learn_pause(pause, runner.load(), reading);
+        let reading = runner.is_prefilling(self.partition(&runner.listed.service).long_prompt);
+        let latency = self.latencies.get_or_default(&runner.listed.service);
+        latency.observe_event_gap(pause, runner.running(), reading);
     }
 
     /// A request that read a prompt has left its runner after `stay`.
-    pub fn left(&mut self, key: Key, stay: Duration) {
+    pub fn record_residence(&mut self, key: Key, stay: Duration) {
         if let Some(runner) = self.fleet.get(key) {
-            self.paces.of(&runner.listed.service).learn_stay(stay);
+            self.latencies
+                .get_or_default(&runner.listed.service)
+                .observe_residence(stay);
         }
     }
 
@@ -423,7 +432,10 @@
         let Some(runner) = self.fleet.get(key).map(|runner| runner.hash) else {
             return;
         };
-        let holder = Holder { subject, runner };
+        let holder = CachedPrefix {
+            prefix: subject,
+            runner,
+        };
         if self.holders.len() < HOLDERS && !self.holders.contains(&holder) {
             self.holders.push(holder);
         }
@@ -432,7 +444,7 @@
     /// What this host tells the others.
     pub fn packet(&mut self, now: Moment, me: Incarnation, number: u64) -> Packet {
         Packet {
-            holders: std::mem::take(&mut self.holders),
+            prefixes: std::mem::take(&mut self.holders),
             ..gossip::packet(me, number, &self.fleet, self.meter.flows(now))
         }
     }
@@ -442,24 +454,24 @@
         let others = self.peers.flow(service);
         let own = self.meter.flows(now);
         let own = own.iter().find(|flow| flow.service == others.service);
-        own.map_or(others, |own| others.and(own))
+        own.map_or(others, |own| others.plus(own))
     }
 
     /// Takes what another host has on runners.
-    pub fn hear(&mut self, now: Moment, me: Incarnation, packet: Packet) {
+    pub fn receive(&mut self, now: Moment, me: Incarnation, packet: Packet) {
         if let Ok(record) = serde_json::from_slice(&packet.record) {
-            self.ledger.take(now, record);
+            self.ledger.receive(now, record);
         }
-        for holder in &packet.holders {
-            if let Some(key) = self.fleet.find_hash(holder.runner) {
-                self.prefixes.note(now, holder.subject, key);
+        for holder in &packet.prefixes {
+            if let Some(key) = self.fleet.find_by_hash(holder.runner) {
+                self.prefixes.note(now, holder.prefix, key);
             }
         }
-        self.peers.hear(now, me, packet, &mut self.fleet, self.hosts);
+        self.peers.receive(now, me, packet, &mut self.fleet, self.hosts);
     }
 
     /// Takes a repeat out of the shared budget, if one is left.
-    pub fn may_repeat(&mut self, now: Moment, service: &str) -> bool {
+    pub fn take_retry(&mut self, now: Moment, service: &str) -> bool {
         self.budgets.take(now, service, &self.bounds, self.hosts)
     }
 }
--- a/crates/core/src/proxy/fleet.rs
+++ b/crates/core/src/proxy/fleet.rs
@@ -11,7 +11,7 @@
 
 mod runner;
 
-pub use runner::{Idle, Listed, Load, Runner, Sign, Silence, Stage};
+pub use runner::{Attempt, Idle, Listed, Liveness, Load, Runner, Stage};
 
 arena_key! {
     /// A runner in the fleet.
@@ -84,7 +84,7 @@
     /// away: then the entries of live runners may have lapsed, and dropping
     /// them would leave nobody to serve. They count as present until the store
     /// has been back for long enough to list them again.
-    pub fn list(&mut self, sent: Moment, items: Vec<Listed>) -> Vec<SocketAddr> {
+    pub fn update(&mut self, sent: Moment, items: Vec<Listed>) -> Vec<SocketAddr> {
         // The first list of a process brings no such doubt: what lapsed before is not in it,
         // and an entry that is goes for good when it is removed.
         if self.listed.is_some_and(|last| sent.since(last) >= AWAY) {
@@ -112,7 +112,7 @@
         };
         let key = self.ids[at].1;
         let runner = &mut self.arena[key.index()];
-        let same = runner.listed.address == item.address && runner.listed.born == item.born;
+        let same = runner.listed.address == item.address && runner.listed.started_ms == item.started_ms;
         let former = runner.listed.address;
         runner.present = true;
         runner.listed = item;
@@ -122,8 +122,8 @@
         runner.replaced = false;
         runner.rest = Moment::default();
         runner.failures = 0;
-        runner.failing = 0.0;
-        runner.lag = 1.0;
+        runner.failure_rate = 0.0;
+        runner.slowdown = 1.0;
         runner.since = sent;
         vec![former, runner.listed.address]
     }
@@ -137,11 +137,11 @@
         self.arena.push(Runner {
             listed,
             hash,
-            own: Load::default(),
-            others: Load::default(),
-            failing: 0.0,
-            lag: 1.0,
-            long: false,
+            local_load: Load::default(),
+            peer_load: Load::default(),
+            failure_rate: 0.0,
+            slowdown: 1.0,
+            for_long_prompts: false,
             idle: None,
             present: true,
             replaced: false,
@@ -168,31 +168,31 @@
     }
 
     /// A runner by the hash of its id.
-    pub fn find_hash(&self, hash: u64) -> Option<Key> {
+    pub fn find_by_hash(&self, hash: u64) -> Option<Key> {
         let at = self.hashes.binary_search_by_key(&hash, |(have, _)| *have).ok()?;
         Some(self.hashes[at].1)
     }
 
     /// All runners that were ever listed.
-    pub fn all(&self) -> impl Iterator<Item = (Key, &Runner)> {
+    pub fn runners(&self) -> impl Iterator<Item = (Key, &Runner)> {
         let keys = (0..self.arena.len() as u32).map(Key);
         keys.zip(&self.arena)
     }
 
     /// Runners of a service that take new work.
-    pub fn open<'a>(&'a self, now: Moment, service: &'a str) -> impl Iterator<Item = (Key, &'a Runner)> {
-        let own = move |runner: &Runner| runner.listed.service == service && runner.is_open(now);
+    pub fn available<'a>(&'a self, now: Moment, service: &'a str) -> impl Iterator<Item = (Key, &'a Runner)> {
+        let own = move |runner: &Runner| runner.listed.service == service && runner.is_available(now);
         let near = move |runner: &Runner| !self.is_cut(now, &runner.listed.zone);
         // A zone that seems cut off is better than none.
         let any = self.arena.iter().any(|runner| own(runner) && near(runner));
-        self.all()
+        self.runners()
             .filter(move |(_, runner)| own(runner) && (!any || near(runner)))
     }
 
     /// Whether a runner still keeps what it first read at `since`.
-    pub fn keeps(&self, now: Moment, key: Key, since: Moment) -> bool {
+    pub fn has_cached(&self, now: Moment, key: Key, since: Moment) -> bool {
         let runner = self.get(key);
-        runner.is_some_and(|runner| runner.is_open(now) && runner.since <= since)
+        runner.is_some_and(|runner| runner.is_available(now) && runner.since <= since)
     }
 
     /// The same, to change what is believed of it.
@@ -206,12 +206,12 @@
     }
 
     /// Middle of how far the runners of a service lag behind.
-    pub fn usual_lag(&self, service: &str) -> f64 {
+    pub fn median_slowdown(&self, service: &str) -> f64 {
         let own = self
             .arena
             .iter()
             .filter(|runner| runner.is_listed() && runner.listed.service == service);
-        let mut lags: Vec<f64> = own.map(|runner| runner.lag).collect();
+        let mut lags: Vec<f64> = own.map(|runner| runner.slowdown).collect();
         if lags.is_empty() {
             return 1.0;
         }
@@ -227,7 +227,7 @@
     }
 
     /// A host of a zone was heard; the next word is due within `limit`.
-    pub fn hear_zone(&mut self, now: Moment, zone: &str, limit: Duration) {
+    pub fn record_zone_contact(&mut self, now: Moment, zone: &str, limit: Duration) {
         let until = now + limit;
         match self.quiet.binary_search_by(|(have, _)| have.as_str().cmp(zone)) {
             Ok(at) => self.quiet[at].1 = until,
@@ -240,7 +240,7 @@
     /// A cut gives no sign: each request that crosses it costs the time-out of a connection,
     /// and each copy that a runner asks for across it a part of a second. The silence of a
     /// zone's hosts shows it sooner than either. It is no proof, so it only counts as cost.
-    pub fn is_quiet(&self, now: Moment, zone: &str) -> bool {
+    pub fn is_zone_silent(&self, now: Moment, zone: &str) -> bool {
         let found = self.quiet.binary_search_by(|(have, _)| have.as_str().cmp(zone));
         zone != self.zone && found.is_ok_and(|at| now.reached(self.quiet[at].1))
     }
@@ -266,39 +266,39 @@
     }
 
     /// Tells which idle connection to a runner would be used next.
-    pub fn idle(&mut self, key: Key, idle: Option<Idle>) {
+    pub fn set_idle(&mut self, key: Key, idle: Option<Idle>) {
         if let Some(runner) = self.get_mut(key) {
             runner.idle = idle;
         }
     }
 
     /// A request goes to a runner: `work` microseconds to read, `held` tokens in its memory.
-    pub fn begin(&mut self, key: Key, work: u64, held: u64) {
+    pub fn start_request(&mut self, key: Key, work: u64, held: u64) {
         if let Some(runner) = self.get_mut(key) {
-            runner.own.running += 1;
-            runner.own.work += work;
-            runner.own.held += held;
+            runner.local_load.running += 1;
+            runner.local_load.prefill_us += work;
+            runner.local_load.kv_tokens += held;
         }
     }
 
     /// The runner has read the prompt: the first token came.
-    pub fn read(&mut self, key: Key, work: u64) {
+    pub fn finish_prefill(&mut self, key: Key, work: u64) {
         if let Some(runner) = self.get_mut(key) {
-            runner.own.work = runner.own.work.saturating_sub(work);
+            runner.local_load.prefill_us = runner.local_load.prefill_us.saturating_sub(work);
         }
     }
 
     /// The request is over; `work` was not yet read.
-    pub fn end(&mut self, key: Key, work: u64, held: u64) {
+    pub fn finish_request(&mut self, key: Key, work: u64, held: u64) {
         if let Some(runner) = self.get_mut(key) {
-            runner.own.running = runner.own.running.saturating_sub(1);
-            runner.own.work = runner.own.work.saturating_sub(work);
-            runner.own.held = runner.own.held.saturating_sub(held);
+            runner.local_load.running = runner.local_load.running.saturating_sub(1);
+            runner.local_load.prefill_us = runner.local_load.prefill_us.saturating_sub(work);
+            runner.local_load.kv_tokens = runner.local_load.kv_tokens.saturating_sub(held);
         }
     }
 
     /// A runner has answered something, or taken a connection.
-    pub fn hear(&mut self, now: Moment, key: Key) {
+    pub fn record_contact(&mut self, now: Moment, key: Key) {
         if let Some(runner) = self.get_mut(key) {
             runner.heard = now;
         }
@@ -309,25 +309,25 @@
     /// A cut path gives no sign, and looks like a runner that takes its time. Many requests
     /// may wait for one runner; one of them asks, so that a runner with a long queue does
     /// not have to take a connection for each, and all learn what came of it.
-    pub fn silence(&mut self, now: Moment, key: Key, sent: Moment) -> Silence {
+    pub fn liveness(&mut self, now: Moment, key: Key, sent: Moment) -> Liveness {
         let Some(runner) = self.get_mut(key) else {
-            return Silence::Cut;
+            return Liveness::PathLost;
         };
         if runner.lost.is_some_and(|lost| lost.reached(sent)) {
-            return Silence::Cut;
+            return Liveness::PathLost;
         }
         let quiet = now.since(runner.heard).min(now.since(sent));
         if quiet < DOUBT {
-            return Silence::Short(DOUBT - quiet);
+            return Liveness::Recent(DOUBT - quiet);
         }
         runner.heard = now;
-        Silence::Long
+        Liveness::Silent
     }
 
     /// Replaces what other hosts have on each runner, by the hash of its id.
-    pub fn others(&mut self, of: impl Fn(u64) -> Load) {
+    pub fn set_peer_loads(&mut self, of: impl Fn(u64) -> Load) {
         for runner in &mut self.arena {
-            runner.others = of(runner.hash);
+            runner.peer_load = of(runner.hash);
         }
     }
 
@@ -335,29 +335,29 @@
     ///
     /// The list lags by seconds behind a crash. Without the rest each request
     /// would try the dead runner anew.
-    pub fn sign(&mut self, now: Moment, key: Key, sign: Sign) {
+    pub fn record_attempt(&mut self, now: Moment, key: Key, sign: Attempt) {
         let Some(runner) = self.get_mut(key) else {
             return;
         };
         let zone = runner.listed.zone.clone();
         match sign {
-            Sign::Sound | Sign::Failed => {
+            Attempt::Succeeded | Attempt::Failed => {
                 runner.failures = 0;
-                runner.judge(sign == Sign::Failed);
+                runner.record_result(sign == Attempt::Failed);
                 self.cut.retain(|(have, _)| *have != zone);
             }
-            Sign::Full => runner.rest = now + FULL_REST,
-            Sign::Replaced => runner.replaced = true,
-            Sign::Unreachable | Sign::Cut => {
-                if sign == Sign::Cut {
+            Attempt::Full => runner.rest = now + FULL_REST,
+            Attempt::Replaced => runner.replaced = true,
+            Attempt::Unreachable | Attempt::PathLost => {
+                if sign == Attempt::PathLost {
                     runner.lost = Some(now);
                 }
                 runner.rest = now + (REST * 2u32.saturating_pow(runner.failures)).min(REST_MOST);
                 runner.failures = (runner.failures + 1).min(5);
                 self.suspect(now, &zone);
             }
-            Sign::Broken => {
-                runner.judge(true);
+            Attempt::Broken => {
+                runner.record_result(true);
                 // One broken answer in fifty is usual on some days; only a
                 // series tells of the runner.
                 runner.failures = (runner.failures + 1).min(5);
--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -80,8 +80,8 @@
     // The time for a head also runs while a connection is idle, so it must not
     // be shorter than the idle time that callers were told.
     let limits = serve::Limits {
-        head_time: limits.idle.max(limits.head_time),
-        head: limits.head.max(HEAD_BUFFER),
+        head_time: limits.idle_timeout.max(limits.head_timeout),
+        head: limits.head_bytes.max(HEAD_BUFFER),
     };
     serve::connection(stream, limits, service, stop).await;
 }
@@ -94,10 +94,10 @@
         Err(refusal) => reply::refuse(&refusal),
     };
     let headers = answer.headers_mut();
-    if shared.is_stopping() || shared.state().hands_over(arrived) {
+    if shared.is_stopping() || shared.state().should_hand_off(arrived) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     } else {
-        let idle = limits(&shared).idle.as_secs().max(1);
+        let idle = limits(&shared).idle_timeout.as_secs().max(1);
         if let Ok(value) = HeaderValue::from_str(&format!("timeout={idle}")) {
             headers.insert(HeaderName::from_static("keep-alive"), value);
         }
@@ -115,7 +115,7 @@
     let (parts, body) = request.into_parts();
     let head = shared.adapter.parse_request(&parts);
     let deadline = head.as_ref().ok().and_then(|head| head.timeout);
-    let body = read(body, limits(&shared).body, deadline.unwrap_or(BODY)).await;
+    let body = read(body, limits(&shared).body_bytes, deadline.unwrap_or(BODY)).await;
     let head = head.map_err(|kind| refused(&shared, None, Refusal::new(kind)))?;
     let body = body.map_err(|kind| refused(&shared, Some(&head), Refusal::new(kind)))?;
     let admission =
@@ -157,7 +157,11 @@
     if !job.is_stream() && result.is_ok() {
         shared.metrics.first_after(route, now.since(job.arrived));
     }
-    let proof_ms = shared.state().proof.age(now).map(|age| age.as_millis() as u64);
+    let proof_ms = shared
+        .state()
+        .freshness
+        .age(now)
+        .map(|age| age.as_millis() as u64);
     tracing::info!(
         event = "request",
         request = job.head.id,
@@ -221,7 +225,7 @@
         request = head.map(|head| head.id.as_str()),
         kind = refusal.kind.name(),
         version = state.table.as_ref().map(|table| table.version),
-        proof_ms = state.proof.age(now).map(|age| age.as_millis() as u64),
+        proof_ms = state.freshness.age(now).map(|age| age.as_millis() as u64),
     );
     drop(state);
     shared.metrics.request("", refusal.kind.name());
--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -14,10 +14,10 @@
 use hyper::{Request, StatusCode};
 use radishstair_core::error::Kind;
 use radishstair_core::proxy::fleet::Listed;
-use radishstair_core::proxy::place::Part;
+use radishstair_core::proxy::placement::Segment;
 use radishstair_core::proxy::route::Table;
-use radishstair_core::proxy::supply::Order;
-use radishstair_core::proxy::tally::Window;
+use radishstair_core::proxy::scaling::Order;
+use radishstair_core::proxy::usage::Window;
 use radishstair_core::store::{Answer, Call, Entry};
 
 /// What a caller's head says.
@@ -39,7 +39,7 @@
     pub expected_output_tokens: Option<u64>,
     /// Parts of the prompt, in order; the last one is the request's own or its
     /// session's.
-    pub prompt_parts: Vec<Part>,
+    pub prompt_parts: Vec<Segment>,
 }
 
 /// What the head towards a runner says besides the caller's own.
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -56,7 +56,7 @@
         );
     }
     if !matches!(page.answer, Answer::Refused | Answer::Lost) {
-        shared.state().store_answered.renew(asked);
+        shared.state().store_contact.renew(asked);
     }
     shared.metrics.platform_call(call.name(), page.answer.outcome());
     page
--- a/crates/entry/src/proxy/discovery.rs
+++ b/crates/entry/src/proxy/discovery.rs
@@ -60,7 +60,7 @@
         self.parsed = parsed;
         let listed = self.parsed.iter().filter_map(|parsed| parsed.listed.clone());
         let now = self.shared.now();
-        let void = self.shared.state().list(now, as_of, listed.collect());
+        let void = self.shared.state().update_runners(now, as_of, listed.collect());
         self.tell_pace(now);
         for address in void {
             self.runners.forget(address);
@@ -81,16 +81,16 @@
         };
         let engines = table.services().iter().filter(|service| service.engine.is_some());
         for service in engines {
-            let pace = state.paces.get(&service.name).cloned().unwrap_or_default();
-            let parting = state.parting(&service.name);
+            let pace = state.latencies.get(&service.name).cloned().unwrap_or_default();
+            let parting = state.partition(&service.name);
             tracing::info!(
                 event = "pace",
                 service = service.name,
-                first_ms = pace.first().as_millis() as u64,
-                thousand_tokens_ms = format!("{:.1}", pace.for_thousand()),
+                first_ms = pace.base().as_millis() as u64,
+                thousand_tokens_ms = format!("{:.1}", pace.prefill_ms_per_1k()),
                 stall_ms = pace.stall().as_millis() as u64,
-                long_from_ms = parting.long.as_millis() as u64,
-                long_part = format!("{:.2}", parting.part),
+                long_from_ms = parting.long_prompt.as_millis() as u64,
+                long_part = format!("{:.2}", parting.long_share),
                 flow = state.flow(now, &service.name).rate
             );
         }
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use radishstair_core::proxy::document::{News, Notice, SHORT};
-use radishstair_core::proxy::refresh::{Failure, Plan, Standing, Step};
-use radishstair_core::proxy::share::{self, Share};
+use radishstair_core::proxy::document::{INLINE_BYTES, Notice, Update};
+use radishstair_core::proxy::readers::{self, Readers};
+use radishstair_core::proxy::refresh::{Failure, Schedule, Status, Step};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
 
@@ -25,8 +25,8 @@
     let mut keeper = Keeper {
         shared,
         store,
-        share: Share::default(),
-        plan: Plan::default(),
+        share: Readers::default(),
+        plan: Schedule::default(),
     };
     loop {
         let pause = keeper.round().await;
@@ -40,8 +40,8 @@
 struct Keeper {
     shared: Arc<Shared>,
     store: Arc<Client>,
-    share: Share,
-    plan: Plan,
+    share: Readers,
+    plan: Schedule,
 }
 
 impl Keeper {
@@ -50,14 +50,14 @@
         let began = self.shared.now();
         let holder = self.shared.document_holder().take();
         if let Some(peer) = holder {
-            self.ask(peer, SHORT).await;
+            self.ask(peer, INLINE_BYTES).await;
         }
         let standing = self.standing();
         let step = self.plan.step(standing);
-        if let Step::Rest(pause) = step {
+        if let Step::Wait(pause) = step {
             return pause;
         }
-        let Err(failure) = self.read(step, standing.reads).await else {
+        let Err(failure) = self.read(step, standing.is_reader).await else {
             let took = self.shared.now().since(began);
             return self.plan.answered(took);
         };
@@ -68,12 +68,12 @@
         self.plan.failed(step, failure, is_away, rand::random())
     }
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> Status {
         let now = self.shared.now();
         let reads = self.is_reader();
         let document = self.shared.document();
-        Standing {
-            reads,
+        Status {
+            is_reader: reads,
             is_behind: document.is_behind(),
             age: document.age(now),
         }
@@ -81,7 +81,7 @@
 
     fn is_reader(&self) -> bool {
         let me = self.shared.settings.load().peer_listen;
-        share::reads(me, &self.shared.hosts())
+        readers::is_reader(me, &self.shared.hosts())
     }
 
     /// Asks the store.
@@ -90,8 +90,8 @@
         let key = self.shared.adapter.store_keys().document.to_string();
         let version = self.shared.document().version();
         let call = match step {
-            Step::Renew => Call::GetIfChanged { key, version },
-            Step::Read | Step::Rest(_) => Call::Get { key },
+            Step::Revalidate => Call::GetIfChanged { key, version },
+            Step::Fetch | Step::Wait(_) => Call::Get { key },
         };
         let page = call::send_with(&self.shared, &self.store, &call, TRANSFER).await;
         match page.answer {
@@ -115,12 +115,12 @@
     async fn ask_peer(&mut self) -> bool {
         let now = self.shared.now();
         let me = self.shared.settings.load().peer_listen;
-        let Some(peer) = self.share.any(now, me, &self.shared.hosts()) else {
+        let Some(peer) = self.share.any_peer(now, me, &self.shared.hosts()) else {
             return false;
         };
         let is_new = self.ask(peer, usize::MAX).await;
         if !is_new {
-            self.share.silent(self.shared.now(), peer);
+            self.share.mark_unresponsive(self.shared.now(), peer);
         }
         is_new
     }
@@ -140,7 +140,7 @@
 fn renew(shared: &Shared, as_of: Moment) {
     let (version, is_behind) = {
         let mut document = shared.document();
-        document.renew(as_of);
+        document.confirm(as_of);
         (document.version(), document.is_behind())
     };
     let mut state = shared.state();
@@ -151,14 +151,14 @@
         .as_ref()
         .is_some_and(|table| table.revision == version)
     {
-        state.proof.renew(as_of);
+        state.freshness.renew(as_of);
     }
 }
 
 /// Takes a text that was the newest at `as_of`, and puts it in force; whether it is new.
 fn take(shared: &Shared, as_of: Moment, entry: Entry) -> bool {
     let entry = Arc::new(entry);
-    let is_new = shared.document().take(as_of, entry.clone());
+    let is_new = shared.document().replace(as_of, entry.clone());
     if is_new {
         put_in_force(shared, as_of, &entry);
     }
@@ -196,18 +196,18 @@
 pub fn hear(shared: &Shared, asked: Moment, notice: Notice) -> bool {
     let (known, news) = {
         let mut document = shared.document();
-        (document.newest(), document.hear(asked, notice))
+        (document.newest_version(), document.receive(asked, notice))
     };
     match news {
-        News::Proven(as_of) => {
+        Update::Current(as_of) => {
             renew(shared, as_of);
             false
         }
-        News::Text(as_of, version, value) => {
+        Update::Text(as_of, version, value) => {
             let key = shared.adapter.store_keys().document.to_string();
             take(shared, as_of, Entry { key, version, value })
         }
-        News::Newer(version) => {
+        Update::Newer(version) => {
             if known < version {
                 tracing::info!(event = "configuration-to-read", revision = version);
             }
@@ -215,7 +215,7 @@
             shared.document_wanted.notify_one();
             false
         }
-        News::Older => false,
+        Update::Outdated => false,
     }
 }
 
@@ -224,7 +224,7 @@
 /// Of several that read, the one with the fastest link says so first, and is asked for
 /// what has changed while the others may still be reading.
 pub fn hear_version(shared: &Shared, peer: SocketAddr, version: u64) {
-    if version > shared.document().newest() {
+    if version > shared.document().newest_version() {
         *shared.document_holder() = Some(peer);
         shared.document_wanted.notify_one();
     }
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -8,8 +8,8 @@
 use hyper::StatusCode;
 use radishstair_core::lease::{Grant, Lease, Timing};
 use radishstair_core::proxy::report::{self, Reporter};
-use radishstair_core::proxy::supply::Planner;
-use radishstair_core::proxy::tally::Window;
+use radishstair_core::proxy::scaling::Planner;
+use radishstair_core::proxy::usage::Window;
 use radishstair_core::store::Entry;
 use radishstair_core::time::Moment;
 use tokio::sync::{mpsc, oneshot};
@@ -83,7 +83,7 @@
         }
         self.records.publish().await;
         let Some(grant) = self.grant() else {
-            self.reporter.rest();
+            self.reporter.stand_down();
             self.planner = Planner::default();
             return;
         };
@@ -109,10 +109,10 @@
         let sealed: Vec<Entry> = own
             .entries
             .iter()
-            .filter(|entry| entry.key.starts_with(report::SEALED))
+            .filter(|entry| entry.key.starts_with(report::SEALED_PREFIX))
             .cloned()
             .collect();
-        self.reporter.adopt(&sealed);
+        self.reporter.load_sealed(&sealed);
         self.records.take(&own);
     }
 
@@ -158,7 +158,7 @@
         let civil = self.shared.civil(now);
         let mut step = {
             let state = self.shared.state();
-            let plan = report::Plan {
+            let plan = report::Schedule {
                 length_s: state.bounds.usage_window_s,
                 due_s: state.bounds.usage_due_s,
             };
@@ -172,7 +172,7 @@
                 }
                 report::Step::Report(grant, window) => {
                     let accepted = self.send_report(grant, &window).await;
-                    self.reporter.reported(self.shared.now(), accepted);
+                    self.reporter.record_result(self.shared.now(), accepted);
                     None
                 }
             };
@@ -224,7 +224,7 @@
             status
         );
         let accepted = status == Some(StatusCode::OK.as_u16());
-        self.planner.ordered(self.shared.now(), &order, accepted);
+        self.planner.record_result(self.shared.now(), &order, accepted);
         accepted
     }
 
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -6,9 +6,9 @@
 use hyper::header::HOST;
 use hyper::http::request;
 use radishstair_core::proxy::fleet::Key;
-use radishstair_core::proxy::place::Demand;
+use radishstair_core::proxy::placement::Demand;
 use radishstair_core::proxy::route::Mode;
-use radishstair_core::proxy::{Admission, Ask};
+use radishstair_core::proxy::{Admission, RequestHead};
 use radishstair_core::retry::{self, Rule};
 use radishstair_core::time::Moment;
 
@@ -65,7 +65,7 @@
     }
 
     /// What was asked, for a second look at the document.
-    pub fn ask(&self) -> Ask<'_> {
+    pub fn ask(&self) -> RequestHead<'_> {
         ask(&self.parts, &self.head)
     }
 
@@ -79,9 +79,9 @@
                 .expected_output_tokens
                 .unwrap_or(self.head.max_output_tokens)
                 .min(self.head.max_output_tokens),
-            parts: self.head.prompt_parts.clone(),
+            segments: self.head.prompt_parts.clone(),
             bytes: self.body.len() as u64,
-            copies: self.admission.copies,
+            copies_prefix: self.admission.copies_prefix,
             once: self.once(),
             draw,
         }
@@ -89,9 +89,9 @@
 }
 
 /// What a head asks of the document.
-pub fn ask<'a>(parts: &'a request::Parts, head: &'a Metadata) -> Ask<'a> {
+pub fn ask<'a>(parts: &'a request::Parts, head: &'a Metadata) -> RequestHead<'a> {
     let host = parts.headers.get(HOST);
-    Ask {
+    RequestHead {
         host: host.and_then(|host| host.to_str().ok()).unwrap_or_default(),
         path: parts.uri.path(),
         key: head.key.as_deref(),
--- a/crates/entry/src/proxy/slot.rs
+++ b/crates/entry/src/proxy/slot.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use radishstair_core::proxy::fleet::{Key, Sign};
-use radishstair_core::proxy::pace::Outlook;
+use radishstair_core::proxy::fleet::{Attempt, Key};
+use radishstair_core::proxy::latency::Conditions;
 use radishstair_core::time::Moment;
 
 use super::Shared;
@@ -21,7 +21,7 @@
     pub(super) address: SocketAddr,
     pub(super) work: u64,
     pub(super) held: u64,
-    pub(super) outlook: Outlook,
+    pub(super) outlook: Conditions,
     /// When the request was sent there.
     pub(super) sent: Option<Moment>,
     /// Where a runner listens that has read the beginning of the prompt.
@@ -33,9 +33,9 @@
     pub fn read(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.read(self.key, self.work);
+        state.fleet.finish_prefill(self.key, self.work);
         if let Some(sent) = self.sent.filter(|_| self.work > 0) {
-            state.first_event(self.key, &self.outlook, now.since(sent));
+            state.record_first_event(self.key, &self.outlook, now.since(sent));
         }
         self.work = 0;
     }
@@ -43,19 +43,19 @@
     /// The runner has read what it had before as well as the prompt; that tells nothing of
     /// its pace.
     pub fn read_again(&mut self) {
-        self.shared.state().fleet.read(self.key, self.work);
+        self.shared.state().fleet.finish_prefill(self.key, self.work);
         self.work = 0;
     }
 
     /// An event came, `pause` after the one before.
     pub fn event(&self, pause: Duration) {
-        self.shared.state().event(self.key, pause);
+        self.shared.state().record_event(self.key, pause);
     }
 
     /// Tells of the runner's health.
-    pub fn sign(&self, sign: Sign) {
+    pub fn sign(&self, sign: Attempt) {
         let now = self.shared.now();
-        self.shared.state().fleet.sign(now, self.key, sign);
+        self.shared.state().fleet.record_attempt(now, self.key, sign);
     }
 }
 
@@ -63,9 +63,9 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.end(self.key, self.work, self.held);
+        state.fleet.finish_request(self.key, self.work, self.held);
         if let Some(sent) = self.sent.filter(|_| self.outlook.prompt > 0) {
-            state.left(self.key, now.since(sent));
+            state.record_residence(self.key, now.since(sent));
         }
     }
 }
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -4,16 +4,16 @@
 //! A few hosts read all keys anew each round: an open watch is no proof (it may be
 //! cut without a sign, or hear nothing while history is dropped). The other hosts
 //! ask one of them for what has changed, and read the store only where no peer can
-//! help; see [`share`].
+//! help; see [`readers`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
 use radishstair_core::proxy::backoff::Backoff;
-use radishstair_core::proxy::refresh::ROUND;
-use radishstair_core::proxy::share::{self, Share, Source};
-use radishstair_core::proxy::{STORE_ASKED, mirror};
+use radishstair_core::proxy::readers::{self, Readers, Source};
+use radishstair_core::proxy::refresh::ROUND_INTERVAL;
+use radishstair_core::proxy::{STORE_PROBE_INTERVAL, mirror};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
 use tokio::sync::mpsc;
@@ -46,7 +46,7 @@
         shared,
         store,
         own,
-        share: Share::default(),
+        share: Readers::default(),
         peers: Vec::new(),
         source: None,
         backoff: Backoff::default(),
@@ -55,7 +55,7 @@
     while !reader.own.is_closed() {
         let began = reader.shared.now();
         let waits = match reader.round(began).await {
-            true => reader.rest(ROUND, began),
+            true => reader.rest(ROUND_INTERVAL, began),
             false => reader.backoff.pause(rand::random()),
         };
         // Peers tell only those that ask them; one that reads has its own rounds.
@@ -74,7 +74,7 @@
     store: Arc<Client>,
     discovery: Discovery,
     own: mpsc::Sender<Own>,
-    share: Share,
+    share: Readers,
     /// Connections to the peers that were asked, sorted by address.
     peers: Vec<(SocketAddr, Client)>,
     /// Where the last round learned what is new.
@@ -89,7 +89,7 @@
     async fn round(&mut self, began: Moment) -> bool {
         let hosts = self.shared.hosts();
         let me = self.shared.settings.load().peer_listen;
-        let first = self.share.first(began, me, &hosts);
+        let first = self.share.preferred(began, me, &hosts);
         if let Source::Peer(peer) = first {
             if self.ask(peer).await {
                 return self.known(Source::Peer(peer));
@@ -104,7 +104,7 @@
         }
         self.shared.store_lost(began);
         let now = self.shared.now();
-        match self.share.instead(now, me, &hosts) {
+        match self.share.fallback(now, me, &hosts) {
             Some(peer) => self.ask(peer).await && self.known(Source::Peer(peer)),
             None => false,
         }
@@ -119,7 +119,7 @@
     async fn ask(&mut self, peer: SocketAddr) -> bool {
         let (after, before) = {
             let mirror = self.shared.mirror();
-            (mirror.upto(), mirror.as_of())
+            (mirror.revision(), mirror.as_of())
         };
         let told = match self.ask_after(peer, after).await {
             // Something was missed; all keys tell what.
@@ -128,7 +128,7 @@
         };
         let as_of = self.shared.mirror().as_of();
         let now = self.shared.now();
-        let fresh = as_of.is_some_and(|as_of| share::helps(now, as_of, before));
+        let fresh = as_of.is_some_and(|as_of| readers::is_recent(now, as_of, before));
         let helped = told == Some(true) && fresh;
         self.shared
             .metrics
@@ -140,7 +140,7 @@
                 let age_ms = as_of.map(|as_of| now.since(as_of).as_millis() as u64);
                 tracing::info!(event = "peer-not-fresh", %peer, age_ms);
             }
-            self.share.silent(self.shared.now(), peer);
+            self.share.mark_unresponsive(self.shared.now(), peer);
         }
         helped
     }
@@ -154,7 +154,7 @@
         if let Some(notice) = told.document.take() {
             document::hear(&shared, asked, notice);
         }
-        Some(self.shared.mirror().take(asked, told))
+        Some(self.shared.mirror().apply(asked, told))
     }
 
     /// The connections to a peer; those to hosts that no longer live are dropped.
@@ -206,7 +206,7 @@
             {
                 return self.ask(peer).await;
             }
-            self.shared.mirror().page(mirror::Page {
+            self.shared.mirror().add_page(mirror::Page {
                 after,
                 entries,
                 more: last.is_some(),
@@ -228,11 +228,11 @@
     /// nothing is known yet, as after a start. When hundreds of hosts start at once, the
     /// store would turn most of them away again and again.
     fn defers(&mut self, now: Moment, first: &[Entry]) -> Option<SocketAddr> {
-        if self.deferred >= DEFERRED || self.shared.mirror().upto() > 0 {
+        if self.deferred >= DEFERRED || self.shared.mirror().revision() > 0 {
             return None;
         }
         let me = self.shared.settings.load().peer_listen;
-        match self.share.first(now, me, &records::hosts(first)) {
+        match self.share.preferred(now, me, &records::hosts(first)) {
             Source::Store => None,
             Source::Peer(peer) => {
                 self.deferred += 1;
@@ -249,7 +249,7 @@
             let Some(as_of) = mirror.as_of() else {
                 return false;
             };
-            let under = |prefix: &str| mirror.under(prefix).to_vec();
+            let under = |prefix: &str| mirror.with_prefix(prefix).to_vec();
             (as_of, under(keys.runner_prefix), under(PREFIX))
         };
         let changed = self.discovery.list(as_of, &runners);
@@ -290,9 +290,9 @@
     loop {
         let now = shared.now();
         let key = NOTHING.to_string();
-        if !shared.state().store_answered.covers(now, STORE_ASKED) {
+        if !shared.state().store_contact.is_within(now, STORE_PROBE_INTERVAL) {
             call::send(&shared, &store, &Call::GetStale { key }, PAGE).await;
         }
-        tokio::time::sleep(STORE_ASKED / 4).await;
+        tokio::time::sleep(STORE_PROBE_INTERVAL / 4).await;
     }
 }
--- a/tests/suite/proxy/build.rs
+++ b/tests/suite/proxy/fixtures.rs
@@ -4,7 +4,7 @@
 
 use radishstair_core::proxy::fleet::{Listed, Stage};
 use radishstair_core::proxy::route::{Customer, Engine, Limits, Mode, Route, Scaling, Service, Share, Table};
-use radishstair_core::proxy::{Ask, Bounds, State};
+use radishstair_core::proxy::{Bounds, RequestHead, State};
 use radishstair_core::time::Moment;
 
 /// The bounds of the users' sites.
@@ -31,8 +31,8 @@
         mode,
         timeout: Some(Duration::from_secs(15)),
         attempts: 2,
-        target: Some(Duration::from_millis(800)),
-        gap: None,
+        target_latency: Some(Duration::from_millis(800)),
+        max_event_gap: None,
         priority: 1,
         public: false,
         shares: vec![Share {
@@ -49,8 +49,8 @@
         connections: 240,
         engine: slots.map(|slots| Engine {
             slots,
-            tokens: 480_000,
-            copies: true,
+            kv_tokens: 480_000,
+            copies_prefix: true,
         }),
         scaling: None,
     }
@@ -93,7 +93,7 @@
         stage: Stage::Ready,
         slots: 32,
         reclaimable: false,
-        born: 1,
+        started_ms: 1,
     }
 }
 
@@ -101,13 +101,13 @@
 pub fn state(now: Moment, customers: Vec<Customer>) -> State {
     let mut state = State::new(bounds(), "zone-a");
     state.configure(table(1, customers));
-    state.proof.renew(now);
+    state.freshness.renew(now);
     state
 }
 
 /// A request for the stream route with a key.
-pub fn ask(key: &str) -> Ask<'_> {
-    Ask {
+pub fn ask(key: &str) -> RequestHead<'_> {
+    RequestHead {
         host: "books.example",
         path: "/notes/1",
         key: Some(key),
@@ -121,11 +121,11 @@
     let mut engines = service(service_name, Some(32));
     let prices = zones.iter().map(|(zone, price)| (zone.to_string(), *price));
     engines.scaling = Some(Scaling {
-        least: 1,
-        most,
-        boot: Duration::from_secs(4),
-        cheap: Some(cheap),
-        prices: prices.collect(),
+        minimum: 1,
+        maximum: most,
+        boot_time: Duration::from_secs(4),
+        reclaimable_price: Some(cheap),
+        zone_prices: prices.collect(),
     });
     Table::new(1, 1, Vec::new(), vec![engines], None, Limits::default())
 }
--- a/tests/suite/proxy/limits.rs
+++ b/tests/suite/proxy/limits.rs
@@ -3,10 +3,10 @@
 use radishstair_core::proxy::budget::Budgets;
 use radishstair_core::proxy::fleet::Fleet;
 use radishstair_core::proxy::route::{Limits, Mode, Share, Table};
-use radishstair_core::proxy::supply::{Order, Planner};
+use radishstair_core::proxy::scaling::{Order, Planner};
 use radishstair_core::time::Moment;
 
-use super::build::{bounds, customer, priced, route, runner};
+use super::fixtures::{bounds, customer, priced, route, runner};
 
 fn at(ms: u64) -> Moment {
     Moment::at_ms(100_000 + ms)
@@ -68,7 +68,11 @@
         weight,
     };
     split.shares = vec![share("a", 90), share("b", 10), share("c", 0)];
-    let count = |name: &str| (0..1_000).filter(|draw| split.service(*draw) == name).count();
+    let count = |name: &str| {
+        (0..1_000)
+            .filter(|draw| split.pick_service(*draw) == name)
+            .count()
+    };
     assert_eq!((count("a"), count("b"), count("c")), (900, 100, 0));
 }
 
@@ -115,7 +119,7 @@
     let table = engines();
     let mut sent = Vec::new();
     while let Some(order) = planner.tick(at(ms), &table, fleet, |_| flow) {
-        planner.ordered(at(ms), &order, true);
+        planner.record_result(at(ms), &order, true);
         sent.push(order);
     }
     sent
@@ -133,7 +137,7 @@
         item.reclaimable = true;
         item
     });
-    fleet.list(at(0), listed.collect());
+    fleet.update(at(0), listed.collect());
     let cheap = |orders: &[Order]| {
         let of_zone = orders
             .iter()
@@ -160,7 +164,7 @@
                 item
             })
         });
-        fleet.list(at(0), listed.collect());
+        fleet.update(at(0), listed.collect());
         fleet
     };
     let mut planner = Planner::default();
--- a/tests/suite/proxy/model.rs
+++ b/tests/suite/proxy/model.rs
@@ -8,12 +8,12 @@
 use radishstair_core::proxy::State;
 use radishstair_core::proxy::fleet::{Key, Listed};
 use radishstair_core::proxy::gossip::Flow;
-use radishstair_core::proxy::place::{Choice, Demand, Part};
+use radishstair_core::proxy::placement::{Choice, Demand, Segment};
 use radishstair_core::time::Moment;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::build::{bounds, runner, table};
+use super::fixtures::{bounds, runner, table};
 
 /// Service of the engines.
 pub const SERVICE: &str = "engines";
@@ -187,7 +187,7 @@
             .filter(here)
             .map(|at| runner(&format!("e{at}"), SERVICE, zones[at]))
             .collect();
-        self.state.list(moment(ms), moment(ms), items);
+        self.state.update_runners(moment(ms), moment(ms), items);
         for at in 0..zones.len() {
             self.keys[at] = self.state.fleet.find(&format!("e{at}"));
         }
@@ -203,7 +203,7 @@
         let at = self.keys.iter().position(|key| *key == Some(choice.key));
         let at = at.expect("a known engine");
         let engine = &mut self.engines[at];
-        let subject = demand.parts[1].id;
+        let subject = demand.segments[1].id;
         // What another engine has read is copied in no time.
         let kept = engine.kept.contains(&subject) || choice.source.is_some();
         let tokens = if kept { OWN } else { OWN + SHARED };
@@ -229,10 +229,13 @@
                 run.first = None;
                 let took = Duration::from_millis(ms - run.sent);
                 self.seen.timely += u32::from(took.as_millis() as u64 <= self.play.target_ms);
-                self.state.fleet.read(run.choice.key, run.choice.work);
-                self.state.first_event(run.choice.key, &run.choice.outlook, took);
+                self.state
+                    .fleet
+                    .finish_prefill(run.choice.key, run.choice.prefill_us);
+                self.state
+                    .record_first_event(run.choice.key, &run.choice.conditions, took);
                 if !self.play.judges_engines {
-                    self.state.fleet.get_mut(run.choice.key).expect("known").lag = 1.0;
+                    self.state.fleet.get_mut(run.choice.key).expect("known").slowdown = 1.0;
                 }
             }
         }
@@ -240,7 +243,9 @@
         self.running.retain(|run| {
             let on = run.ends > ms;
             if !on {
-                state.fleet.end(run.choice.key, 0, run.demand.held());
+                state
+                    .fleet
+                    .finish_request(run.choice.key, 0, run.demand.kv_tokens());
             }
             on
         });
@@ -248,14 +253,14 @@
 }
 
 fn demand(subject: u64, own: u64) -> Demand {
-    let part = |id, tokens| Part { id, tokens };
+    let part = |id, tokens| Segment { id, tokens };
     Demand {
         service: SERVICE.into(),
         prompt: SHARED + OWN,
         output: 50,
-        copies: true,
+        copies_prefix: true,
         bytes: 18_000,
-        parts: vec![part(1, 2_500), part(subject, SHARED - 2_500), part(own, OWN)],
+        segments: vec![part(1, 2_500), part(subject, SHARED - 2_500), part(own, OWN)],
         ..Demand::default()
     }
 }
--- a/tests/suite/proxy/place.rs
+++ b/tests/suite/proxy/placement.rs
@@ -2,11 +2,11 @@
 
 use radishstair_core::id::Incarnation;
 use radishstair_core::proxy::State;
-use radishstair_core::proxy::fleet::{Fleet, Key, Listed, Load, Runner, Sign};
+use radishstair_core::proxy::fleet::{Attempt, Fleet, Key, Listed, Load, Runner};
 use radishstair_core::proxy::gossip::{self, Meter, Peers};
-use radishstair_core::proxy::pace::Pace;
-use radishstair_core::proxy::parting::{self, Parting};
-use radishstair_core::proxy::place::{self, Choice, Demand, Known, Part};
+use radishstair_core::proxy::latency::Latency;
+use radishstair_core::proxy::partition::{self, Partition};
+use radishstair_core::proxy::placement::{self, Choice, Demand, Inputs, Segment};
 use radishstair_core::proxy::prefix::Index;
 use radishstair_core::time::Moment;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::build::{bounds, runner};
+use super::fixtures::{bounds, runner};
 
 fn at(ms: u64) -> Moment {
     Moment::at_ms(100_000 + ms)
@@ -27,19 +27,19 @@
 
 fn fleet(count: usize) -> Fleet {
     let mut fleet = Fleet::new("zone-0");
-    fleet.list(at(0), listed(count));
-    parting::divide(fleet.runners_mut(), "engines", &Parting::default());
+    fleet.update(at(0), listed(count));
+    partition::assign(fleet.runners_mut(), "engines", &Partition::default());
     fleet
 }
 
 fn choose(fleet: &Fleet, memory: &Index, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
-    let known = Known {
+    let known = Inputs {
         fleet,
         prefixes: memory,
-        pace: &Pace::default(),
-        parting: &Parting::default(),
+        latency: &Latency::default(),
+        partition: &Partition::default(),
     };
-    place::choose(known, now, demand, tried)
+    placement::choose(known, now, demand, tried)
 }
 
 fn host(runners: usize) -> State {
@@ -53,14 +53,14 @@
         service: "engines".into(),
         prompt,
         output: 100,
-        copies: true,
-        parts: vec![
-            Part { id: 1, tokens: 100 },
-            Part {
+        copies_prefix: true,
+        segments: vec![
+            Segment { id: 1, tokens: 100 },
+            Segment {
                 id: subject,
                 tokens: prompt / 2,
             },
-            Part {
+            Segment {
                 id: 999,
                 tokens: prompt / 2 - 100,
             },
@@ -78,8 +78,8 @@
     for subject in 10..60 {
         let long = choose(&fleet, &memory, at(1), &demand(12_000, subject), &[]).expect("one");
         let short = choose(&fleet, &memory, at(1), &demand(800, subject), &[]).expect("one");
-        assert!(fleet.get(long.key).expect("known").long);
-        assert!(!fleet.get(short.key).expect("known").long);
+        assert!(fleet.get(long.key).expect("known").for_long_prompts);
+        assert!(!fleet.get(short.key).expect("known").for_long_prompts);
     }
 }
 
@@ -93,8 +93,8 @@
     let mut crossed = 0;
     for subject in 0..200 {
         let choice = choose(&fleet, &memory, at(1), &demand(12_000, subject), &[]).expect("one");
-        crossed += u32::from(!fleet.get(choice.key).expect("known").long);
-        fleet.begin(choice.key, choice.work, 12_100);
+        crossed += u32::from(!fleet.get(choice.key).expect("known").for_long_prompts);
+        fleet.start_request(choice.key, choice.prefill_us, 12_100);
     }
     assert!((20..100).contains(&crossed), "{crossed} of 200 crossed over");
 }
@@ -124,20 +124,22 @@
     let wanted: Vec<_> = (100..200).map(|subject| demand(12_000, subject)).collect();
     let place = |state: &mut State, demand, ms| {
         let choice = state.place(at(ms), demand, &[]).expect("one");
-        state.fleet.end(choice.key, choice.work, demand.held());
+        state
+            .fleet
+            .finish_request(choice.key, choice.prefill_us, demand.kv_tokens());
         state.fleet.get(choice.key).expect("known").listed.id.clone()
     };
     let first: Vec<_> = wanted.iter().map(|demand| place(&mut one, demand, 1)).collect();
     let packet = one.packet(at(2), Incarnation(1), 1);
-    let mut told: Vec<u64> = packet.holders.iter().map(|holder| holder.subject).collect();
+    let mut told: Vec<u64> = packet.prefixes.iter().map(|holder| holder.prefix).collect();
     told.sort_unstable();
     told.dedup();
     // The first part, which all of them share, is told as well.
     let subjects = std::iter::once(1).chain(100..200);
     assert_eq!(told, subjects.collect::<Vec<u64>>(), "each subject is told");
-    other.hear(at(3), Incarnation(2), packet);
+    other.receive(at(3), Incarnation(2), packet);
     for state in [&mut one, &mut other] {
-        state.fleet.list(at(4), listed(20));
+        state.fleet.update(at(4), listed(20));
         let then: Vec<_> = wanted.iter().map(|demand| place(state, demand, 5)).collect();
         assert_eq!(first, then);
     }
@@ -149,8 +151,8 @@
     assert!(moved.count() > 10, "a host that was not told moves some");
     let mut left = listed(20);
     left.retain(|runner| runner.id != first[0]);
-    one.fleet.list(at(2_000), left.clone());
-    one.fleet.list(at(4_000), left);
+    one.fleet.update(at(2_000), left.clone());
+    one.fleet.update(at(4_000), left);
     assert_ne!(
         place(&mut one, &wanted[0], 4_100),
         first[0],
@@ -169,7 +171,7 @@
     for _ in 0..40 {
         let demand = demand(12_000, 5);
         let choice = choose(&fleet, &memory, at(1), &demand, &[]).expect("one");
-        fleet.begin(choice.key, choice.work, demand.held());
+        fleet.start_request(choice.key, choice.prefill_us, demand.kv_tokens());
         memory.note(at(1), 5, choice.key);
         used.push(choice.key);
     }
@@ -193,7 +195,10 @@
             true => assert_ne!(choice.source, Some(choice.key)),
             false => assert!(choice.source.is_some_and(|source| used.contains(&source))),
         }
-        assert!(choice.work < first.work, "the beginning is not read again");
+        assert!(
+            choice.prefill_us < first.prefill_us,
+            "the beginning is not read again"
+        );
         used.push(choice.key);
     }
     used.sort_unstable();
@@ -207,7 +212,7 @@
 fn without_copies_a_subject_stays() {
     let mut state = host(14);
     let alone = Demand {
-        copies: false,
+        copies_prefix: false,
         ..demand(12_000, 5)
     };
     let first = state.place(at(1), &alone, &[]).expect("one");
@@ -226,7 +231,7 @@
     let hear = |state: &mut State, number, ms| {
         let far = Fleet::new("zone-1");
         let packet = gossip::packet(Incarnation(7), number, &far, Vec::new());
-        state.hear(at(ms), Incarnation(1), packet);
+        state.receive(at(ms), Incarnation(1), packet);
     };
     hear(&mut state, 1, 0);
     // Only the other zone's runners have read it.
@@ -248,12 +253,12 @@
     assert_eq!(silent.source, None, "once they are silent");
     let plain = Demand {
         prompt: 0,
-        parts: Vec::new(),
+        segments: Vec::new(),
         ..demand(1_000, 5)
     };
     for key in near {
         // No place is free near by.
-        (0..20).for_each(|_| again.fleet.begin(key, 0, 0));
+        (0..20).for_each(|_| again.fleet.start_request(key, 0, 0));
     }
     let runner = |state: &State, key| state.fleet.get(key).expect("known").listed.zone.clone();
     let choice = again.place(at(2_200), &plain, &[]).expect("one");
@@ -268,21 +273,25 @@
 /// less, and nobody hears more than twice as much as where all are told alike.
 #[test]
 fn a_zones_own_hosts_are_told_first() {
-    assert_eq!(gossip::pause(8, 8), gossip::interval(8), "few hosts tell all");
-    assert!((1..=20).all(|number| gossip::goes_far(number, 8)));
+    assert_eq!(
+        gossip::zone_interval(8, 8),
+        gossip::interval(8),
+        "few hosts tell all"
+    );
+    assert!((1..=20).all(|number| gossip::is_cross_zone(number, 8)));
     let (near, hosts) = (27, 80);
-    let pause = gossip::pause(near, hosts);
+    let pause = gossip::zone_interval(near, hosts);
     assert!(pause * 2 < gossip::interval(hosts));
     let far_packets = (1..=240)
-        .filter(|number| gossip::goes_far(*number, hosts))
+        .filter(|number| gossip::is_cross_zone(*number, hosts))
         .count() as f64;
     let part_far = far_packets / 240.0;
     let heard = (f64::from(near - 1) + f64::from(hosts - near) * part_far) / pause.as_secs_f64();
     let alike = f64::from(hosts - 1) / gossip::interval(hosts).as_secs_f64();
     assert!(heard < alike * 2.0, "{heard} packets a second for {alike}");
-    let records = (1..=240).filter(|number| gossip::has_record_far(*number, hosts));
+    let records = (1..=240).filter(|number| gossip::has_record_cross_zone(*number, hosts));
     assert!(records.clone().count() >= 16);
-    assert!(records.clone().all(|number| gossip::goes_far(number, hosts)));
+    assert!(records.clone().all(|number| gossip::is_cross_zone(number, hosts)));
 }
 
 /// Two requests about a new subject come together. What the first runner is just reading
@@ -302,8 +311,8 @@
     let mut state = host(2);
     let first = state.place(at(1), &demand(12_000, 5), &[]).expect("one");
     let mut again = listed(2);
-    again.iter_mut().for_each(|runner| runner.born += 1_000);
-    state.fleet.list(at(1_000), again);
+    again.iter_mut().for_each(|runner| runner.started_ms += 1_000);
+    state.fleet.update(at(1_000), again);
     let second = state
         .place(at(2_000), &demand(12_000, 5), &[first.key])
         .expect("one");
@@ -335,8 +344,8 @@
     let mut draws = ChaCha8Rng::seed_from_u64(4);
     let mut running = std::collections::VecDeque::new();
     // In the host's zone and kept for long prompts, so that both kinds may go there.
-    let fits = |runner: &Runner| runner.long && runner.listed.zone == "zone-0";
-    let grey_key = fleet.all().find(|(_, runner)| fits(runner)).expect("one").0;
+    let fits = |runner: &Runner| runner.for_long_prompts && runner.listed.zone == "zone-0";
+    let grey_key = fleet.runners().find(|(_, runner)| fits(runner)).expect("one").0;
     let mut grey = 0;
     for draw in 0..300 {
         let demand = match prompt {
@@ -347,24 +356,32 @@
             },
             // Nothing shared, so that nothing draws it to a home.
             _ => Demand {
-                parts: Vec::new(),
+                segments: Vec::new(),
                 ..demand(prompt, draw)
             },
         };
         let choice = choose(&fleet, &memory, at(1), &demand, &[]).expect("one");
-        fleet.begin(choice.key, choice.work, demand.held());
+        fleet.start_request(choice.key, choice.prefill_us, demand.kv_tokens());
         let at_grey = choice.key == grey_key;
         grey += u32::from(at_grey);
         if at_grey && draws.random_bool(0.4) {
-            fleet.end(choice.key, choice.work, demand.held());
-            fleet.sign(at(1), choice.key, if judges { Sign::Failed } else { Sign::Sound });
+            fleet.finish_request(choice.key, choice.prefill_us, demand.kv_tokens());
+            fleet.record_attempt(
+                at(1),
+                choice.key,
+                if judges {
+                    Attempt::Failed
+                } else {
+                    Attempt::Succeeded
+                },
+            );
         } else {
             running.push_back((choice, demand));
         }
         if running.len() > 12 {
             let (choice, demand) = running.pop_front().expect("there are some");
-            fleet.end(choice.key, choice.work, demand.held());
-            fleet.sign(at(1), choice.key, Sign::Sound);
+            fleet.finish_request(choice.key, choice.prefill_us, demand.kv_tokens());
+            fleet.record_attempt(at(1), choice.key, Attempt::Succeeded);
         }
     }
     grey
@@ -377,25 +394,25 @@
 fn the_peers_load_counts() {
     let mut busy = fleet(4);
     let target = busy.find("r0").expect("known");
-    busy.begin(target, 50_000, 60_000);
+    busy.start_request(target, 50_000, 60_000);
     let mut mine = fleet(4);
     let mut peers = Peers::default();
     let (me, peer) = (Incarnation(1), Incarnation(2));
     let news = |number, fleet: &Fleet| gossip::packet(peer, number, fleet, Vec::new());
-    peers.hear(at(0), me, news(2, &busy), &mut mine, 2);
+    peers.receive(at(0), me, news(2, &busy), &mut mine, 2);
     let load = |fleet: &Fleet| {
         let runner = fleet.get(target).expect("known");
-        (runner.load(), runner.backlog(), runner.held())
+        (runner.running(), runner.backlog(), runner.kv_tokens())
     };
     assert_eq!(load(&mine), (1, Duration::from_millis(50), 60_000));
-    peers.hear(at(10), me, news(1, &fleet(4)), &mut mine, 2);
+    peers.receive(at(10), me, news(1, &fleet(4)), &mut mine, 2);
     assert_eq!(
         load(&mine),
         (1, Duration::from_millis(50), 60_000),
         "old news says nothing"
     );
     let third = gossip::packet(Incarnation(3), 1, &fleet(4), Vec::new());
-    peers.hear(at(60_000), me, third, &mut mine, 2);
+    peers.receive(at(60_000), me, third, &mut mine, 2);
     assert_eq!(load(&mine), (0, Duration::ZERO, 0), "a silent peer is forgotten");
     assert_eq!(Load::default().running, 0);
 }
--- a/tests/suite/proxy/refresh.rs
+++ b/tests/suite/proxy/refresh.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use radishstair_core::proxy::document::{Document, News, SHORT};
-use radishstair_core::proxy::refresh::{Failure, Plan, ROUND, Standing, Step};
-use radishstair_core::proxy::share::{self, Host, Share, Source};
+use radishstair_core::proxy::document::{Document, INLINE_BYTES, Update};
+use radishstair_core::proxy::readers::{self, Host, Readers, Source};
+use radishstair_core::proxy::refresh::{Failure, ROUND_INTERVAL, Schedule, Status, Step};
 use radishstair_core::store::Entry;
 use radishstair_core::time::Moment;
 use rand::{RngExt, SeedableRng};
@@ -26,8 +26,8 @@
 struct Node {
     host: Host,
     document: Document,
-    plan: Plan,
-    share: Share,
+    plan: Schedule,
+    share: Readers,
     /// When its link is free, in milliseconds.
     link_free: u64,
     /// Questions of an earlier life are not answered.
@@ -93,8 +93,8 @@
         let node = |host: &Host| Node {
             host: *host,
             document: Document::default(),
-            plan: Plan::default(),
-            share: Share::default(),
+            plan: Schedule::default(),
+            share: Readers::default(),
             link_free: 0,
             life: 0,
             asks: false,
@@ -162,7 +162,7 @@
                 let node_state = &mut self.nodes[node];
                 node_state.life += 1;
                 node_state.document = Document::default();
-                node_state.plan = Plan::default();
+                node_state.plan = Schedule::default();
                 node_state.asks = false;
                 self.plan(0, node, Event::Look);
                 self.plan(0, node, Event::Round);
@@ -176,19 +176,19 @@
         if state.asks {
             return;
         }
-        let standing = Standing {
-            reads: share::reads(state.host.address, &self.hosts),
+        let standing = Status {
+            is_reader: readers::is_reader(state.host.address, &self.hosts),
             is_behind: state.document.is_behind(),
             age: state.document.age(now),
         };
         let step = state.plan.step(standing);
-        state.asks = !matches!(step, Step::Rest(_));
-        if let Step::Rest(pause) = step {
+        state.asks = !matches!(step, Step::Wait(_));
+        if let Step::Wait(pause) = step {
             self.plan((pause.as_millis() as u64).max(1), node, Event::Look);
         } else if AWAY.contains(&self.now) {
             self.plan(GIVEN_UP_MS, node, Event::Failed(step));
         } else {
-            let same = step == Step::Renew && state.document.version() == self.document.version;
+            let same = step == Step::Revalidate && state.document.version() == self.document.version;
             let bytes = match same {
                 true => SMALL,
                 false => self.document.value.len() as u64,
@@ -211,7 +211,7 @@
         let took = Duration::from_millis(self.now - asked);
         let state = &mut self.nodes[node];
         state.asks = false;
-        state.document.take(at(asked), document);
+        state.document.replace(at(asked), document);
         let pause = state.plan.answered(took);
         self.plan((pause.as_millis() as u64).max(1), node, Event::Look);
     }
@@ -220,25 +220,25 @@
         let now = at(self.now);
         let hosts = &self.hosts;
         let state = &mut self.nodes[node];
-        if let Source::Peer(peer) = state.share.first(now, state.host.address, hosts) {
+        if let Source::Peer(peer) = state.share.preferred(now, state.host.address, hosts) {
             let peer = hosts.iter().position(|host| host.address == peer);
             let asked = self.now;
             self.plan(5, node, Event::Told(peer.expect("it lives"), asked));
         }
-        self.plan(ROUND.as_millis() as u64, node, Event::Round);
+        self.plan(ROUND_INTERVAL.as_millis() as u64, node, Event::Round);
     }
 
     fn told(&mut self, node: usize, peer: usize, asked: u64) {
         let have = self.nodes[node].document.version();
-        let notice = self.nodes[peer].document.notice(at(self.now), have, SHORT);
+        let notice = self.nodes[peer].document.notice(at(self.now), have, INLINE_BYTES);
         let Some(notice) = notice else {
             return;
         };
-        match self.nodes[node].document.hear(at(asked), notice) {
-            News::Newer(_) => self.plan(0, node, Event::Look),
-            News::Text(..) => unreachable!("the document is large"),
-            News::Proven(as_of) => self.nodes[node].document.renew(as_of),
-            News::Older => {}
+        match self.nodes[node].document.receive(at(asked), notice) {
+            Update::Newer(_) => self.plan(0, node, Event::Look),
+            Update::Text(..) => unreachable!("the document is large"),
+            Update::Current(as_of) => self.nodes[node].document.confirm(as_of),
+            Update::Outdated => {}
         }
     }
 
--- a/tests/suite/proxy/schedule.rs
+++ b/tests/suite/proxy/schedule.rs
@@ -12,15 +12,15 @@
 use radishstair_core::id::Incarnation;
 use radishstair_core::lease::{Lease, Timing};
 use radishstair_core::proxy::mirror::{Changes, Mirror, Page};
-use radishstair_core::proxy::report::{Plan, Reporter, Step};
-use radishstair_core::proxy::tally::{Ledger, Record, Tally, Window};
+use radishstair_core::proxy::report::{Reporter, Schedule, Step};
+use radishstair_core::proxy::usage::{Counter, Ledger, Record, Window};
 use radishstair_core::proxy::{Admission, State};
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::build::{ask, bounds, customer, table};
+use super::fixtures::{ask, bounds, customer, table};
 
 /// Length of a schedule.
 const LENGTH_MS: u64 = 60_000;
@@ -30,7 +30,7 @@
 const START: u64 = 1_000_000;
 /// Customer whose key is withdrawn.
 const KEY: &str = "key-a";
-const PLAN: Plan = Plan {
+const PLAN: Schedule = Schedule {
     length_s: 5,
     due_s: 10,
 };
@@ -99,7 +99,7 @@
     frozen_until: u64,
     lease: Lease,
     reporter: Reporter,
-    tally: Tally,
+    tally: Counter,
     ledger: Ledger,
     state: State,
     own_version: u64,
@@ -125,7 +125,7 @@
             frozen_until: 0,
             lease: Lease::with_timing(Incarnation(run), "duty".into(), terms),
             reporter: Reporter::default(),
-            tally: Tally::default(),
+            tally: Counter::default(),
             ledger: Ledger::default(),
             state: State::new(bounds(), "zone-a"),
             own_version: 0,
@@ -256,7 +256,7 @@
             if let Some((_, changes)) = host.told.take_if(|(due, _)| *due <= ms) {
                 let asked = if self.fault == Fault::Unaged { ms } else { asked };
                 host.asking = None;
-                host.mirror.take(at(asked), changes);
+                host.mirror.apply(at(asked), changes);
                 believe(host, at(ms));
             } else if ms > asked + 4_000 {
                 host.asking = None;
@@ -267,7 +267,7 @@
         if !begins || peer == at_host {
             return;
         }
-        let after = host.mirror.upto();
+        let after = host.mirror.revision();
         // A frozen peer answers when it wakes, by what it knew before.
         let handled = self.hosts[peer].frozen_until.max(ms);
         let Some(changes) = self.hosts[peer].mirror.changes(at(handled), after) else {
@@ -325,7 +325,7 @@
         let host = &mut self.hosts[at_host];
         let now = at(ms);
         let Some(grant) = host.lease.grant(now) else {
-            host.reporter.rest();
+            host.reporter.stand_down();
             return;
         };
         let mut step = host.reporter.tick(now, ms, PLAN, grant, &host.ledger);
@@ -358,7 +358,8 @@
                     .or_insert(window.counts.clone());
                 assert_eq!(*have, window.counts, "two figures of window {}", window.number);
             }
-            host.reporter.reported(now, accepted && self.rng.random_bool(0.9));
+            host.reporter
+                .record_result(now, accepted && self.rng.random_bool(0.9));
         }
         if let Some((_, admission)) = host.waiting.take_if(|(due, _)| *due <= ms) {
             let looked = match self.fault {
@@ -395,7 +396,7 @@
     });
     let mut entries: Vec<Entry> = items.chain([document]).collect();
     entries.sort_by(|a, b| a.key.cmp(&b.key));
-    host.mirror.page(Page {
+    host.mirror.add_page(Page {
         after: String::new(),
         entries,
         more: false,
@@ -417,16 +418,16 @@
     };
     host.state
         .configure(table(document.version, vec![customer("ana", keys)]));
-    host.state.proof.renew(as_of);
+    host.state.freshness.renew(as_of);
     host.lease.observe_read(now, host.mirror.find("duty"));
-    let entries = host.mirror.under("").to_vec();
+    let entries = host.mirror.with_prefix("").to_vec();
     let (sealed, others): (Vec<Entry>, Vec<Entry>) = entries
         .into_iter()
         .partition(|entry| entry.key.contains("sealed"));
-    host.reporter.adopt(&sealed);
+    host.reporter.load_sealed(&sealed);
     for entry in others {
         if let Ok(record) = serde_json::from_str(&entry.value) {
-            host.ledger.take(now, record);
+            host.ledger.receive(now, record);
         }
     }
 }
