--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -1,9 +1,13 @@
-//! The opaque front: requests are passed on to runners byte by byte, as an
-//! operator's document says, in the words of whatever platform it runs on.
+//! Reverse proxy that forwards opaque requests to runners.
 //!
-//! What it needs of the platform's language stands in [`adapter`]; decisions
-//! are in the core crate. A control thread keeps the beliefs up to date and
-//! holds duties, traffic threads forward.
+//! Requests and responses are forwarded byte by byte, along the routes of the
+//! operator's configuration document. [`adapter`] defines how messages are
+//! translated to and from the platform that the host runs on; the decisions
+//! are made in the core crate.
+//!
+//! A control thread keeps the host's state up to date and performs the duties
+//! that one host at a time holds. A traffic thread accepts and forwards
+//! requests.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -47,93 +51,93 @@
 pub mod stream;
 pub mod sync;
 
-/// Milliseconds before now of which the counts are not yet whole.
-const OPEN_MS: u64 = 30;
+/// Age below which usage counts may still change, in milliseconds.
+const COUNT_SETTLE_MS: u64 = 30;
 
-/// Shared by all threads of the process.
+/// State shared by all threads of the process.
 #[derive(Debug)]
 pub struct Shared {
-    /// This process.
-    pub me: Incarnation,
-    /// Civil time in milliseconds at its start.
-    pub began: u64,
-    /// Clocks.
+    /// Random id of this process.
+    pub incarnation: Incarnation,
+    /// Wall-clock time at which the process started, in Unix milliseconds.
+    pub started_ms: u64,
+    /// Source of the current time.
     pub clock: Clock,
-    /// Counters.
+    /// Metrics of this process.
     pub metrics: Metrics,
-    /// The platform's language.
+    /// Translates messages for the platform.
     pub adapter: Arc<dyn Adapter>,
-    /// Settings as last read.
+    /// Settings as last loaded.
     pub settings: ArcSwap<settings::Settings>,
-    /// Whether the process was told to stop.
+    /// Whether the process has been asked to stop.
     pub stopping: AtomicBool,
     state: Mutex<State>,
-    civil: Mutex<Civil>,
+    wall_clock: Mutex<Civil>,
     mirror: Mutex<Mirror>,
     document: Mutex<Document>,
-    /// Since when the store has not answered this host.
-    lost_since: Mutex<Option<Moment>>,
-    /// A newer document is known to stand.
-    document_wanted: Notify,
-    /// The peer that has it, if one said so by itself.
+    /// Start of the current outage of the store, as seen from this host.
+    store_lost_since: Mutex<Option<Moment>>,
+    /// Notified when a newer document has to be fetched.
+    document_requested: Notify,
+    /// Peer that has announced the newer document.
     document_holder: Mutex<Option<SocketAddr>>,
-    /// Something new was read in the store; the peers are to hear of it.
-    found: Notify,
-    /// A peer has read something new in the store.
-    nudged: Notify,
-    running: flight::Count,
+    /// Notified when a read of the store returned changes, to announce them to peers.
+    store_changed: Notify,
+    /// Notified when a peer announces that it has read changes from the store.
+    peer_notified: Notify,
+    active_requests: flight::Count,
     peers: ArcSwap<Vec<SocketAddr>>,
-    /// Where hosts are, as their datagrams tell; sorted by address.
-    places: Mutex<Vec<Host>>,
+    /// Zones and links of hosts, taken from their datagrams; sorted by address.
+    locations: Mutex<Vec<Host>>,
 }
 
 impl Shared {
-    /// State of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(settings: settings::Settings, adapter: Arc<dyn Adapter>) -> Arc<Self> {
         let state = State::new(settings.bounds.clone(), &settings.zone);
         let clock = Clock::default();
-        let mut civil = Civil::default();
+        let mut wall_clock = Civil::default();
         Arc::new(Self {
-            me: Incarnation(rand::random()),
-            began: civil.now(clock.now()),
+            incarnation: Incarnation(rand::random()),
+            started_ms: wall_clock.now(clock.now()),
             clock,
             metrics: Metrics::default(),
             adapter,
             settings: ArcSwap::from_pointee(settings),
             stopping: AtomicBool::new(false),
             state: Mutex::new(state),
-            civil: Mutex::new(civil),
+            wall_clock: Mutex::new(wall_clock),
             mirror: Mutex::default(),
             document: Mutex::default(),
-            lost_since: Mutex::default(),
-            document_wanted: Notify::new(),
+            store_lost_since: Mutex::default(),
+            document_requested: Notify::new(),
             document_holder: Mutex::default(),
-            found: Notify::new(),
-            nudged: Notify::new(),
-            running: flight::Count::default(),
+            store_changed: Notify::new(),
+            peer_notified: Notify::new(),
+            active_requests: flight::Count::default(),
             peers: ArcSwap::default(),
-            places: Mutex::default(),
+            locations: Mutex::default(),
         })
     }
 
-    /// All hosts that live, and where they are as far as they have told.
+    /// All live hosts, with zone and link where these are known.
     fn hosts(&self) -> Vec<Host> {
-        let own = self.own_place();
-        let places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = |address: &SocketAddr| {
-            let found = places.binary_search_by_key(address, |host| host.address);
-            found.map_or(Host::unplaced(*address), |at| places[at])
+        let own = self.own_host();
+        let locations = self.locations.lock().unwrap_or_else(PoisonError::into_inner);
+        let located = |address: &SocketAddr| {
+            let found = locations.binary_search_by_key(address, |host| host.address);
+            found.map_or(Host::unplaced(*address), |index| locations[index])
         };
         let peers = self.peers.load();
         let hosts = peers.iter().map(|address| match *address == own.address {
             true => own,
-            false => place(address),
+            false => located(address),
         });
         hosts.collect()
     }
 
-    /// This host as it tells others.
-    fn own_place(&self) -> Host {
+    /// This host's own address, zone and link.
+    fn own_host(&self) -> Host {
         let settings = self.settings.load();
         Host {
             address: settings.peer_listen,
@@ -142,33 +146,33 @@
         }
     }
 
-    /// Keeps in mind where a host is.
-    fn locate(&self, host: Host) {
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        match places.binary_search_by_key(&host.address, |have| have.address) {
-            Ok(at) => places[at] = host,
+    /// Stores a host's zone and link; hosts that are no longer peers are dropped.
+    fn record_location(&self, host: Host) {
+        let mut locations = self.locations.lock().unwrap_or_else(PoisonError::into_inner);
+        match locations.binary_search_by_key(&host.address, |known| known.address) {
+            Ok(index) => locations[index] = host,
             Err(_) => {
                 let peers = self.peers.load();
-                places.retain(|have| peers.contains(&have.address));
-                places.push(host);
-                places.sort_unstable_by_key(|have| have.address);
+                locations.retain(|known| peers.contains(&known.address));
+                locations.push(host);
+                locations.sort_unstable_by_key(|known| known.address);
             }
         }
     }
 
-    /// The beliefs; held for microseconds, never across a wait.
+    /// Locks the routing state. Hold it for microseconds, never across an await.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// The store's keys as last seen; held for as short as the beliefs are.
+    /// Locks the copy of the store's keys, under the same rule as [`state`](Self::state).
     fn mirror(&self) -> MutexGuard<'_, Mirror> {
         self.mirror
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// The operator's document as last read; held for as short as the beliefs are.
+    /// Locks the operator's document, under the same rule as [`state`](Self::state).
     fn document(&self) -> MutexGuard<'_, Document> {
         self.document
             .lock()
@@ -181,69 +185,80 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A round began that the store did not answer.
-    fn store_lost(&self, began: Moment) {
-        let mut since = self.lost_since.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Records that the store did not answer a round that began at `round_start`.
+    fn store_lost(&self, round_start: Moment) {
+        let mut since = self
+            .store_lost_since
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         if since.is_none() {
-            *since = Some(began);
+            *since = Some(round_start);
             tracing::warn!(event = "store-lost");
         }
     }
 
-    /// The store answered a question that left at `asked`.
-    fn store_regained(&self, asked: Moment) {
-        let mut since = self.lost_since.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Records that the store answered a call sent at `sent`, and ends an outage.
+    fn store_regained(&self, sent: Moment) {
+        let mut since = self
+            .store_lost_since
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         if let Some(since) = since.take() {
-            let away_ms = asked.since(since).as_millis() as u64;
+            let away_ms = sent.since(since).as_millis() as u64;
             tracing::info!(event = "store-regained", away_ms);
-            self.document_wanted.notify_one();
+            self.document_requested.notify_one();
         }
     }
 
-    /// Whether the store answers this host nothing.
+    /// Whether the store is currently not answering this host.
     fn is_store_lost(&self) -> bool {
-        let since = self.lost_since.lock().unwrap_or_else(PoisonError::into_inner);
+        let since = self
+            .store_lost_since
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         since.is_some()
     }
 
-    /// Now.
+    /// Current time.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// Civil time in milliseconds, free of jumps.
-    pub fn civil(&self, now: Moment) -> u64 {
-        self.clock_of_windows().now(now)
+    /// Wall-clock time in Unix milliseconds, unaffected by clock adjustments.
+    pub fn wall_clock_ms(&self, now: Moment) -> u64 {
+        self.wall_clock().now(now)
     }
 
-    fn clock_of_windows(&self) -> MutexGuard<'_, Civil> {
-        self.civil.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    fn wall_clock(&self) -> MutexGuard<'_, Civil> {
+        self.wall_clock
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Whether the process was told to stop.
+    /// Whether the process has been asked to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Counts a request in flight until the guard is dropped.
-    pub fn flight(&self) -> Flight {
-        self.running.begin()
+    /// Counts a request as in flight until the returned guard is dropped.
+    pub fn start_request(&self) -> Flight {
+        self.active_requests.begin()
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
-        self.running.get()
+        self.active_requests.get()
     }
 
-    /// What this run publishes of itself.
-    pub fn record(&self, ended: bool) -> Record {
+    /// Usage record of this process, as published in the store and to peers.
+    pub fn usage_record(&self, ended: bool) -> Record {
         let settings = self.settings.load();
-        let until = self.civil(self.now()).saturating_sub(OPEN_MS);
+        let until = self.wall_clock_ms(self.now()).saturating_sub(COUNT_SETTLE_MS);
         let state = self.state();
         Record {
             host: settings.host.clone(),
-            incarnation: self.me,
-            began: self.began,
+            incarnation: self.incarnation,
+            began: self.started_ms,
             peer: settings.peer_listen.to_string(),
             until,
             ended,
@@ -251,14 +266,14 @@
         }
     }
 
-    /// Counts a customer's request that a runner began.
-    pub fn count_start(&self, customer: Option<&str>) {
+    /// Counts a request that a runner has started, if it belongs to a customer.
+    pub fn count_usage(&self, customer: Option<&str>) {
         let Some(customer) = customer else {
             return;
         };
         let now = self.now();
         let mut state = self.state();
-        let window = self.clock_of_windows().window(now, state.bounds.usage_window_s);
+        let window = self.wall_clock().window(now, state.bounds.usage_window_s);
         state.tally.add(window, customer);
     }
 }
--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -110,7 +110,7 @@
     request: Request<Incoming>,
     arrived: Moment,
 ) -> Result<Response<Body>, Refusal> {
-    let flight = forwarder.shared.flight();
+    let flight = forwarder.shared.start_request();
     let shared = forwarder.shared.clone();
     let (parts, body) = request.into_parts();
     let head = shared.adapter.parse_request(&parts);
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -32,7 +32,7 @@
         let pause = keeper.round().await;
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = keeper.shared.document_wanted.notified() => {}
+            () = keeper.shared.document_requested.notified() => {}
         }
     }
 }
@@ -101,7 +101,7 @@
                 let entry = entries.into_iter().next();
                 let is_new = entry.is_some_and(|entry| take(&self.shared, sent, entry));
                 if is_new && reads {
-                    self.shared.found.notify_one();
+                    self.shared.store_changed.notify_one();
                 }
             }
             Answer::Refused => return Err(Failure::Refused),
@@ -212,7 +212,7 @@
                 tracing::info!(event = "configuration-to-read", revision = version);
             }
             shared.state().is_behind = true;
-            shared.document_wanted.notify_one();
+            shared.document_requested.notify_one();
             false
         }
         News::Older => false,
@@ -226,7 +226,7 @@
 pub fn hear_version(shared: &Shared, peer: SocketAddr, version: u64) {
     if version > shared.document().newest() {
         *shared.document_holder() = Some(peer);
-        shared.document_wanted.notify_one();
+        shared.document_requested.notify_one();
     }
 }
 
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -47,7 +47,7 @@
         let terms = Terms::fenced(Duration::from_millis(shared.settings.load().bounds.lease_ms));
         Self {
             began: shared.now(),
-            lease: Lease::with(shared.me, format!("{PREFIX}duty"), terms),
+            lease: Lease::with(shared.incarnation, format!("{PREFIX}duty"), terms),
             records: Records::new(shared.clone(), store.clone()),
             shared,
             store,
@@ -155,7 +155,7 @@
 
     async fn report(&mut self, grant: Grant) {
         let now = self.shared.now();
-        let civil = self.shared.civil(now);
+        let civil = self.shared.wall_clock_ms(now);
         let mut step = {
             let state = self.shared.state();
             let plan = report::Plan {
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -306,7 +306,7 @@
             body,
         } = opened;
         slot.read();
-        self.shared.count_start(job.admission.customer.as_deref());
+        self.shared.count_usage(job.admission.customer.as_deref());
         let whole = Limited::new(body, ANSWER_BYTES).collect();
         let left = job.left(self.shared.now()).unwrap_or(Duration::from_secs(3_600));
         let Ok(Ok(body)) = timeout(left, whole).await else {
--- a/crates/entry/src/proxy/gossip.rs
+++ b/crates/entry/src/proxy/gossip.rs
@@ -47,7 +47,7 @@
         loop {
             tokio::select! {
                 () = &mut next => break,
-                () = shared.found.notified() => send(&shared, &socket, &nudge(&shared), |_| true).await,
+                () = shared.store_changed.notified() => send(&shared, &socket, &nudge(&shared), |_| true).await,
             }
         }
     }
@@ -75,9 +75,12 @@
         let now = self.shared.now();
         let (mut packet, hosts) = {
             let mut state = self.shared.state();
-            (state.packet(now, self.shared.me, self.number), state.hosts)
+            (
+                state.packet(now, self.shared.incarnation, self.number),
+                state.hosts,
+            )
         };
-        packet.link_mbps = self.shared.own_place().link_mbps;
+        packet.link_mbps = self.shared.own_host().link_mbps;
         packet.record = self.record(gossip::has_record(self.number));
         self.announce_to_new_peers();
         self.untold.extend(packet.holders.iter().copied());
@@ -117,7 +120,7 @@
             return Vec::new();
         }
         // Writing text and numbers as JSON cannot fail.
-        serde_json::to_vec(&self.shared.record(false)).unwrap_or_default()
+        serde_json::to_vec(&self.shared.usage_record(false)).unwrap_or_default()
     }
 }
 
@@ -128,7 +131,7 @@
 
 fn nudge(shared: &Shared) -> Packet {
     Packet {
-        incarnation: shared.me.0,
+        incarnation: shared.incarnation.0,
         nudge: true,
         document: shared.document().version(),
         ..Packet::default()
@@ -168,18 +171,18 @@
         if let Ok(packet) = Packet::decode(&bytes[..length]) {
             if packet.nudge {
                 document::hear_version(&shared, peer, packet.document);
-                shared.nudged.notify_one();
+                shared.peer_notified.notify_one();
                 continue;
             }
             let now = shared.now();
-            shared.locate(Host {
+            shared.record_location(Host {
                 address: peer,
                 zone: digest(packet.zone.as_bytes()),
                 link_mbps: packet.link_mbps,
             });
             let mut state = shared.state();
             locate(&far, peer, packet.zone != state.fleet.zone);
-            state.hear(now, shared.me, packet);
+            state.hear(now, shared.incarnation, packet);
         }
     }
 }
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -80,7 +80,7 @@
 impl Records {
     /// Of a run that has written nothing.
     pub fn new(shared: Arc<Shared>, store: Arc<Client>) -> Self {
-        let run = run(&shared.settings.load().host, shared.me);
+        let run = run(&shared.settings.load().host, shared.incarnation);
         let written = |prefix: &str| Written {
             key: format!("{prefix}{run}"),
             version: 0,
@@ -140,7 +140,7 @@
         if self.announced && self.published == window {
             return;
         }
-        let record = self.shared.record(false);
+        let record = self.shared.usage_record(false);
         if !self.announced {
             self.announced = self.announce(&record).await;
         }
@@ -151,7 +151,7 @@
 
     /// Writes the last counts, and that no more will come.
     pub async fn end(&mut self) {
-        let record = self.shared.record(true);
+        let record = self.shared.usage_record(true);
         self.write(&record).await;
         self.announce(&record).await;
     }
@@ -222,7 +222,7 @@
     /// The window that had begun `ago_ms` ago.
     fn window(&self, ago_ms: u64) -> u64 {
         let window_ms = self.shared.settings.load().bounds.usage_window_s * 1_000;
-        let civil = self.shared.civil(self.shared.now());
+        let civil = self.shared.wall_clock_ms(self.shared.now());
         civil.saturating_sub(ago_ms) / window_ms.max(1)
     }
 
--- a/crates/entry/src/proxy/run.rs
+++ b/crates/entry/src/proxy/run.rs
@@ -43,7 +43,7 @@
     // Before anything else: a signal that comes early must not end the process.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).context("setting signal handlers")?;
     let shared = Shared::new(settings.clone(), adapter);
-    tracing::info!(event = "starting", host = settings.host, zone = settings.zone, incarnation = %shared.me);
+    tracing::info!(event = "starting", host = settings.host, zone = settings.zone, incarnation = %shared.incarnation);
     let pool = Pool::default();
     let forwarder = Arc::new(Forwarder {
         shared: shared.clone(),
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -184,7 +184,7 @@
 
     fn started(&self, job: &Job, segment: &mut Segment) {
         segment.opened.slot.read();
-        self.shared.count_start(job.admission.customer.as_deref());
+        self.shared.count_usage(job.admission.customer.as_deref());
         let waited = self.shared.now().since(job.arrived);
         self.shared.metrics.first_after(&job.admission.route.name, waited);
     }
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -62,7 +62,7 @@
         let asks = matches!(reader.source, Some(Source::Peer(_)));
         tokio::select! {
             () = tokio::time::sleep(waits) => {}
-            () = reader.shared.nudged.notified(), if asks => {
+            () = reader.shared.peer_notified.notified(), if asks => {
                 tokio::time::sleep(reader.rest(LEAST, began)).await;
             }
         }
@@ -219,7 +219,7 @@
             after = last;
         }
         if self.settle() {
-            self.shared.found.notify_one();
+            self.shared.store_changed.notify_one();
         }
         true
     }
