--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -22,7 +22,7 @@
 use super::Shared;
 use super::adapter::Metadata;
 use super::forward::Forwarder;
-use super::job::{Job, Tries, ask};
+use super::job::{History, Job, route_query};
 use super::reply::{self, Body, come_back};
 use crate::flight::Flight;
 use crate::serve;
@@ -113,17 +113,17 @@
     let flight = forwarder.shared.start_request();
     let shared = forwarder.shared.clone();
     let (parts, body) = request.into_parts();
-    let head = shared.adapter.parse_request(&parts);
-    let deadline = head.as_ref().ok().and_then(|head| head.timeout);
-    let body = read(body, limits(&shared).body, deadline.unwrap_or(BODY)).await;
-    let head = head.map_err(|kind| refused(&shared, None, Refusal::new(kind)))?;
-    let body = body.map_err(|kind| refused(&shared, Some(&head), Refusal::new(kind)))?;
+    let metadata = shared.adapter.parse_request(&parts);
+    let caller_timeout = metadata.as_ref().ok().and_then(|metadata| metadata.timeout);
+    let body = read(body, limits(&shared).body, caller_timeout.unwrap_or(BODY)).await;
+    let metadata = metadata.map_err(|kind| refused(&shared, None, Refusal::new(kind)))?;
+    let body = body.map_err(|kind| refused(&shared, Some(&metadata), Refusal::new(kind)))?;
     let admission =
-        admit(&shared, &parts, &head).map_err(|refusal| refused(&shared, Some(&head), refusal))?;
+        admit(&shared, &parts, &metadata).map_err(|refusal| refused(&shared, Some(&metadata), refusal))?;
     let job = Job {
-        until: until(arrived, &head, &admission),
+        deadline: deadline(arrived, &metadata, &admission),
         parts,
-        head,
+        metadata,
         body,
         admission,
         arrived,
@@ -134,15 +134,15 @@
 async fn pass(forwarder: Arc<Forwarder>, job: Job, flight: Flight) -> Result<Response<Body>, Refusal> {
     let shared = forwarder.shared.clone();
     let job = Arc::new(job);
-    let mut tries = Tries::default();
+    let mut history = History::default();
     let result = match job.is_stream() {
         true => {
             forwarder
                 .clone()
-                .forward_stream(job.clone(), &mut tries, flight)
+                .forward_stream(job.clone(), &mut history, flight)
                 .await
         }
-        false => forwarder.forward_buffered(&job, &mut tries).await,
+        false => forwarder.forward_buffered(&job, &mut history).await,
     };
     let now = shared.now();
     let after_ms = now.since(job.arrived).as_millis() as u64;
@@ -160,7 +160,7 @@
     let proof_ms = shared.state().proof.age(now).map(|age| age.as_millis() as u64);
     tracing::info!(
         event = "request",
-        request = job.head.id,
+        request = job.metadata.id,
         route,
         service = job.admission.service,
         customer = job.admission.customer,
@@ -168,30 +168,30 @@
         version = job.admission.version,
         outcome,
         status,
-        sent = tries.runs.sent(),
-        runner = tries.last,
+        sent = history.attempts.sent(),
+        runner = history.last_runner,
         after_ms,
         proof_ms,
-        runners = tries.among,
+        runners = history.candidates,
     );
     result
 }
 
-fn admit(shared: &Shared, parts: &request::Parts, head: &Metadata) -> Result<Admission, Refusal> {
+fn admit(shared: &Shared, parts: &request::Parts, metadata: &Metadata) -> Result<Admission, Refusal> {
     let now = shared.now();
     let mut state = shared.state();
     let admission = state
-        .admit(now, &ask(parts, head))
+        .admit(now, &route_query(parts, metadata))
         .map_err(|refusal| match refusal.kind {
-            Kind::Stale => refusal.after(come_back(head.timeout, rand::random())),
+            Kind::Stale => refusal.after(come_back(metadata.timeout, rand::random())),
             _ => refusal,
         })?;
     state.budgets.count(now, &admission.service);
     Ok(admission)
 }
 
-fn until(arrived: Moment, head: &Metadata, admission: &Admission) -> Option<Moment> {
-    let spans = [head.timeout, admission.route.timeout];
+fn deadline(arrived: Moment, metadata: &Metadata, admission: &Admission) -> Option<Moment> {
+    let spans = [metadata.timeout, admission.route.timeout];
     let span = spans.into_iter().flatten().min()?;
     Some(arrived + span)
 }
@@ -213,12 +213,12 @@
     }
 }
 
-fn refused(shared: &Shared, head: Option<&Metadata>, refusal: Refusal) -> Refusal {
+fn refused(shared: &Shared, metadata: Option<&Metadata>, refusal: Refusal) -> Refusal {
     let now = shared.now();
     let state = shared.state();
     tracing::info!(
         event = "request-refused",
-        request = head.map(|head| head.id.as_str()),
+        request = metadata.map(|metadata| metadata.id.as_str()),
         kind = refusal.kind.name(),
         version = state.table.as_ref().map(|table| table.version),
         proof_ms = state.proof.age(now).map(|age| age.as_millis() as u64),
--- a/crates/entry/src/proxy/buffered.rs
+++ b/crates/entry/src/proxy/buffered.rs
@@ -6,7 +6,7 @@
 use radishstair_core::repeat::Fault;
 
 use super::forward::{Forwarder, Halt};
-use super::job::{Job, Tries};
+use super::job::{History, Job};
 use super::reply::{self, Body};
 use super::slot::Slot;
 use crate::upstream::attempts::{self, Attempts};
@@ -14,7 +14,7 @@
 struct Buffered<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
-    tries: &'a mut Tries,
+    history: &'a mut History,
     /// A runner's own failure, passed on if no other runner does better.
     failure: Option<Response<Body>>,
 }
@@ -25,11 +25,11 @@
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
-        self.forwarder.place(self.job, self.tries)
+        self.forwarder.place(self.job, self.history)
     }
 
     async fn attempt(&mut self, slot: Slot) -> Result<Response<Body>, Halt> {
-        let opened = self.forwarder.open(self.job, None, slot, self.tries).await?;
+        let opened = self.forwarder.open(self.job, None, slot, self.history).await?;
         let collected = self.forwarder.collect(self.job, opened).await;
         let (parts, body) = collected.ok_or(Halt::Failed(Fault::Broken))?;
         let answer = reply::whole(&parts, body);
@@ -43,7 +43,7 @@
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        self.forwarder.fail(self.job, self.tries, fault)
+        self.forwarder.fail(self.job, self.history, fault)
     }
 }
 
@@ -53,11 +53,15 @@
     /// # Errors
     ///
     /// The refusal that the caller gets.
-    pub async fn forward_buffered(&self, job: &Job, tries: &mut Tries) -> Result<Response<Body>, Refusal> {
+    pub async fn forward_buffered(
+        &self,
+        job: &Job,
+        history: &mut History,
+    ) -> Result<Response<Body>, Refusal> {
         let mut buffered = Buffered {
             forwarder: self,
             job,
-            tries,
+            history,
             failure: None,
         };
         let result = attempts::run(&mut buffered).await;
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -23,7 +23,7 @@
 
 use super::Shared;
 use super::adapter::{Forwarding, Provenance};
-use super::job::{Job, Tries};
+use super::job::{History, Job};
 use super::reply::come_back;
 use super::slot::Slot;
 use crate::upstream::attempts::Stop;
@@ -70,36 +70,38 @@
     /// # Errors
     ///
     /// The refusal that the caller gets.
-    pub fn place(&self, job: &Job, tries: &mut Tries) -> Result<Slot, Refusal> {
+    pub fn place(&self, job: &Job, history: &mut History) -> Result<Slot, Refusal> {
         let now = self.shared.now();
-        if job.is_over(now) {
-            return Err(self.over(job, tries));
+        if job.is_expired(now) {
+            return Err(self.over(job, history));
         }
-        let Some((slot, among)) = self.pick(now, job, tries.runs.tried()) else {
-            tries.among = 0;
-            return Err(self.refusal(job, tries, Kind::NoRunner));
+        let Some((slot, among)) = self.pick(now, job, history.attempts.tried()) else {
+            history.candidates = 0;
+            return Err(self.refusal(job, history, Kind::NoRunner));
         };
-        tries.runs.choose(slot.key);
-        tries.last = Some(slot.id.clone());
-        tries.among = among;
+        history.attempts.choose(slot.key);
+        history.last_runner = Some(slot.id.clone());
+        history.candidates = among;
         Ok(slot)
     }
 
     /// Takes note of a failed attempt; the refusal, if no other may follow.
-    pub fn fail(&self, job: &Job, tries: &mut Tries, fault: Fault) -> Option<Refusal> {
+    pub fn fail(&self, job: &Job, history: &mut History, fault: Fault) -> Option<Refusal> {
         let now = self.shared.now();
         let budget = || self.shared.state().may_repeat(now, &job.admission.service);
-        let bar = tries.runs.fail(&job.rule(), fault, job.is_over(now), budget)?;
+        let bar = history
+            .attempts
+            .fail(&job.retry_rule(), fault, job.is_expired(now), budget)?;
         tracing::info!(
             event = "not-repeated",
-            request = job.head.id,
+            request = job.metadata.id,
             reason = bar.name(),
-            sent = tries.runs.sent(),
-            ran = tries.runs.ran()
+            sent = history.attempts.sent(),
+            ran = history.attempts.ran()
         );
         Some(match fault {
-            Fault::Unreachable => self.refusal(job, tries, Kind::NoRunner),
-            Fault::NotRun => self.refusal(job, tries, Kind::Overloaded),
+            Fault::Unreachable => self.refusal(job, history, Kind::NoRunner),
+            Fault::NotRun => self.refusal(job, history, Kind::Overloaded),
             Fault::Broken => self.failed(job),
         })
     }
@@ -139,16 +141,16 @@
         job: &Job,
         after: Option<u64>,
         mut slot: Slot,
-        tries: &mut Tries,
+        history: &mut History,
     ) -> Result<Opened, Halt> {
         let line = self.connect(job, &slot).await?;
         // The last look before the bytes leave: connecting may have taken long,
         // the process may have been frozen, the runner may have begun to leave.
         let now = self.shared.now();
-        self.look(now, job, &slot, tries)?;
+        self.look(now, job, &slot, history)?;
         let request = self.request(now, job, after, &slot);
         slot.sent = Some(now);
-        tries.runs.send();
+        history.attempts.send();
         let exchange = upstream::exchange(line, slot.address, request);
         let answer = async {
             tokio::select! {
@@ -157,29 +159,29 @@
                 () = self.path_lost(job, &slot) => Err(Failure::Broken),
             }
         };
-        let sent = match job.left(now) {
+        let sent = match job.time_left(now) {
             Some(left) => timeout(left, answer).await,
             None => Ok(answer.await),
         };
         match sent {
             Ok(Ok(exchange)) => self.judge(job, slot, exchange).await,
             Ok(Err(Failure::NotSent)) => {
-                tries.runs.unsend();
+                history.attempts.unsend();
                 Err(Halt::Failed(Fault::Unreachable))
             }
             Ok(Err(Failure::Broken)) => {
                 slot.sign(Sign::Broken);
                 tracing::info!(
                     event = "runner-broke-off",
-                    request = job.head.id,
+                    request = job.metadata.id,
                     runner = slot.id
                 );
                 Err(Halt::Failed(Fault::Broken))
             }
             Err(_) => {
                 slot.sign(Sign::Broken);
-                tries.runs.run_out();
-                Err(Halt::Over(self.over(job, tries)))
+                history.attempts.run_out();
+                Err(Halt::Over(self.over(job, history)))
             }
         }
     }
@@ -205,7 +207,7 @@
                 Silence::Cut => break,
             }
         }
-        tracing::info!(event = "path-lost", request = job.head.id, runner = slot.id);
+        tracing::info!(event = "path-lost", request = job.metadata.id, runner = slot.id);
     }
 
     /// Whether the runner takes a new connection, or refuses it; one that does is there.
@@ -225,23 +227,29 @@
 
     async fn connect(&self, job: &Job, slot: &Slot) -> Result<Line, Halt> {
         let now = self.shared.now();
-        let limit = job.left(now).unwrap_or(pool::CONNECT);
-        let taken = self.pool.take(now, slot.address, job.once(), limit).await;
+        let limit = job.time_left(now).unwrap_or(pool::CONNECT);
+        let taken = self
+            .pool
+            .take(now, slot.address, job.is_at_most_once(), limit)
+            .await;
         taken.map_err(|err| {
-            tracing::info!(event = "runner-unreachable", request = job.head.id, runner = slot.id, reason = %format!("{err:#}"));
+            tracing::info!(event = "runner-unreachable", request = job.metadata.id, runner = slot.id, reason = %format!("{err:#}"));
             slot.sign(Sign::Unreachable);
             Halt::Failed(Fault::Unreachable)
         })
     }
 
     /// Whether the request may still leave for this runner.
-    fn look(&self, now: Moment, job: &Job, slot: &Slot, tries: &Tries) -> Result<(), Halt> {
-        if job.is_over(now) {
-            return Err(Halt::Over(self.over(job, tries)));
+    fn look(&self, now: Moment, job: &Job, slot: &Slot, history: &History) -> Result<(), Halt> {
+        if job.is_expired(now) {
+            return Err(Halt::Over(self.over(job, history)));
         }
-        let allowed = self.shared.state().may_send(now, &job.admission, &job.ask());
+        let allowed = self
+            .shared
+            .state()
+            .may_send(now, &job.admission, &job.route_query());
         if let Err(refusal) = allowed {
-            return Err(Halt::Over(match tries.runs.ran() {
+            return Err(Halt::Over(match history.attempts.ran() {
                 true => self.failed(job),
                 false => self.timed(job, refusal),
             }));
@@ -267,7 +275,7 @@
             slot.sign(sign);
             tracing::info!(
                 event = "runner-refused",
-                request = job.head.id,
+                request = job.metadata.id,
                 runner = slot.id,
                 status = parts.status.as_u16()
             );
@@ -281,7 +289,7 @@
             slot.sign(Sign::Broken);
             tracing::warn!(
                 event = "answer-not-own",
-                request = job.head.id,
+                request = job.metadata.id,
                 runner = slot.id,
                 status = parts.status.as_u16(),
                 answers = provenance.request_id,
@@ -308,12 +316,14 @@
         slot.read();
         self.shared.count_usage(job.admission.customer.as_deref());
         let whole = Limited::new(body, ANSWER_BYTES).collect();
-        let left = job.left(self.shared.now()).unwrap_or(Duration::from_secs(3_600));
+        let left = job
+            .time_left(self.shared.now())
+            .unwrap_or(Duration::from_secs(3_600));
         let Ok(Ok(body)) = timeout(left, whole).await else {
             slot.sign(Sign::Broken);
             tracing::info!(
                 event = "answer-not-whole",
-                request = job.head.id,
+                request = job.metadata.id,
                 runner = slot.id
             );
             return None;
@@ -346,10 +356,10 @@
     fn request(&self, now: Moment, job: &Job, after: Option<u64>, slot: &Slot) -> Request<Full<Bytes>> {
         let forwarding = Forwarding {
             runner_id: &slot.id,
-            time_left: job.left(now),
+            time_left: job.time_left(now),
             rank: job.is_stream().then_some(job.admission.rank),
             customer: job.admission.customer.as_deref(),
-            resume_after: after.or(job.head.last_event),
+            resume_after: after.or(job.metadata.last_event),
             cache_source: slot.source,
         };
         let mut request = Request::new(Full::new(job.body.clone()));
@@ -360,23 +370,23 @@
     }
 
     /// The time is over.
-    fn over(&self, job: &Job, tries: &Tries) -> Refusal {
-        match tries.runs.ran() {
+    fn over(&self, job: &Job, history: &History) -> Refusal {
+        match history.attempts.ran() {
             true => Refusal::new(Kind::UpstreamTimeout),
-            false => self.refusal(job, tries, Kind::Late),
+            false => self.refusal(job, history, Kind::Late),
         }
     }
 
     fn failed(&self, job: &Job) -> Refusal {
-        match job.is_over(self.shared.now()) {
+        match job.is_expired(self.shared.now()) {
             true => Refusal::new(Kind::UpstreamTimeout),
             false => Refusal::new(Kind::UpstreamBroken),
         }
     }
 
     /// A refusal that says "not run" if that is so.
-    fn refusal(&self, job: &Job, tries: &Tries, kind: Kind) -> Refusal {
-        if tries.runs.ran() {
+    fn refusal(&self, job: &Job, history: &History, kind: Kind) -> Refusal {
+        if history.attempts.ran() {
             return self.failed(job);
         }
         self.timed(job, Refusal::new(kind))
@@ -384,7 +394,7 @@
 
     /// Tells when to come back.
     fn timed(&self, job: &Job, refusal: Refusal) -> Refusal {
-        let left = job.left(self.shared.now());
+        let left = job.time_left(self.shared.now());
         refusal.after(come_back(left, rand::random()))
     }
 }
@@ -396,7 +406,7 @@
 /// are not passed on without the runner's own statement of it.
 fn is_own(job: &Job, parts: &response::Parts, provenance: &Provenance) -> bool {
     let promises = matches!(parts.status.as_u16(), 408 | 421 | 429 | 503);
-    let named = provenance.request_id.as_deref() == Some(job.head.id.as_str());
+    let named = provenance.request_id.as_deref() == Some(job.metadata.id.as_str());
     let encoded = parts.headers.contains_key(CONTENT_ENCODING);
     named && provenance.signed && !promises && !encoded
 }
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -1,4 +1,4 @@
-//! One caller's request on its way, and what it has tried.
+//! A caller's request while it is forwarded, and the attempts made for it.
 
 use std::time::Duration;
 
@@ -14,98 +14,98 @@
 
 use super::adapter::Metadata;
 
-/// Runners tried without reaching one, before the caller is told so.
-const UNREACHABLE: u32 = 4;
+/// Unreachable runners after which the request is refused.
+const MAX_UNREACHABLE: u32 = 4;
 
-/// A caller's request, read whole and admitted.
+/// A caller's request, read completely and admitted.
 #[derive(Debug)]
 pub struct Job {
-    /// Its head as it came.
+    /// Request line and headers as received.
     pub parts: request::Parts,
-    /// What the head says.
-    pub head: Metadata,
-    /// Its body.
+    /// Metadata parsed from the headers.
+    pub metadata: Metadata,
+    /// Complete body.
     pub body: Bytes,
-    /// What the document says of it.
+    /// Route, service and customer that the configuration gives it.
     pub admission: Admission,
-    /// When its head was read.
+    /// Time at which its head was received.
     pub arrived: Moment,
-    /// When the caller must have its final answer.
-    pub until: Option<Moment>,
+    /// Time by which the caller must have the final response, if there is a limit.
+    pub deadline: Option<Moment>,
 }
 
 impl Job {
-    /// Time left, if there is a limit.
-    pub fn left(&self, now: Moment) -> Option<Duration> {
-        self.until.map(|until| now.until(until))
+    /// Time left until the deadline, if there is one.
+    pub fn time_left(&self, now: Moment) -> Option<Duration> {
+        self.deadline.map(|deadline| now.until(deadline))
     }
 
-    /// Whether the time is over.
-    pub fn is_over(&self, now: Moment) -> bool {
-        self.until.is_some_and(|until| now.reached(until))
+    /// Whether the deadline has passed.
+    pub fn is_expired(&self, now: Moment) -> bool {
+        self.deadline.is_some_and(|deadline| now.reached(deadline))
     }
 
-    /// Whether it may run at most once.
-    pub fn once(&self) -> bool {
+    /// Whether the request may run at most once.
+    pub fn is_at_most_once(&self) -> bool {
         !self.admission.route.mode.is_idempotent()
     }
 
-    /// Whether the answer comes as events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(&self) -> bool {
         matches!(self.admission.route.mode, Mode::Stream { .. })
     }
 
-    /// How often it may be sent.
-    pub fn rule(&self) -> Rule {
+    /// Limits on sending the request again.
+    pub fn retry_rule(&self) -> Rule {
         Rule {
-            once: self.once(),
+            once: self.is_at_most_once(),
             attempts: self.admission.route.attempts,
-            unreachable: UNREACHABLE,
+            unreachable: MAX_UNREACHABLE,
         }
     }
 
-    /// What was asked, for a second look at the document.
-    pub fn ask(&self) -> Ask<'_> {
-        ask(&self.parts, &self.head)
+    /// Query with which the request is admitted again before it is sent.
+    pub fn route_query(&self) -> Ask<'_> {
+        route_query(&self.parts, &self.metadata)
     }
 
-    /// What it asks of its runner.
+    /// Load that the request puts on its runner; `draw` breaks ties between runners.
     pub fn demand(&self, draw: u64) -> Demand {
         Demand {
             service: self.admission.service.clone(),
-            prompt: self.head.prompt_tokens,
+            prompt: self.metadata.prompt_tokens,
             output: self
-                .head
+                .metadata
                 .expected_output_tokens
-                .unwrap_or(self.head.max_output_tokens)
-                .min(self.head.max_output_tokens),
-            parts: self.head.prompt_parts.clone(),
+                .unwrap_or(self.metadata.max_output_tokens)
+                .min(self.metadata.max_output_tokens),
+            parts: self.metadata.prompt_parts.clone(),
             bytes: self.body.len() as u64,
             copies: self.admission.copies,
-            once: self.once(),
+            once: self.is_at_most_once(),
             draw,
         }
     }
 }
 
-/// What a head asks of the document.
-pub fn ask<'a>(parts: &'a request::Parts, head: &'a Metadata) -> Ask<'a> {
+/// Query for the route of a request, with a random draw among weighted services.
+pub fn route_query<'a>(parts: &'a request::Parts, metadata: &'a Metadata) -> Ask<'a> {
     let host = parts.headers.get(HOST);
     Ask {
         host: host.and_then(|host| host.to_str().ok()).unwrap_or_default(),
         path: parts.uri.path(),
-        key: head.key.as_deref(),
+        key: metadata.key.as_deref(),
         draw: rand::random(),
     }
 }
 
-/// What one request has tried, and what the log tells of it.
+/// Attempts made for one request, with details for its log line.
 #[derive(Clone, Debug, Default)]
-pub struct Tries {
-    /// Runners, and whether it may have run.
-    pub runs: repeat::Tries<Key>,
-    /// Id of the runner that was chosen last.
-    pub last: Option<String>,
-    /// Runners that this one was chosen among.
-    pub among: u32,
+pub struct History {
+    /// Runners tried, and whether the request may have run.
+    pub attempts: repeat::Tries<Key>,
+    /// Id of the runner chosen last.
+    pub last_runner: Option<String>,
+    /// Number of runners among which the last one was chosen.
+    pub candidates: u32,
 }
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -17,7 +17,7 @@
 
 use super::events::Events;
 use super::forward::{Forwarder, Halt};
-use super::job::{Job, Tries};
+use super::job::{History, Job};
 use super::reply::{self, Body, Cut};
 use super::slot::Slot;
 use crate::flight::Flight;
@@ -45,7 +45,7 @@
         shared.metrics.request(route, self.outcome);
         tracing::info!(
             event = "stream-ended",
-            request = self.job.head.id,
+            request = self.job.metadata.id,
             route,
             outcome = self.outcome,
             runs = self.runs,
@@ -67,7 +67,7 @@
 struct Begin<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
-    tries: &'a mut Tries,
+    history: &'a mut History,
     /// A runner's own failure, passed on if no other runner does better.
     failure: Option<Response<Body>>,
 }
@@ -78,11 +78,11 @@
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
-        self.forwarder.place(self.job, self.tries)
+        self.forwarder.place(self.job, self.history)
     }
 
     async fn attempt(&mut self, slot: Slot) -> Result<Begun, Halt> {
-        let opened = self.forwarder.open(self.job, None, slot, self.tries).await?;
+        let opened = self.forwarder.open(self.job, None, slot, self.history).await?;
         if !opened.parts.status.is_success() {
             let collected = self.forwarder.collect(self.job, opened).await;
             let (parts, body) = collected.ok_or(Halt::Failed(Fault::Broken))?;
@@ -107,7 +107,7 @@
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        self.forwarder.fail(self.job, self.tries, fault)
+        self.forwarder.fail(self.job, self.history, fault)
     }
 }
 
@@ -115,7 +115,7 @@
 struct Resume<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
-    tries: &'a mut Tries,
+    history: &'a mut History,
     last: u64,
 }
 
@@ -125,12 +125,12 @@
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
-        self.forwarder.place(self.job, self.tries)
+        self.forwarder.place(self.job, self.history)
     }
 
     async fn attempt(&mut self, slot: Slot) -> Result<Segment, Halt> {
         let after = Some(self.last);
-        let opened = self.forwarder.open(self.job, after, slot, self.tries).await?;
+        let opened = self.forwarder.open(self.job, after, slot, self.history).await?;
         match opened.parts.status.is_success() {
             true => Ok(Segment::new(opened, after)),
             false => Err(Halt::Failed(Fault::Broken)),
@@ -138,7 +138,7 @@
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        self.forwarder.fail(self.job, self.tries, fault)
+        self.forwarder.fail(self.job, self.history, fault)
     }
 }
 
@@ -151,13 +151,13 @@
     pub async fn forward_stream(
         self: Arc<Self>,
         job: Arc<Job>,
-        tries: &mut Tries,
+        history: &mut History,
         flight: Flight,
     ) -> Result<Response<Body>, Refusal> {
         let mut begin = Begin {
             forwarder: &self,
             job: &job,
-            tries,
+            history,
             failure: None,
         };
         let begun = match attempts::run(&mut begin).await {
@@ -178,8 +178,8 @@
             outcome: "left",
             _flight: flight,
         };
-        let tries = tries.clone();
-        Ok(answer(&parts, self.body(closing, segment, events, tries)))
+        let history = history.clone();
+        Ok(answer(&parts, self.body(closing, segment, events, history)))
     }
 
     fn started(&self, job: &Job, segment: &mut Segment) {
@@ -189,7 +189,13 @@
         self.shared.metrics.first_after(&job.admission.route.name, waited);
     }
 
-    fn body(self: Arc<Self>, closing: Closing, segment: Segment, first: Events, mut tries: Tries) -> Body {
+    fn body(
+        self: Arc<Self>,
+        closing: Closing,
+        segment: Segment,
+        first: Events,
+        mut history: History,
+    ) -> Body {
         let pieces = stream! {
             // Whole, so that it is dropped (and logged) with the stream.
             let mut closing = closing;
@@ -214,7 +220,7 @@
                     }
                     Progress::Broken => {
                         let last = segment.abandon(&job);
-                        match self.resume(&job, last, &mut tries).await {
+                        match self.resume(&job, last, &mut history).await {
                             Some(next) => segment = next,
                             None => {
                                 closing.outcome = "broken";
@@ -236,21 +242,21 @@
     }
 
     /// Another runner that goes on after `last`; none if the stream may not go on.
-    async fn resume(&self, job: &Job, last: Option<u64>, tries: &mut Tries) -> Option<Segment> {
+    async fn resume(&self, job: &Job, last: Option<u64>, history: &mut History) -> Option<Segment> {
         let last = last?;
-        if self.fail(job, tries, Fault::Broken).is_some() {
+        if self.fail(job, history, Fault::Broken).is_some() {
             return None;
         }
         let mut resume = Resume {
             forwarder: self,
             job,
-            tries,
+            history,
             last,
         };
         let mut segment = attempts::run(&mut resume).await.ok()?;
         tracing::info!(
             event = "stream-resumed",
-            request = job.head.id,
+            request = job.metadata.id,
             runner = segment.opened.slot.id,
             last
         );
--- a/crates/entry/src/proxy/stream/segment.rs
+++ b/crates/entry/src/proxy/stream/segment.rs
@@ -70,7 +70,7 @@
     /// runner, and a stop must cut nobody whose runner is only slow.
     pub async fn next(&mut self, job: &Job, shared: &Shared) -> Progress {
         loop {
-            let left = job.left(shared.now()).unwrap_or(FOREVER);
+            let left = job.time_left(shared.now()).unwrap_or(FOREVER);
             let patience = self.patience(job).unwrap_or(FOREVER);
             match timeout(left.min(patience), self.events()).await {
                 Ok(piece) => return piece,
@@ -83,7 +83,7 @@
 
     /// Longest silence of a run that another one could follow.
     fn patience(&self, job: &Job) -> Option<Duration> {
-        self.last.filter(|_| !job.once())?;
+        self.last.filter(|_| !job.is_at_most_once())?;
         let gap = job.admission.route.gap?;
         Some((gap * SILENCE_GAPS).max(SILENCE))
     }
@@ -156,7 +156,7 @@
         self.opened.slot.sign(Sign::Broken);
         tracing::info!(
             event = "stream-broken",
-            request = job.head.id,
+            request = job.metadata.id,
             runner = self.opened.slot.id,
             last = self.last
         );
