--- a/crates/entry/src/proxy/buffered.rs
+++ b/crates/entry/src/proxy/buffered.rs
@@ -5,7 +5,7 @@
 use radishstair_core::proxy::route::Mode;
 use radishstair_core::repeat::Fault;
 
-use super::forward::{Forwarder, Halt};
+use super::forward::{AttemptError, Forwarder};
 use super::job::{History, Job};
 use super::reply::{self, Body};
 use super::slot::Slot;
@@ -25,25 +25,25 @@
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
-        self.forwarder.place(self.job, self.history)
+        self.forwarder.reserve_slot(self.job, self.history)
     }
 
-    async fn attempt(&mut self, slot: Slot) -> Result<Response<Body>, Halt> {
-        let opened = self.forwarder.open(self.job, None, slot, self.history).await?;
-        let collected = self.forwarder.collect(self.job, opened).await;
-        let (parts, body) = collected.ok_or(Halt::Failed(Fault::Broken))?;
+    async fn attempt(&mut self, slot: Slot) -> Result<Response<Body>, AttemptError> {
+        let response = self.forwarder.send(self.job, None, slot, self.history).await?;
+        let collected = self.forwarder.read_response(self.job, response).await;
+        let (parts, body) = collected.ok_or(AttemptError::Failed(Fault::Broken))?;
         let answer = reply::whole(&parts, body);
         // A service's own failure of a repeatable request may pass at another runner.
 
         if parts.status.is_server_error() && self.job.admission.route.mode == Mode::Repeatable {
             self.failure = Some(answer);
-            return Err(Halt::Failed(Fault::Broken));
+            return Err(AttemptError::Failed(Fault::Broken));
         }
         Ok(answer)
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        self.forwarder.fail(self.job, self.history, fault)
+        self.forwarder.record_failure(self.job, self.history, fault)
     }
 }
 
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -1,10 +1,11 @@
-//! Passing one request on to a runner.
+//! Forwarding of one request to a runner.
 //!
-//! Once a byte of a request may have left, only the runner's own statement that
-//! it did not run allows a second runner or a refusal that says "not run".
-//! Everything else may have run: a reset, a closed connection, silence.
-//! Plain requests and streams go from runner to runner as [`buffered`](super::buffered)
-//! and [`stream`](super::stream) say.
+//! Once a byte of a request may have been sent, it counts as possibly run,
+//! whether the connection is reset, closed or silent. Only a statement of the
+//! runner that the request did not run allows the refusal to say "not run", or
+//! a request that runs at most once to be sent to a second runner. The
+//! retries are in [`buffered`](super::buffered) for buffered requests and in
+//! [`stream`](super::stream) for streams.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,176 +32,177 @@
 use crate::upstream::pool::{self, Pool};
 use crate::upstream::{self, Exchange, Failure, Kept};
 
-/// Most bytes of a plain answer, which is held until it is whole.
-const ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Connections in a row that nobody answers before the path counts as cut: where three
-/// packets in a hundred are lost, one in thirty gets no answer.
-const MISSED: u32 = 2;
-/// Longest time to read a refusal to its end, so that its connection serves on.
-const DRAIN: Duration = Duration::from_millis(50);
+/// Maximum size of a buffered response.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
+/// Consecutive connection attempts without an answer after which the path counts as lost.
+/// With 3 % packet loss, one attempt in thirty gets no answer.
+const MAX_UNANSWERED_CONNECTS: u32 = 2;
+/// Time limit for reading a refusal to its end, so that its connection can be reused.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A runner's answer whose head has come.
+/// A runner's response whose head was received.
 #[derive(Debug)]
-pub struct Opened {
-    /// Place on the runner.
+pub struct RunnerResponse {
+    /// Reservation on the runner.
     pub slot: Slot,
-    /// Connection, to be given back once the answer was read whole.
+    /// Connection, to be returned to the pool once the body was read completely.
     pub kept: Kept,
-    /// Head.
+    /// Status and headers.
     pub parts: response::Parts,
-    /// Body.
+    /// Body, not yet read.
     pub body: Incoming,
 }
 
-/// Why an attempt at a runner brought no answer.
-pub type Halt = Stop<Refusal>;
+/// Why an attempt at a runner brought no response.
+pub type AttemptError = Stop<Refusal>;
 
-/// Passes requests on.
+/// Forwards requests to runners.
 #[derive(Debug)]
 pub struct Forwarder {
-    /// Shared state.
+    /// State shared by all threads.
     pub shared: Arc<Shared>,
     /// Idle connections to runners.
     pub pool: Arc<Pool>,
 }
 
 impl Forwarder {
-    /// A place at the best runner that was not tried yet.
+    /// Reserves a slot on the best runner that has not been tried yet.
     ///
     /// # Errors
     ///
-    /// The refusal that the caller gets.
-    pub fn place(&self, job: &Job, history: &mut History) -> Result<Slot, Refusal> {
+    /// The refusal for the caller, if the deadline has passed or no runner is left.
+    pub fn reserve_slot(&self, job: &Job, history: &mut History) -> Result<Slot, Refusal> {
         let now = self.shared.now();
         if job.is_expired(now) {
-            return Err(self.over(job, history));
+            return Err(self.deadline_refusal(job, history));
         }
-        let Some((slot, among)) = self.pick(now, job, history.attempts.tried()) else {
+        let Some((slot, candidates)) = self.choose_runner(now, job, history.attempts.tried()) else {
             history.candidates = 0;
             return Err(self.refusal(job, history, Kind::NoRunner));
         };
         history.attempts.choose(slot.key);
         history.last_runner = Some(slot.id.clone());
-        history.candidates = among;
+        history.candidates = candidates;
         Ok(slot)
     }
 
-    /// Takes note of a failed attempt; the refusal, if no other may follow.
-    pub fn fail(&self, job: &Job, history: &mut History, fault: Fault) -> Option<Refusal> {
+    /// Records a failed attempt; returns the refusal if no further attempt is allowed.
+    pub fn record_failure(&self, job: &Job, history: &mut History, fault: Fault) -> Option<Refusal> {
         let now = self.shared.now();
         let budget = || self.shared.state().may_repeat(now, &job.admission.service);
-        let bar = history
+        let reason = history
             .attempts
             .fail(&job.retry_rule(), fault, job.is_expired(now), budget)?;
         tracing::info!(
             event = "not-repeated",
             request = job.metadata.id,
-            reason = bar.name(),
+            reason = reason.name(),
             sent = history.attempts.sent(),
             ran = history.attempts.ran()
         );
         Some(match fault {
             Fault::Unreachable => self.refusal(job, history, Kind::NoRunner),
             Fault::NotRun => self.refusal(job, history, Kind::Overloaded),
-            Fault::Broken => self.failed(job),
+            Fault::Broken => self.upstream_refusal(job),
         })
     }
 
-    /// A place, and the number of runners that its runner was chosen among.
-    fn pick(&self, now: Moment, job: &Job, tried: &[Key]) -> Option<(Slot, u32)> {
+    /// Chooses a runner; returns the slot and the number of candidates.
+    fn choose_runner(&self, now: Moment, job: &Job, tried: &[Key]) -> Option<(Slot, u32)> {
         let demand = job.demand(rand::random());
         let mut state = self.shared.state();
         let choice = state.place(now, &demand, tried)?;
         let listed = &state.fleet.get(choice.key)?.listed;
         let (id, address) = (listed.id.clone(), listed.address);
-        let source = choice.source.and_then(|key| state.fleet.get(key));
-        let source = source.map(|runner| runner.listed.address);
+        let cache_source = choice.source.and_then(|key| state.fleet.get(key));
+        let cache_source = cache_source.map(|runner| runner.listed.address);
         drop(state);
         let slot = Slot {
             shared: self.shared.clone(),
             key: choice.key,
             id,
             address,
-            work: choice.work,
-            held: demand.held(),
+            read_work_us: choice.work,
+            held_tokens: demand.held(),
             outlook: choice.outlook,
-            sent: None,
-            source,
+            sent_at: None,
+            cache_source,
         };
         Some((slot, choice.among))
     }
 
-    /// Sends a request to a runner, up to the head of its answer; `after` is the event
-    /// from which a stream goes on.
+    /// Sends a request to a runner and waits for the head of its response.
+    ///
+    /// `after` is the event after which a stream is resumed.
     ///
     /// # Errors
     ///
-    /// Whether another runner may follow, or the refusal that the caller gets.
-    pub async fn open(
+    /// Whether another runner may be tried, or the refusal for the caller.
+    pub async fn send(
         &self,
         job: &Job,
         after: Option<u64>,
         mut slot: Slot,
         history: &mut History,
-    ) -> Result<Opened, Halt> {
-        let line = self.connect(job, &slot).await?;
-        // The last look before the bytes leave: connecting may have taken long,
-        // the process may have been frozen, the runner may have begun to leave.
+    ) -> Result<RunnerResponse, AttemptError> {
+        let connection = self.connect(job, &slot).await?;
+        // Last check before bytes are sent: connecting may have taken long, the
+        // process may have been suspended, the runner may have started to drain.
         let now = self.shared.now();
-        self.look(now, job, &slot, history)?;
-        let request = self.request(now, job, after, &slot);
-        slot.sent = Some(now);
+        self.check_before_send(now, job, &slot, history)?;
+        let request = self.build_request(now, job, after, &slot);
+        slot.sent_at = Some(now);
         history.attempts.send();
-        let exchange = upstream::exchange(line, slot.address, request);
-        let answer = async {
+        let exchange = upstream::exchange(connection, slot.address, request);
+        let exchanged = async {
             tokio::select! {
                 biased;
-                sent = exchange => sent,
-                () = self.path_lost(job, &slot) => Err(Failure::Broken),
+                result = exchange => result,
+                () = self.wait_for_path_loss(job, &slot) => Err(Failure::Broken),
             }
         };
-        let sent = match job.time_left(now) {
-            Some(left) => timeout(left, answer).await,
-            None => Ok(answer.await),
+        let result = match job.time_left(now) {
+            Some(time_left) => timeout(time_left, exchanged).await,
+            None => Ok(exchanged.await),
         };
-        match sent {
-            Ok(Ok(exchange)) => self.judge(job, slot, exchange).await,
+        match result {
+            Ok(Ok(exchange)) => self.check_response(job, slot, exchange).await,
             Ok(Err(Failure::NotSent)) => {
                 history.attempts.unsend();
-                Err(Halt::Failed(Fault::Unreachable))
+                Err(AttemptError::Failed(Fault::Unreachable))
             }
             Ok(Err(Failure::Broken)) => {
-                slot.sign(Sign::Broken);
+                slot.report(Sign::Broken);
                 tracing::info!(
                     event = "runner-broke-off",
                     request = job.metadata.id,
                     runner = slot.id
                 );
-                Err(Halt::Failed(Fault::Broken))
+                Err(AttemptError::Failed(Fault::Broken))
             }
             Err(_) => {
-                slot.sign(Sign::Broken);
+                slot.report(Sign::Broken);
                 history.attempts.run_out();
-                Err(Halt::Over(self.over(job, history)))
+                Err(AttemptError::Over(self.deadline_refusal(job, history)))
             }
         }
     }
 
-    /// Ends when the runner cannot be reached any more.
+    /// Completes when the runner can no longer be reached.
     ///
-    /// Left to the kernel, the connection would end without a reset, and the request would
-    /// reach the runner when the path is back, seconds after its caller was told that it
-    /// failed.
-    async fn path_lost(&self, job: &Job, slot: &Slot) {
-        let sent = self.shared.now();
+    /// If this were left to the kernel, the connection would end without a reset. The
+    /// request would then reach the runner once the path is restored, seconds after its
+    /// caller was told that it failed.
+    async fn wait_for_path_loss(&self, job: &Job, slot: &Slot) {
+        let sent_at = self.shared.now();
         loop {
             let now = self.shared.now();
-            let silence = self.shared.state().fleet.silence(now, slot.key, sent);
+            let silence = self.shared.state().fleet.silence(now, slot.key, sent_at);
             match silence {
                 Silence::Short(rest) => tokio::time::sleep(rest).await,
-                Silence::Long if self.answers(slot).await => {}
+                Silence::Long if self.is_reachable(slot).await => {}
                 Silence::Long => {
-                    slot.sign(Sign::Cut);
+                    slot.report(Sign::Cut);
                     self.pool.forget(slot.address);
                     break;
                 }
@@ -210,12 +212,12 @@
         tracing::info!(event = "path-lost", request = job.metadata.id, runner = slot.id);
     }
 
-    /// Whether the runner takes a new connection, or refuses it; one that does is there.
-    async fn answers(&self, slot: &Slot) -> bool {
-        for _ in 0..MISSED {
+    /// Whether the runner accepts or refuses a new connection; either shows that the path works.
+    async fn is_reachable(&self, slot: &Slot) -> bool {
+        for _ in 0..MAX_UNANSWERED_CONNECTS {
             match Line::connect(slot.address, pool::CONNECT).await {
-                Ok(line) => {
-                    self.pool.give(self.shared.now(), slot.address, line, None);
+                Ok(connection) => {
+                    self.pool.give(self.shared.now(), slot.address, connection, None);
                     return true;
                 }
                 Err(err) if line::is_silent(&err) => {}
@@ -225,43 +227,54 @@
         false
     }
 
-    async fn connect(&self, job: &Job, slot: &Slot) -> Result<Line, Halt> {
+    async fn connect(&self, job: &Job, slot: &Slot) -> Result<Line, AttemptError> {
         let now = self.shared.now();
         let limit = job.time_left(now).unwrap_or(pool::CONNECT);
-        let taken = self
+        let connected = self
             .pool
             .take(now, slot.address, job.is_at_most_once(), limit)
             .await;
-        taken.map_err(|err| {
+        connected.map_err(|err| {
             tracing::info!(event = "runner-unreachable", request = job.metadata.id, runner = slot.id, reason = %format!("{err:#}"));
-            slot.sign(Sign::Unreachable);
-            Halt::Failed(Fault::Unreachable)
+            slot.report(Sign::Unreachable);
+            AttemptError::Failed(Fault::Unreachable)
         })
     }
 
-    /// Whether the request may still leave for this runner.
-    fn look(&self, now: Moment, job: &Job, slot: &Slot, history: &History) -> Result<(), Halt> {
+    /// Checks that the request may still be sent to this runner.
+    fn check_before_send(
+        &self,
+        now: Moment,
+        job: &Job,
+        slot: &Slot,
+        history: &History,
+    ) -> Result<(), AttemptError> {
         if job.is_expired(now) {
-            return Err(Halt::Over(self.over(job, history)));
+            return Err(AttemptError::Over(self.deadline_refusal(job, history)));
         }
         let allowed = self
             .shared
             .state()
             .may_send(now, &job.admission, &job.route_query());
         if let Err(refusal) = allowed {
-            return Err(Halt::Over(match history.attempts.ran() {
-                true => self.failed(job),
-                false => self.timed(job, refusal),
+            return Err(AttemptError::Over(match history.attempts.ran() {
+                true => self.upstream_refusal(job),
+                false => self.with_retry_after(job, refusal),
             }));
         }
         match self.is_listed(slot) {
             true => Ok(()),
-            false => Err(Halt::Failed(Fault::Unreachable)),
+            false => Err(AttemptError::Failed(Fault::Unreachable)),
         }
     }
 
-    /// Sorts an answer by its head.
-    async fn judge(&self, job: &Job, slot: Slot, exchange: Exchange) -> Result<Opened, Halt> {
+    /// Classifies a response by its head.
+    async fn check_response(
+        &self,
+        job: &Job,
+        slot: Slot,
+        exchange: Exchange,
+    ) -> Result<RunnerResponse, AttemptError> {
         let now = self.shared.now();
         self.shared.state().fleet.hear(now, slot.key);
         let (response, kept) = exchange.split();
@@ -272,21 +285,21 @@
                 StatusCode::MISDIRECTED_REQUEST => Sign::Replaced,
                 _ => Sign::Full,
             };
-            slot.sign(sign);
+            slot.report(sign);
             tracing::info!(
                 event = "runner-refused",
                 request = job.metadata.id,
                 runner = slot.id,
                 status = parts.status.as_u16()
             );
-            let drained = timeout(DRAIN, Limited::new(body, 64 * 1024).collect()).await;
+            let drained = timeout(DRAIN_TIMEOUT, Limited::new(body, 64 * 1024).collect()).await;
             if matches!(drained, Ok(Ok(_))) {
-                self.give(&slot, kept);
+                self.return_connection(&slot, kept);
             }
-            return Err(Halt::Failed(Fault::NotRun));
+            return Err(AttemptError::Failed(Fault::NotRun));
         }
-        if !is_own(job, &parts, &provenance) {
-            slot.sign(Sign::Broken);
+        if !is_response_to(job, &parts, &provenance) {
+            slot.report(Sign::Broken);
             tracing::warn!(
                 event = "answer-not-own",
                 request = job.metadata.id,
@@ -295,9 +308,9 @@
                 answers = provenance.request_id,
                 signed = provenance.signed
             );
-            return Err(Halt::Failed(Fault::Broken));
+            return Err(AttemptError::Failed(Fault::Broken));
         }
-        Ok(Opened {
+        Ok(RunnerResponse {
             slot,
             kept,
             parts,
@@ -305,22 +318,26 @@
         })
     }
 
-    /// Reads a plain answer to its end; `None` if it broke off.
-    pub(super) async fn collect(&self, job: &Job, opened: Opened) -> Option<(response::Parts, Bytes)> {
-        let Opened {
+    /// Reads a buffered response to its end; `None` if that fails.
+    pub(super) async fn read_response(
+        &self,
+        job: &Job,
+        response: RunnerResponse,
+    ) -> Option<(response::Parts, Bytes)> {
+        let RunnerResponse {
             mut slot,
             kept,
             parts,
             body,
-        } = opened;
-        slot.read();
+        } = response;
+        slot.prompt_read();
         self.shared.count_usage(job.admission.customer.as_deref());
-        let whole = Limited::new(body, ANSWER_BYTES).collect();
-        let left = job
+        let collecting = Limited::new(body, MAX_RESPONSE_BYTES).collect();
+        let time_left = job
             .time_left(self.shared.now())
             .unwrap_or(Duration::from_secs(3_600));
-        let Ok(Ok(body)) = timeout(left, whole).await else {
-            slot.sign(Sign::Broken);
+        let Ok(Ok(body)) = timeout(time_left, collecting).await else {
+            slot.report(Sign::Broken);
             tracing::info!(
                 event = "answer-not-whole",
                 request = job.metadata.id,
@@ -328,22 +345,22 @@
             );
             return None;
         };
-        slot.sign(match parts.status.is_server_error() {
+        slot.report(match parts.status.is_server_error() {
             true => Sign::Failed,
             false => Sign::Sound,
         });
-        self.give(&slot, kept);
+        self.return_connection(&slot, kept);
         Some((parts, body.to_bytes()))
     }
 
-    /// Gives a connection back whose answer was read to its end.
-    pub fn give(&self, slot: &Slot, kept: Kept) {
+    /// Returns a connection to the pool once its response was read to the end.
+    pub fn return_connection(&self, slot: &Slot, kept: Kept) {
         kept.give(&self.pool, self.shared.now());
-        self.tell_idle(slot);
+        self.update_idle(slot);
     }
 
-    /// Lets placement know whether a new connection would be needed.
-    fn tell_idle(&self, slot: &Slot) {
+    /// Updates the runner's idle connection, so that placement can avoid a new one.
+    fn update_idle(&self, slot: &Slot) {
         let idle = self.pool.next(slot.address);
         self.shared.state().fleet.idle(slot.key, idle);
     }
@@ -353,14 +370,14 @@
         state.fleet.get(slot.key).is_some_and(|runner| runner.is_listed())
     }
 
-    fn request(&self, now: Moment, job: &Job, after: Option<u64>, slot: &Slot) -> Request<Full<Bytes>> {
+    fn build_request(&self, now: Moment, job: &Job, after: Option<u64>, slot: &Slot) -> Request<Full<Bytes>> {
         let forwarding = Forwarding {
             runner_id: &slot.id,
             time_left: job.time_left(now),
             rank: job.is_stream().then_some(job.admission.rank),
             customer: job.admission.customer.as_deref(),
             resume_after: after.or(job.metadata.last_event),
-            cache_source: slot.source,
+            cache_source: slot.cache_source,
         };
         let mut request = Request::new(Full::new(job.body.clone()));
         *request.method_mut() = job.parts.method.clone();
@@ -369,44 +386,44 @@
         request
     }
 
-    /// The time is over.
-    fn over(&self, job: &Job, history: &History) -> Refusal {
+    /// Refusal for a request whose deadline has passed.
+    fn deadline_refusal(&self, job: &Job, history: &History) -> Refusal {
         match history.attempts.ran() {
             true => Refusal::new(Kind::UpstreamTimeout),
             false => self.refusal(job, history, Kind::Late),
         }
     }
 
-    fn failed(&self, job: &Job) -> Refusal {
+    fn upstream_refusal(&self, job: &Job) -> Refusal {
         match job.is_expired(self.shared.now()) {
             true => Refusal::new(Kind::UpstreamTimeout),
             false => Refusal::new(Kind::UpstreamBroken),
         }
     }
 
-    /// A refusal that says "not run" if that is so.
+    /// Refusal of the given kind if the request has not run, else an upstream failure.
     fn refusal(&self, job: &Job, history: &History, kind: Kind) -> Refusal {
         if history.attempts.ran() {
-            return self.failed(job);
+            return self.upstream_refusal(job);
         }
-        self.timed(job, Refusal::new(kind))
+        self.with_retry_after(job, Refusal::new(kind))
     }
 
-    /// Tells when to come back.
-    fn timed(&self, job: &Job, refusal: Refusal) -> Refusal {
-        let left = job.time_left(self.shared.now());
-        refusal.after(come_back(left, rand::random()))
+    /// Adds the time after which the caller may retry.
+    fn with_retry_after(&self, job: &Job, refusal: Refusal) -> Refusal {
+        let time_left = job.time_left(self.shared.now());
+        refusal.after(come_back(time_left, rand::random()))
     }
 }
 
-/// Whether an answer is the runner's answer to this very request.
+/// Whether a response is the runner's response to this request.
 ///
-/// An extra answer may come late, where the next request's is expected; passed
-/// on, a caller would get somebody else's data. Statuses that promise "not run"
-/// are not passed on without the runner's own statement of it.
-fn is_own(job: &Job, parts: &response::Parts, provenance: &Provenance) -> bool {
-    let promises = matches!(parts.status.as_u16(), 408 | 421 | 429 | 503);
-    let named = provenance.request_id.as_deref() == Some(job.metadata.id.as_str());
-    let encoded = parts.headers.contains_key(CONTENT_ENCODING);
-    named && provenance.signed && !promises && !encoded
+/// A surplus response may arrive late, in place of the next request's. If it were
+/// forwarded, the caller would receive another caller's data. Statuses that
+/// promise "not run" are not accepted without the runner's own statement of it.
+fn is_response_to(job: &Job, parts: &response::Parts, provenance: &Provenance) -> bool {
+    let promises_not_run = matches!(parts.status.as_u16(), 408 | 421 | 429 | 503);
+    let is_same_id = provenance.request_id.as_deref() == Some(job.metadata.id.as_str());
+    let is_encoded = parts.headers.contains_key(CONTENT_ENCODING);
+    is_same_id && provenance.signed && !promises_not_run && !is_encoded
 }
--- a/crates/entry/src/proxy/slot.rs
+++ b/crates/entry/src/proxy/slot.rs
@@ -1,4 +1,4 @@
-//! A request's place on a runner.
+//! A request's reservation on a runner.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,50 +10,56 @@
 
 use super::Shared;
 
-/// A place on a runner; dropping it gives the place back.
+/// A reservation on a runner; dropping it releases the runner's load.
 #[derive(Debug)]
 pub struct Slot {
     pub(super) shared: Arc<Shared>,
-    /// The runner.
+    /// Key of the runner in the fleet.
     pub key: Key,
-    /// Its id.
+    /// Id of the runner.
     pub id: String,
+    /// Address of the runner.
     pub(super) address: SocketAddr,
-    pub(super) work: u64,
-    pub(super) held: u64,
+    /// Time to read the prompt, in microseconds; 0 once it has been read.
+    pub(super) read_work_us: u64,
+    /// Tokens that the request holds in the runner's memory at its end.
+    pub(super) held_tokens: u64,
+    /// State of the runner when it was chosen, to which its first event is compared.
     pub(super) outlook: Outlook,
-    /// When the request was sent there.
-    pub(super) sent: Option<Moment>,
-    /// Where a runner listens that has read the beginning of the prompt.
-    pub(super) source: Option<SocketAddr>,
+    /// Time at which the request was sent to the runner.
+    pub(super) sent_at: Option<Moment>,
+    /// Address of a runner whose cache holds the beginning of the prompt.
+    pub(super) cache_source: Option<SocketAddr>,
 }
 
 impl Slot {
-    /// The runner has read the prompt; its first event came.
-    pub fn read(&mut self) {
+    /// Records that the runner has read the prompt, as its first event arrived.
+    pub fn prompt_read(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.read(self.key, self.work);
-        if let Some(sent) = self.sent.filter(|_| self.work > 0) {
-            state.first_event(self.key, &self.outlook, now.since(sent));
+        state.fleet.read(self.key, self.read_work_us);
+        if let Some(sent_at) = self.sent_at.filter(|_| self.read_work_us > 0) {
+            state.first_event(self.key, &self.outlook, now.since(sent_at));
         }
-        self.work = 0;
+        self.read_work_us = 0;
     }
 
-    /// The runner has read what it had before as well as the prompt; that tells nothing of
-    /// its pace.
-    pub fn read_again(&mut self) {
-        self.shared.state().fleet.read(self.key, self.work);
-        self.work = 0;
+    /// Records that the runner of a resumed stream has read the prompt.
+    ///
+    /// The runner has read the earlier events as well as the prompt, so the time taken
+    /// is no measure of its speed.
+    pub fn prompt_read_again(&mut self) {
+        self.shared.state().fleet.read(self.key, self.read_work_us);
+        self.read_work_us = 0;
     }
 
-    /// An event came, `pause` after the one before.
-    pub fn event(&self, pause: Duration) {
+    /// Records an event that arrived `pause` after the previous one.
+    pub fn record_event(&self, pause: Duration) {
         self.shared.state().event(self.key, pause);
     }
 
-    /// Tells of the runner's health.
-    pub fn sign(&self, sign: Sign) {
+    /// Reports an observation of the runner's health to the fleet.
+    pub fn report(&self, sign: Sign) {
         let now = self.shared.now();
         self.shared.state().fleet.sign(now, self.key, sign);
     }
@@ -63,9 +69,9 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.end(self.key, self.work, self.held);
-        if let Some(sent) = self.sent.filter(|_| self.outlook.prompt > 0) {
-            state.left(self.key, now.since(sent));
+        state.fleet.end(self.key, self.read_work_us, self.held_tokens);
+        if let Some(sent_at) = self.sent_at.filter(|_| self.outlook.prompt > 0) {
+            state.left(self.key, now.since(sent_at));
         }
     }
 }
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -16,7 +16,7 @@
 use radishstair_core::repeat::Fault;
 
 use super::events::Events;
-use super::forward::{Forwarder, Halt};
+use super::forward::{AttemptError, Forwarder};
 use super::job::{History, Job};
 use super::reply::{self, Body, Cut};
 use super::slot::Slot;
@@ -78,36 +78,36 @@
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
-        self.forwarder.place(self.job, self.history)
+        self.forwarder.reserve_slot(self.job, self.history)
     }
 
-    async fn attempt(&mut self, slot: Slot) -> Result<Begun, Halt> {
-        let opened = self.forwarder.open(self.job, None, slot, self.history).await?;
-        if !opened.parts.status.is_success() {
-            let collected = self.forwarder.collect(self.job, opened).await;
-            let (parts, body) = collected.ok_or(Halt::Failed(Fault::Broken))?;
+    async fn attempt(&mut self, slot: Slot) -> Result<Begun, AttemptError> {
+        let response = self.forwarder.send(self.job, None, slot, self.history).await?;
+        if !response.parts.status.is_success() {
+            let collected = self.forwarder.read_response(self.job, response).await;
+            let (parts, body) = collected.ok_or(AttemptError::Failed(Fault::Broken))?;
             let answer = reply::whole(&parts, body);
             if !parts.status.is_server_error() {
                 return Ok(Begun::Failure(answer));
             }
             // A runner's own failure may pass at another runner.
             self.failure = Some(answer);
-            return Err(Halt::Failed(Fault::Broken));
+            return Err(AttemptError::Failed(Fault::Broken));
         }
-        let mut segment = Segment::new(opened, None);
+        let mut segment = Segment::new(response, None);
         match segment.next(self.job, &self.forwarder.shared).await {
             Progress::Events(events) => Ok(Begun::Stream(Box::new(segment), events)),
             Progress::End => Ok(Begun::Stream(Box::new(segment), Events::default())),
             Progress::Broken => {
                 segment.abandon(self.job);
-                Err(Halt::Failed(Fault::Broken))
+                Err(AttemptError::Failed(Fault::Broken))
             }
-            Progress::Over => Err(Halt::Over(Kind::UpstreamTimeout.into())),
+            Progress::Over => Err(AttemptError::Over(Kind::UpstreamTimeout.into())),
         }
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        self.forwarder.fail(self.job, self.history, fault)
+        self.forwarder.record_failure(self.job, self.history, fault)
     }
 }
 
@@ -125,20 +125,20 @@
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
-        self.forwarder.place(self.job, self.history)
+        self.forwarder.reserve_slot(self.job, self.history)
     }
 
-    async fn attempt(&mut self, slot: Slot) -> Result<Segment, Halt> {
+    async fn attempt(&mut self, slot: Slot) -> Result<Segment, AttemptError> {
         let after = Some(self.last);
-        let opened = self.forwarder.open(self.job, after, slot, self.history).await?;
-        match opened.parts.status.is_success() {
-            true => Ok(Segment::new(opened, after)),
-            false => Err(Halt::Failed(Fault::Broken)),
+        let response = self.forwarder.send(self.job, after, slot, self.history).await?;
+        match response.parts.status.is_success() {
+            true => Ok(Segment::new(response, after)),
+            false => Err(AttemptError::Failed(Fault::Broken)),
         }
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        self.forwarder.fail(self.job, self.history, fault)
+        self.forwarder.record_failure(self.job, self.history, fault)
     }
 }
 
@@ -169,7 +169,7 @@
             Begun::Failure(answer) => return Ok(answer),
         };
         self.started(&job, &mut segment);
-        let parts = segment.opened.parts.clone();
+        let parts = segment.response.parts.clone();
         let closing = Closing {
             forwarder: self.clone(),
             job,
@@ -183,7 +183,7 @@
     }
 
     fn started(&self, job: &Job, segment: &mut Segment) {
-        segment.opened.slot.read();
+        segment.response.slot.prompt_read();
         self.shared.count_usage(job.admission.customer.as_deref());
         let waited = self.shared.now().since(job.arrived);
         self.shared.metrics.first_after(&job.admission.route.name, waited);
@@ -244,7 +244,7 @@
     /// Another runner that goes on after `last`; none if the stream may not go on.
     async fn resume(&self, job: &Job, last: Option<u64>, history: &mut History) -> Option<Segment> {
         let last = last?;
-        if self.fail(job, history, Fault::Broken).is_some() {
+        if self.record_failure(job, history, Fault::Broken).is_some() {
             return None;
         }
         let mut resume = Resume {
@@ -257,10 +257,10 @@
         tracing::info!(
             event = "stream-resumed",
             request = job.metadata.id,
-            runner = segment.opened.slot.id,
+            runner = segment.response.slot.id,
             last
         );
-        segment.opened.slot.read_again();
+        segment.response.slot.prompt_read_again();
         Some(segment)
     }
 }
--- a/crates/entry/src/proxy/stream/segment.rs
+++ b/crates/entry/src/proxy/stream/segment.rs
@@ -10,7 +10,7 @@
 
 use super::super::Shared;
 use super::super::events::{Events, Splitter};
-use super::super::forward::{Forwarder, Opened};
+use super::super::forward::{Forwarder, RunnerResponse};
 use super::super::job::Job;
 
 /// Shortest silence that ends a resumable stream's run: an engine under load
@@ -24,7 +24,7 @@
 /// A runner's part in a stream.
 pub struct Segment {
     /// The runner's answer.
-    pub opened: Opened,
+    pub response: RunnerResponse,
     /// Id of the last event that came.
     pub last: Option<u64>,
     splitter: Splitter,
@@ -47,11 +47,11 @@
 
 impl Segment {
     /// A run whose answer has begun; `last` is the event after which it goes on.
-    pub fn new(opened: Opened, last: Option<u64>) -> Self {
-        let headers = &opened.parts.headers;
+    pub fn new(response: RunnerResponse, last: Option<u64>) -> Self {
+        let headers = &response.parts.headers;
         let framed = headers.contains_key(CONTENT_LENGTH) || headers.contains_key("transfer-encoding");
         Self {
-            opened,
+            response,
             splitter: Splitter::default(),
             last,
             framed,
@@ -91,7 +91,7 @@
     /// The next whole events.
     async fn events(&mut self) -> Progress {
         loop {
-            let Some(frame) = self.opened.body.frame().await else {
+            let Some(frame) = self.response.body.frame().await else {
                 return self.end();
             };
             let Ok(frame) = frame else {
@@ -144,7 +144,7 @@
     /// waited somewhere else.
     pub fn tell(&mut self, now: Moment, events: &Events) {
         if let (Some(came), 1) = (self.came, events.ids.len()) {
-            self.opened.slot.event(now.since(came));
+            self.response.slot.record_event(now.since(came));
         }
         self.came = Some(now);
     }
@@ -153,11 +153,11 @@
     ///
     /// Dropping it closes its connection, so that two runners never work on one stream.
     pub fn abandon(self, job: &Job) -> Option<u64> {
-        self.opened.slot.sign(Sign::Broken);
+        self.response.slot.report(Sign::Broken);
         tracing::info!(
             event = "stream-broken",
             request = job.metadata.id,
-            runner = self.opened.slot.id,
+            runner = self.response.slot.id,
             last = self.last
         );
         self.last
@@ -165,10 +165,10 @@
 
     /// Ends a run that came to its end; its connection serves on.
     pub fn finish(self, forwarder: &Forwarder) {
-        let Opened { slot, kept, .. } = self.opened;
-        slot.sign(Sign::Sound);
+        let RunnerResponse { slot, kept, .. } = self.response;
+        slot.report(Sign::Sound);
         if self.framed {
-            forwarder.give(&slot, kept);
+            forwarder.return_connection(&slot, kept);
         }
     }
 }
