--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -23,7 +23,7 @@
 use super::adapter::Metadata;
 use super::forward::Forwarder;
 use super::job::{History, Job, route_query};
-use super::reply::{self, Body, come_back};
+use super::reply::{self, Body, retry_after};
 use crate::flight::Flight;
 use crate::serve;
 
@@ -91,7 +91,7 @@
     let arrived = shared.now();
     let mut answer = match respond(forwarder, request, arrived).await {
         Ok(answer) => answer,
-        Err(refusal) => reply::refuse(&refusal),
+        Err(refusal) => reply::from_refusal(&refusal),
     };
     let headers = answer.headers_mut();
     if shared.is_stopping() || shared.state().hands_over(arrived) {
@@ -183,7 +183,7 @@
     let admission = state
         .admit(now, &route_query(parts, metadata))
         .map_err(|refusal| match refusal.kind {
-            Kind::Stale => refusal.after(come_back(metadata.timeout, rand::random())),
+            Kind::Stale => refusal.after(retry_after(metadata.timeout, rand::random())),
             _ => refusal,
         })?;
     state.budgets.count(now, &admission.service);
--- a/crates/entry/src/proxy/admin.rs
+++ b/crates/entry/src/proxy/admin.rs
@@ -11,7 +11,7 @@
 use radishstair_wire::log;
 use tokio::net::TcpListener;
 
-use super::reply::{Body, answer};
+use super::reply::{Body, with_body};
 use super::{Shared, changes};
 
 /// Where metrics are served.
@@ -61,20 +61,20 @@
             shared.metrics.trusted.set(i64::from(trusted));
             shared.metrics.in_flight.set(shared.in_flight() as i64);
             shared.metrics.dropped_lines.set(log::dropped() as i64);
-            answer(StatusCode::OK, shared.metrics.text())
+            with_body(StatusCode::OK, shared.metrics.text())
         }
         path if path == shared.adapter.ready_path() => readiness(shared),
-        _ => answer(StatusCode::NOT_FOUND, "not found\n"),
+        _ => with_body(StatusCode::NOT_FOUND, "not found\n"),
     }
 }
 
 fn readiness(shared: &Shared) -> Response<Body> {
     if shared.is_stopping() {
-        return answer(StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
+        return with_body(StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
     }
     let now = shared.now();
     match shared.state().is_ready(now) {
-        true => answer(StatusCode::OK, "ready\n"),
-        false => answer(StatusCode::SERVICE_UNAVAILABLE, "no fresh configuration\n"),
+        true => with_body(StatusCode::OK, "ready\n"),
+        false => with_body(StatusCode::SERVICE_UNAVAILABLE, "no fresh configuration\n"),
     }
 }
--- a/crates/entry/src/proxy/buffered.rs
+++ b/crates/entry/src/proxy/buffered.rs
@@ -1,4 +1,4 @@
-//! Plain requests: an answer is held until it is whole.
+//! Forwarding of requests whose response is buffered until it is complete.
 
 use hyper::Response;
 use radishstair_core::error::Refusal;
@@ -11,11 +11,12 @@
 use super::slot::Slot;
 use crate::upstream::attempts::{self, Attempts};
 
+/// Attempts at forwarding one buffered request.
 struct Buffered<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
     history: &'a mut History,
-    /// A runner's own failure, passed on if no other runner does better.
+    /// Last server error of a runner, forwarded if no other runner succeeds.
     failure: Option<Response<Body>>,
 }
 
@@ -32,14 +33,13 @@
         let response = self.forwarder.send(self.job, None, slot, self.history).await?;
         let collected = self.forwarder.read_response(self.job, response).await;
         let (parts, body) = collected.ok_or(AttemptError::Failed(Fault::Broken))?;
-        let answer = reply::whole(&parts, body);
-        // A service's own failure of a repeatable request may pass at another runner.
-
+        let reply = reply::from_runner(&parts, body);
+        // A repeatable request that failed with a server error may succeed on another runner.
         if parts.status.is_server_error() && self.job.admission.route.mode == Mode::Repeatable {
-            self.failure = Some(answer);
+            self.failure = Some(reply);
             return Err(AttemptError::Failed(Fault::Broken));
         }
-        Ok(answer)
+        Ok(reply)
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
@@ -48,11 +48,11 @@
 }
 
 impl Forwarder {
-    /// Has a plain request run and returns its whole answer.
+    /// Forwards a request until a runner has returned a complete response.
     ///
     /// # Errors
     ///
-    /// The refusal that the caller gets.
+    /// The refusal for the caller.
     pub async fn forward_buffered(
         &self,
         job: &Job,
--- a/crates/entry/src/proxy/changes.rs
+++ b/crates/entry/src/proxy/changes.rs
@@ -15,7 +15,7 @@
 use radishstair_core::proxy::mirror::Changes;
 
 use super::client::{Client, Outcome, Timeouts};
-use super::reply::{Body, answer};
+use super::reply::{Body, with_body};
 use super::{Shared, call, document};
 
 const CHANGES: &str = "/changes";
@@ -50,13 +50,13 @@
     match request.uri().path() {
         CHANGES => respond_changes(shared, request.uri()),
         DOCUMENT => respond_document(shared, request.uri()),
-        _ => answer(StatusCode::NOT_FOUND, "not found\n"),
+        _ => with_body(StatusCode::NOT_FOUND, "not found\n"),
     }
 }
 
 fn respond_changes(shared: &Shared, uri: &Uri) -> Response<Body> {
     let (Some(after), Some(have)) = (number(uri, AFTER), number(uri, HAVE)) else {
-        return answer(StatusCode::BAD_REQUEST, "after, have: numbers are needed\n");
+        return with_body(StatusCode::BAD_REQUEST, "after, have: numbers are needed\n");
     };
     let changes = shared.mirror().changes(shared.now(), after);
     let changes = changes.map(|changes| Changes {
@@ -68,15 +68,15 @@
 
 fn respond_document(shared: &Shared, uri: &Uri) -> Response<Body> {
     let (Some(have), Some(most)) = (number(uri, HAVE), number(uri, MOST)) else {
-        return answer(StatusCode::BAD_REQUEST, "have, most: numbers are needed\n");
+        return with_body(StatusCode::BAD_REQUEST, "have, most: numbers are needed\n");
     };
     encoded(document::notice(shared, have, most as usize))
 }
 
 fn encoded(message: Option<impl Message>) -> Response<Body> {
     match message {
-        Some(message) => answer(StatusCode::OK, message.encode_to_vec()),
-        None => answer(StatusCode::SERVICE_UNAVAILABLE, "nothing is known yet\n"),
+        Some(message) => with_body(StatusCode::OK, message.encode_to_vec()),
+        None => with_body(StatusCode::SERVICE_UNAVAILABLE, "nothing is known yet\n"),
     }
 }
 
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -25,7 +25,7 @@
 use super::Shared;
 use super::adapter::{Forwarding, Provenance};
 use super::job::{History, Job};
-use super::reply::come_back;
+use super::reply::retry_after;
 use super::slot::Slot;
 use crate::upstream::attempts::Stop;
 use crate::upstream::line::{self, Line};
@@ -412,7 +412,7 @@
     /// Adds the time after which the caller may retry.
     fn with_retry_after(&self, job: &Job, refusal: Refusal) -> Refusal {
         let time_left = job.time_left(self.shared.now());
-        refusal.after(come_back(time_left, rand::random()))
+        refusal.after(retry_after(time_left, rand::random()))
     }
 }
 
--- a/crates/entry/src/proxy/reply.rs
+++ b/crates/entry/src/proxy/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use std::time::Duration;
 
@@ -12,24 +12,24 @@
 use hyper::{Response, StatusCode};
 use radishstair_core::error::Refusal;
 
-/// Why a body ends before its end; the connection is closed without the last
-/// chunk, so that the answer cannot look whole.
+/// Error of a body that ends early. The connection is closed without the last
+/// chunk, so that the response cannot be taken for complete.
 #[derive(Clone, Copy, Debug)]
-pub struct Cut;
+pub struct Truncated;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for Truncated {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer was cut")
+        f.write_str("response truncated")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Truncated {}
 
-/// Body of an answer.
-pub type Body = UnsyncBoxBody<Bytes, Cut>;
+/// Body of a response.
+pub type Body = UnsyncBoxBody<Bytes, Truncated>;
 
-/// Headers that concern one connection only.
-const HOP: [&str; 8] = [
+/// Hop-by-hop headers, which apply to one connection only.
+const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -40,8 +40,7 @@
     "upgrade",
 ];
 
-/// Removes the headers that concern one connection only, those that the
-/// `Connection` header names included.
+/// Removes the hop-by-hop headers, including those named in the `Connection` header.
 pub fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -53,21 +52,21 @@
     for name in named {
         headers.remove(name);
     }
-    for name in HOP {
+    for name in HOP_BY_HOP {
         headers.remove(name);
     }
 }
 
-/// A whole body.
-pub fn full(bytes: impl Into<Bytes>) -> Body {
+/// Body that is sent in one piece.
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// A runner's answer with its whole body.
-pub fn whole(parts: &response::Parts, body: Bytes) -> Response<Body> {
-    let mut response = Response::new(full(body));
+/// Response of a runner, with its complete body.
+pub fn from_runner(parts: &response::Parts, body: Bytes) -> Response<Body> {
+    let mut response = Response::new(full_body(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = parts.headers.clone();
     strip_hop_headers(response.headers_mut());
@@ -75,43 +74,45 @@
     response
 }
 
-/// A refusal or failure of this host's own.
-pub fn refuse(refusal: &Refusal) -> Response<Body> {
-    let mut response = Response::new(full(refusal.body().to_string()));
+/// Response for a refusal or failure that this host reports itself.
+pub fn from_refusal(refusal: &Refusal) -> Response<Body> {
+    let mut response = Response::new(full_body(refusal.body().to_string()));
     if let Ok(status) = hyper::StatusCode::from_u16(refusal.kind.status()) {
         *response.status_mut() = status;
     }
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(after) = refusal.after {
-        headers.insert(RETRY_AFTER, seconds(after));
+        headers.insert(RETRY_AFTER, header_seconds(after));
     }
     response
 }
 
-fn seconds(span: Duration) -> HeaderValue {
+fn header_seconds(span: Duration) -> HeaderValue {
     let text = format!("{:.2}", span.as_secs_f64());
     HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("1"))
 }
 
-/// A short answer.
-pub fn answer(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
-    let mut response = Response::new(full(body));
+/// Response with a status and a short body.
+pub fn with_body(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
+    let mut response = Response::new(full_body(body));
     *response.status_mut() = status;
     response
 }
 
-/// Longest time to come back after a refusal: runners that rest or boot serve
-/// again about then.
-const COME_BACK: Duration = Duration::from_millis(900);
-/// Part of the caller's time left after which it comes back at the latest;
-/// callers heed up to a third.
-const COME_BACK_PART: f64 = 0.28;
+/// Longest time after which a refused caller may retry; runners that are paused
+/// or booting usually serve again by then.
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(900);
+/// Longest retry time as a fraction of the caller's time left; callers respect
+/// up to a third of it.
+const RETRY_AFTER_FRACTION: f64 = 0.28;
 
-/// When a refused caller comes back: spread over the second half of the span,
-/// so that those refused together do not return together.
-pub fn come_back(left: Option<Duration>, draw: u32) -> Duration {
-    let part = left.unwrap_or(COME_BACK).mul_f64(COME_BACK_PART);
+/// Time after which a refused caller may retry.
+///
+/// `draw` spreads it over the second half of the longest time, so that callers
+/// that were refused together do not retry together.
+pub fn retry_after(time_left: Option<Duration>, draw: u32) -> Duration {
+    let longest = time_left.unwrap_or(MAX_RETRY_AFTER).mul_f64(RETRY_AFTER_FRACTION);
     let spread = 0.5 + 0.5 * f64::from(draw) / f64::from(u32::MAX);
-    part.min(COME_BACK).mul_f64(spread)
+    longest.min(MAX_RETRY_AFTER).mul_f64(spread)
 }
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -18,7 +18,7 @@
 use super::events::Events;
 use super::forward::{AttemptError, Forwarder};
 use super::job::{History, Job};
-use super::reply::{self, Body, Cut};
+use super::reply::{self, Body, Truncated};
 use super::slot::Slot;
 use crate::flight::Flight;
 use crate::upstream::attempts::{self, Attempts};
@@ -86,7 +86,7 @@
         if !response.parts.status.is_success() {
             let collected = self.forwarder.read_response(self.job, response).await;
             let (parts, body) = collected.ok_or(AttemptError::Failed(Fault::Broken))?;
-            let answer = reply::whole(&parts, body);
+            let answer = reply::from_runner(&parts, body);
             if !parts.status.is_server_error() {
                 return Ok(Begun::Failure(answer));
             }
@@ -224,7 +224,7 @@
                             Some(next) => segment = next,
                             None => {
                                 closing.outcome = "broken";
-                                yield Err(Cut);
+                                yield Err(Truncated);
                                 return;
                             }
                         }
@@ -232,7 +232,7 @@
                     }
                     Progress::Over => {
                         closing.outcome = "over";
-                        yield Err(Cut);
+                        yield Err(Truncated);
                         return;
                     }
                 }
@@ -266,7 +266,7 @@
 }
 
 fn answer(parts: &response::Parts, body: Body) -> Response<Body> {
-    let mut answer = reply::whole(parts, Bytes::new());
+    let mut answer = reply::from_runner(parts, Bytes::new());
     *answer.body_mut() = body;
     answer
 }
