--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -1,8 +1,9 @@
-//! Streams: whole events as they come, and going on at another runner.
+//! Forwarding of event streams, with resumption on another runner.
 //!
-//! A resumable stream that breaks off goes on after the last event that was
-//! passed on, inside the same answer. The former run is closed first, by
-//! dropping its connection, so that two runners never work on one stream.
+//! Only complete events are forwarded. A resumable stream that breaks off is
+//! resumed after the last forwarded event, within the same response. The
+//! connection of the previous segment is dropped first, so that two runners
+//! never work on one stream.
 
 use std::sync::Arc;
 
@@ -27,17 +28,17 @@
 
 use segment::{Progress, Segment};
 
-/// Tells how a stream ended, also when its caller left.
-struct Closing {
+/// Logs the end of a stream when dropped, also if the caller disconnects.
+struct EndLog {
     forwarder: Arc<Forwarder>,
     job: Arc<Job>,
-    runs: u32,
+    segments: u32,
     events: usize,
     outcome: &'static str,
     _flight: Flight,
 }
 
-impl Drop for Closing {
+impl Drop for EndLog {
     fn drop(&mut self) {
         let shared = &self.forwarder.shared;
         let now = shared.now();
@@ -48,61 +49,61 @@
             request = self.job.metadata.id,
             route,
             outcome = self.outcome,
-            runs = self.runs,
+            runs = self.segments,
             events = self.events,
             after_ms = now.since(self.job.arrived).as_millis() as u64
         );
     }
 }
 
-/// What a stream begins with.
-enum Begun {
-    /// Its first events.
+/// Start of a response to a stream request.
+enum StartOutcome {
+    /// A stream and its first events.
     Stream(Box<Segment>, Events),
-    /// A runner's failure, whole.
+    /// A runner's error response, complete.
     Failure(Response<Body>),
 }
 
-/// A stream that waits for its first event.
-struct Begin<'a> {
+/// Attempts at starting a stream, up to its first event.
+struct StreamStart<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
     history: &'a mut History,
-    /// A runner's own failure, passed on if no other runner does better.
+    /// Last server error of a runner, forwarded if no other runner succeeds.
     failure: Option<Response<Body>>,
 }
 
-impl Attempts for Begin<'_> {
+impl Attempts for StreamStart<'_> {
     type Place = Slot;
-    type Answer = Begun;
+    type Answer = StartOutcome;
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
         self.forwarder.reserve_slot(self.job, self.history)
     }
 
-    async fn attempt(&mut self, slot: Slot) -> Result<Begun, AttemptError> {
+    async fn attempt(&mut self, slot: Slot) -> Result<StartOutcome, AttemptError> {
         let response = self.forwarder.send(self.job, None, slot, self.history).await?;
         if !response.parts.status.is_success() {
             let collected = self.forwarder.read_response(self.job, response).await;
             let (parts, body) = collected.ok_or(AttemptError::Failed(Fault::Broken))?;
-            let answer = reply::from_runner(&parts, body);
+            let reply = reply::from_runner(&parts, body);
             if !parts.status.is_server_error() {
-                return Ok(Begun::Failure(answer));
+                return Ok(StartOutcome::Failure(reply));
             }
-            // A runner's own failure may pass at another runner.
-            self.failure = Some(answer);
+            // A request that failed with a server error may succeed on another runner.
+            self.failure = Some(reply);
             return Err(AttemptError::Failed(Fault::Broken));
         }
         let mut segment = Segment::new(response, None);
         match segment.next(self.job, &self.forwarder.shared).await {
-            Progress::Events(events) => Ok(Begun::Stream(Box::new(segment), events)),
-            Progress::End => Ok(Begun::Stream(Box::new(segment), Events::default())),
+            Progress::Events(events) => Ok(StartOutcome::Stream(Box::new(segment), events)),
+            Progress::Complete => Ok(StartOutcome::Stream(Box::new(segment), Events::default())),
             Progress::Broken => {
                 segment.abandon(self.job);
                 Err(AttemptError::Failed(Fault::Broken))
             }
-            Progress::Over => Err(AttemptError::Over(Kind::UpstreamTimeout.into())),
+            Progress::TimedOut => Err(AttemptError::Over(Kind::UpstreamTimeout.into())),
         }
     }
 
@@ -111,12 +112,12 @@
     }
 }
 
-/// A stream that goes on after the event `last`.
+/// Attempts at resuming a stream after its last event.
 struct Resume<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
     history: &'a mut History,
-    last: u64,
+    last_event: u64,
 }
 
 impl Attempts for Resume<'_> {
@@ -129,7 +130,7 @@
     }
 
     async fn attempt(&mut self, slot: Slot) -> Result<Segment, AttemptError> {
-        let after = Some(self.last);
+        let after = Some(self.last_event);
         let response = self.forwarder.send(self.job, after, slot, self.history).await?;
         match response.parts.status.is_success() {
             true => Ok(Segment::new(response, after)),
@@ -143,107 +144,110 @@
 }
 
 impl Forwarder {
-    /// Has a stream run; the answer's body goes on as long as the runner does.
+    /// Forwards a stream request; the response's body lasts as long as the stream.
     ///
     /// # Errors
     ///
-    /// The refusal that the caller gets, if no runner came to its first event.
+    /// The refusal for the caller, if no runner has sent a first event.
     pub async fn forward_stream(
         self: Arc<Self>,
         job: Arc<Job>,
         history: &mut History,
         flight: Flight,
     ) -> Result<Response<Body>, Refusal> {
-        let mut begin = Begin {
+        let mut start = StreamStart {
             forwarder: &self,
             job: &job,
             history,
             failure: None,
         };
-        let begun = match attempts::run(&mut begin).await {
-            Ok(begun) => begun,
-            Err(refusal) => return begin.failure.ok_or(refusal),
+        let outcome = match attempts::run(&mut start).await {
+            Ok(outcome) => outcome,
+            Err(refusal) => return start.failure.ok_or(refusal),
         };
-        let (mut segment, events) = match begun {
-            Begun::Stream(segment, events) => (*segment, events),
-            Begun::Failure(answer) => return Ok(answer),
+        let (mut segment, events) = match outcome {
+            StartOutcome::Stream(segment, events) => (*segment, events),
+            StartOutcome::Failure(reply) => return Ok(reply),
         };
-        self.started(&job, &mut segment);
+        self.record_start(&job, &mut segment);
         let parts = segment.response.parts.clone();
-        let closing = Closing {
+        let end_log = EndLog {
             forwarder: self.clone(),
             job,
-            runs: 1,
+            segments: 1,
             events: 0,
             outcome: "left",
             _flight: flight,
         };
         let history = history.clone();
-        Ok(answer(&parts, self.body(closing, segment, events, history)))
+        Ok(with_stream(
+            &parts,
+            self.response_body(end_log, segment, events, history),
+        ))
     }
 
-    fn started(&self, job: &Job, segment: &mut Segment) {
+    fn record_start(&self, job: &Job, segment: &mut Segment) {
         segment.response.slot.prompt_read();
         self.shared.count_usage(job.admission.customer.as_deref());
         let waited = self.shared.now().since(job.arrived);
         self.shared.metrics.first_after(&job.admission.route.name, waited);
     }
 
-    fn body(
+    fn response_body(
         self: Arc<Self>,
-        closing: Closing,
+        end_log: EndLog,
         segment: Segment,
         first: Events,
         mut history: History,
     ) -> Body {
-        let pieces = stream! {
-            // Whole, so that it is dropped (and logged) with the stream.
-            let mut closing = closing;
-            let job = closing.job.clone();
+        let frames = stream! {
+            // Moved into the stream, so that it is dropped (and logged) with it.
+            let mut end_log = end_log;
+            let job = end_log.job.clone();
             let mut segment = segment;
-            closing.events += first.ids.len();
+            end_log.events += first.ids.len();
             if !first.bytes.is_empty() {
                 yield Ok(Frame::data(first.bytes));
             }
-            segment.rest(self.shared.now());
+            segment.start_timing(self.shared.now());
             loop {
                 match segment.next(&job, &self.shared).await {
                     Progress::Events(events) => {
-                        closing.events += events.ids.len();
-                        segment.tell(self.shared.now(), &events);
+                        end_log.events += events.ids.len();
+                        segment.record_pause(self.shared.now(), &events);
                         yield Ok(Frame::data(events.bytes));
                     }
-                    Progress::End => {
-                        closing.outcome = "ok";
+                    Progress::Complete => {
+                        end_log.outcome = "ok";
                         segment.finish(&self);
                         return;
                     }
                     Progress::Broken => {
-                        let last = segment.abandon(&job);
-                        match self.resume(&job, last, &mut history).await {
+                        let last_event = segment.abandon(&job);
+                        match self.resume(&job, last_event, &mut history).await {
                             Some(next) => segment = next,
                             None => {
-                                closing.outcome = "broken";
+                                end_log.outcome = "broken";
                                 yield Err(Truncated);
                                 return;
                             }
                         }
-                        closing.runs += 1;
+                        end_log.segments += 1;
                     }
-                    Progress::Over => {
-                        closing.outcome = "over";
+                    Progress::TimedOut => {
+                        end_log.outcome = "over";
                         yield Err(Truncated);
                         return;
                     }
                 }
             }
         };
-        BodyExt::boxed_unsync(StreamBody::new(pieces))
+        BodyExt::boxed_unsync(StreamBody::new(frames))
     }
 
-    /// Another runner that goes on after `last`; none if the stream may not go on.
-    async fn resume(&self, job: &Job, last: Option<u64>, history: &mut History) -> Option<Segment> {
-        let last = last?;
+    /// Resumes the stream on another runner; `None` if it cannot be resumed.
+    async fn resume(&self, job: &Job, last_event: Option<u64>, history: &mut History) -> Option<Segment> {
+        let last_event = last_event?;
         if self.record_failure(job, history, Fault::Broken).is_some() {
             return None;
         }
@@ -251,22 +255,22 @@
             forwarder: self,
             job,
             history,
-            last,
+            last_event,
         };
         let mut segment = attempts::run(&mut resume).await.ok()?;
         tracing::info!(
             event = "stream-resumed",
             request = job.metadata.id,
             runner = segment.response.slot.id,
-            last
+            last = last_event
         );
         segment.response.slot.prompt_read_again();
         Some(segment)
     }
 }
 
-fn answer(parts: &response::Parts, body: Body) -> Response<Body> {
-    let mut answer = reply::from_runner(parts, Bytes::new());
-    *answer.body_mut() = body;
-    answer
+fn with_stream(parts: &response::Parts, body: Body) -> Response<Body> {
+    let mut response = reply::from_runner(parts, Bytes::new());
+    *response.body_mut() = body;
+    response
 }
--- a/crates/entry/src/proxy/stream/segment.rs
+++ b/crates/entry/src/proxy/stream/segment.rs
@@ -1,4 +1,4 @@
-//! One runner's part in a stream: whole events, in order.
+//! One runner's segment of a stream: complete events, in order.
 
 use std::time::Duration;
 
@@ -13,86 +13,86 @@
 use super::super::forward::{Forwarder, RunnerResponse};
 use super::super::job::Job;
 
-/// Shortest silence that ends a resumable stream's run: an engine under load
-/// pauses for most of a second.
-const SILENCE: Duration = Duration::from_millis(1_500);
-/// The same in pauses that the operator allows.
-const SILENCE_GAPS: u32 = 2;
-/// No limit.
-const FOREVER: Duration = Duration::from_secs(24 * 3_600);
+/// Minimum silence after which a segment of a resumable stream counts as broken:
+/// an engine under load pauses for most of a second.
+const MIN_SILENCE: Duration = Duration::from_millis(1_500);
+/// The same limit as a multiple of the operator's longest gap between events.
+const SILENCE_GAP_MULTIPLE: u32 = 2;
+/// Stands for no limit.
+const NO_LIMIT: Duration = Duration::from_secs(24 * 3_600);
 
-/// A runner's part in a stream.
+/// A runner's segment of a stream.
 pub struct Segment {
-    /// The runner's answer.
+    /// The runner's response.
     pub response: RunnerResponse,
-    /// Id of the last event that came.
-    pub last: Option<u64>,
+    /// Id of the last event received.
+    pub last_event: Option<u64>,
     splitter: Splitter,
-    framed: bool,
-    /// When the last event came.
-    came: Option<Moment>,
+    is_framed: bool,
+    /// Time at which the last event arrived.
+    last_arrival: Option<Moment>,
 }
 
-/// What comes of waiting for a run.
+/// Result of waiting for a segment.
 pub enum Progress {
-    /// Whole events.
+    /// Complete events.
     Events(Events),
-    /// The stream is whole.
-    End,
-    /// The runner broke off, or has been silent for too long.
+    /// The stream has ended and is complete.
+    Complete,
+    /// The runner broke off, or was silent for too long.
     Broken,
-    /// The caller's time is over.
-    Over,
+    /// The deadline has passed.
+    TimedOut,
 }
 
 impl Segment {
-    /// A run whose answer has begun; `last` is the event after which it goes on.
-    pub fn new(response: RunnerResponse, last: Option<u64>) -> Self {
+    /// Creates a segment from a response; `last_event` is the event after which it resumes.
+    pub fn new(response: RunnerResponse, last_event: Option<u64>) -> Self {
         let headers = &response.parts.headers;
-        let framed = headers.contains_key(CONTENT_LENGTH) || headers.contains_key("transfer-encoding");
+        let is_framed = headers.contains_key(CONTENT_LENGTH) || headers.contains_key("transfer-encoding");
         Self {
             response,
             splitter: Splitter::default(),
-            last,
-            framed,
-            came: None,
+            last_event,
+            is_framed,
+            last_arrival: None,
         }
     }
 
-    /// The next piece.
+    /// Waits for the next events or the end of the segment.
     ///
-    /// A resumable stream whose runner falls silent counts as broken, to go on
-    /// elsewhere: a runner behind a cut sends no reset, and probes take seconds
-    /// to show it. A silence after which another runner would not help, or that
-    /// no other may end, is waited out.
+    /// If the runner of a resumable stream falls silent, the segment counts as broken
+    /// and the stream is resumed elsewhere: over a lost path no reset arrives, and
+    /// keep-alive probes take seconds to detect it. The silence is waited out if the
+    /// stream may not be resumed, or if the deadline comes first.
     ///
-    /// A host that is told to stop waits for all: a stream that it moved could find no other
-    /// runner, and a stop must cut nobody whose runner is only slow.
+    /// A stopping host waits out every silence: a stream that it moved might find no other
+    /// runner, and stopping must not end streams whose runner is only slow.
     pub async fn next(&mut self, job: &Job, shared: &Shared) -> Progress {
         loop {
-            let left = job.time_left(shared.now()).unwrap_or(FOREVER);
-            let patience = self.patience(job).unwrap_or(FOREVER);
-            match timeout(left.min(patience), self.events()).await {
+            let time_left = job.time_left(shared.now()).unwrap_or(NO_LIMIT);
+            let silence_limit = self.silence_limit(job).unwrap_or(NO_LIMIT);
+            match timeout(time_left.min(silence_limit), self.next_events()).await {
                 Ok(piece) => return piece,
-                Err(_) if patience >= left => return Progress::Over,
+                Err(_) if silence_limit >= time_left => return Progress::TimedOut,
                 Err(_) if shared.is_stopping() => {}
                 Err(_) => return Progress::Broken,
             }
         }
     }
 
-    /// Longest silence of a run that another one could follow.
-    fn patience(&self, job: &Job) -> Option<Duration> {
-        self.last.filter(|_| !job.is_at_most_once())?;
+    /// Longest silence of a segment that another one may follow; `None` if none may.
+    fn silence_limit(&self, job: &Job) -> Option<Duration> {
+        self.last_event.filter(|_| !job.is_at_most_once())?;
         let gap = job.admission.route.gap?;
-        Some((gap * SILENCE_GAPS).max(SILENCE))
+        Some((gap * SILENCE_GAP_MULTIPLE).max(MIN_SILENCE))
     }
 
-    /// The next whole events.
-    async fn events(&mut self) -> Progress {
+    /// Reads up to the next complete events.
+    async fn next_events(&mut self) -> Progress {
         loop {
             let Some(frame) = self.response.body.frame().await else {
-                return self.end();
+                return self.on_eof();
             };
             let Ok(frame) = frame else {
                 return Progress::Broken;
@@ -106,68 +106,70 @@
             if events.bytes.is_empty() {
                 continue;
             }
-            if !self.follows(&events.ids) {
+            if !self.advance(&events.ids) {
                 return Progress::Broken;
             }
             return Progress::Events(events);
         }
     }
 
-    /// Without a length or chunks only a whole event tells the end from a break.
-    fn end(&self) -> Progress {
+    /// Without a length or chunks, an incomplete event is the only sign of a break.
+    fn on_eof(&self) -> Progress {
         match self.splitter.is_empty() {
-            true => Progress::End,
+            true => Progress::Complete,
             false => Progress::Broken,
         }
     }
 
-    /// Whether events follow the last one without a gap.
+    /// Advances past the given event ids; false if they leave a gap or repeat an event.
     ///
-    /// A runner that goes on elsewhere than asked would give the caller a piece
-    /// twice or leave one out.
-    fn follows(&mut self, ids: &[u64]) -> bool {
+    /// A runner that resumes at another event than requested would repeat events to
+    /// the caller or omit some.
+    fn advance(&mut self, ids: &[u64]) -> bool {
         for id in ids {
-            if self.last.is_some_and(|last| *id != last + 1) {
+            if self.last_event.is_some_and(|last| *id != last + 1) {
                 return false;
             }
-            self.last = Some(*id);
+            self.last_event = Some(*id);
         }
         true
     }
 
-    /// An event came at `now`, after which pauses count.
-    pub fn rest(&mut self, now: Moment) {
-        self.came = Some(now);
+    /// Starts measuring pauses at an event that arrived at `now`.
+    pub fn start_timing(&mut self, now: Moment) {
+        self.last_arrival = Some(now);
     }
 
-    /// Lets placement know how long the pause before events was. Several that came together
-    /// waited somewhere else.
-    pub fn tell(&mut self, now: Moment, events: &Events) {
-        if let (Some(came), 1) = (self.came, events.ids.len()) {
-            self.response.slot.record_event(now.since(came));
+    /// Records the pause before an event, for placement.
+    ///
+    /// Several events that arrive together were delayed elsewhere and are not counted.
+    pub fn record_pause(&mut self, now: Moment, events: &Events) {
+        if let (Some(last_arrival), 1) = (self.last_arrival, events.ids.len()) {
+            self.response.slot.record_event(now.since(last_arrival));
         }
-        self.came = Some(now);
+        self.last_arrival = Some(now);
     }
 
-    /// Closes a run that broke off; the event after which another one goes on.
+    /// Closes a broken segment; returns the event after which the next one resumes.
     ///
-    /// Dropping it closes its connection, so that two runners never work on one stream.
+    /// Dropping the segment closes its connection, so that two runners never work on one
+    /// stream.
     pub fn abandon(self, job: &Job) -> Option<u64> {
         self.response.slot.report(Sign::Broken);
         tracing::info!(
             event = "stream-broken",
             request = job.metadata.id,
             runner = self.response.slot.id,
-            last = self.last
+            last = self.last_event
         );
-        self.last
+        self.last_event
     }
 
-    /// Ends a run that came to its end; its connection serves on.
+    /// Ends a complete segment; its connection is reused if the response was framed.
     pub fn finish(self, forwarder: &Forwarder) {
         let RunnerResponse { slot, kept, .. } = self.response;
         slot.report(Sign::Sound);
-        if self.framed {
+        if self.is_framed {
             forwarder.return_connection(&slot, kept);
         }
     }
