--- a/crates/entry/src/proxy/events.rs
+++ b/crates/entry/src/proxy/events.rs
@@ -1,56 +1,56 @@
-//! Cutting a stream of server-sent events into whole events.
+//! Splitting of a server-sent event stream into complete events.
 //!
-//! A runner may stop in the middle of an event. Only whole events go on to the
-//! caller, so that what it has ends at an event from which another runner can
-//! go on.
+//! A runner may stop in the middle of an event. Only complete events are
+//! forwarded, so that what the caller has received ends at an event after which
+//! another runner can resume.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event: one that is longer ends the stream, so that a runner that
-/// never ends an event cannot fill this host's memory.
-const LONGEST: usize = 1024 * 1024;
+/// Maximum size of an event. A longer one ends the stream, so that a runner that
+/// never ends an event cannot exhaust this host's memory.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Whole events that were read.
+/// Complete events taken from a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Events {
-    /// Their bytes as they came.
+    /// Bytes as received.
     pub bytes: Bytes,
-    /// Ids in order.
+    /// Ids of the events, in order.
     pub ids: Vec<u64>,
 }
 
-/// Bytes of an event that has not ended.
+/// Splits received bytes into complete events; keeps those of an incomplete event.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
+    pending: BytesMut,
 }
 
 impl Splitter {
-    /// Adds bytes and takes the whole events off; `None` when an event is too long.
+    /// Adds bytes and returns the events that are complete; `None` if one is too long.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Events> {
-        self.rest.extend_from_slice(bytes);
-        let end = last_end(&self.rest);
-        if end == 0 && self.rest.len() > LONGEST {
+        self.pending.extend_from_slice(bytes);
+        let end = complete_length(&self.pending);
+        if end == 0 && self.pending.len() > MAX_EVENT_BYTES {
             return None;
         }
-        let bytes = self.rest.split_to(end).freeze();
+        let bytes = self.pending.split_to(end).freeze();
         let ids = ids(&bytes);
         Some(Events { bytes, ids })
     }
 
-    /// Whether no event is open.
+    /// Whether no incomplete event is pending.
     pub fn is_empty(&self) -> bool {
-        self.rest.is_empty()
+        self.pending.is_empty()
     }
 }
 
-/// Length up to and with the last blank line.
-fn last_end(bytes: &[u8]) -> usize {
-    let blank = |pattern: &[u8]| {
+/// Length up to and including the last blank line.
+fn complete_length(bytes: &[u8]) -> usize {
+    let end_after_last = |pattern: &[u8]| {
         let at = bytes.windows(pattern.len()).rposition(|window| window == pattern);
         at.map_or(0, |at| at + pattern.len())
     };
-    blank(b"\n\n").max(blank(b"\r\n\r\n"))
+    end_after_last(b"\n\n").max(end_after_last(b"\r\n\r\n"))
 }
 
 fn ids(bytes: &[u8]) -> Vec<u64> {
