--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -1,7 +1,8 @@
-//! What the front needs of a platform's language.
+//! Interface for translating messages to and from a platform.
 //!
-//! A dialect only translates: it opens no connection and decides nothing. The
-//! types here say what the platform's fields hold, in the product's words.
+//! An adapter only translates: it opens no connections and makes no decisions.
+//! The types here hold the contents of the platform's messages, independent of
+//! its names and formats.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,120 +21,120 @@
 use radishstair_core::proxy::tally::Window;
 use radishstair_core::store::{Answer, Call, Entry};
 
-/// What a caller's head says.
+/// Metadata of a caller's request, parsed from its headers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Metadata {
-    /// The caller's name for this attempt.
+    /// Request id that the caller chose for this attempt.
     pub id: String,
-    /// How long the caller will wait.
+    /// Time for which the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// Key that it carries.
+    /// API key.
     pub key: Option<String>,
-    /// Last event that the caller has of a stream.
+    /// Last event of the stream that the caller has received.
     pub last_event: Option<u64>,
-    /// Tokens of the prompt; 0 for plain requests.
+    /// Tokens of the prompt; 0 for requests that are not for engines.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the answer.
     pub max_output_tokens: u64,
-    /// Tokens of the answer as the caller expects them; often far off.
+    /// Tokens of the answer as estimated by the caller; often inaccurate.
     pub expected_output_tokens: Option<u64>,
-    /// Parts of the prompt, in order; the last one is the request's own or its
-    /// session's.
+    /// Parts of the prompt, in order; the last one belongs to the request itself or to
+    /// its session.
     pub prompt_parts: Vec<Part>,
 }
 
-/// What the head towards a runner says besides the caller's own.
+/// Values that are added to a request's headers when it is forwarded to a runner.
 #[derive(Clone, Copy, Debug)]
 pub struct Forwarding<'a> {
-    /// Runner that alone may run it.
+    /// Id of the only runner that may run the request.
     pub runner_id: &'a str,
-    /// Time left.
+    /// Time left until the deadline.
     pub time_left: Option<Duration>,
-    /// Rank, 0 first, for requests to engines.
+    /// Priority rank for requests to engines; 0 is the most urgent.
     pub rank: Option<u8>,
-    /// Whose it is.
+    /// Customer to whom the request belongs.
     pub customer: Option<&'a str>,
-    /// Event after which the stream goes on.
+    /// Event after which the stream is resumed.
     pub resume_after: Option<u64>,
-    /// Runner from whose memory it copies the beginning of the prompt.
+    /// Address of a runner from whose cache the beginning of the prompt is copied.
     pub cache_source: Option<SocketAddr>,
 }
 
-/// What a runner's head says of its answer.
+/// Provenance of a runner's response, parsed from its headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Provenance {
-    /// Request that it answers.
+    /// Id of the request that is answered.
     pub request_id: Option<String>,
-    /// Whether the runner vouches for the answer.
+    /// Whether the runner has signed the response.
     pub signed: bool,
-    /// Whether the runner states that the request did not run.
+    /// Whether the runner states that the request has not run.
     pub not_run: bool,
 }
 
-/// Keys in the store that the operator and the runners write.
+/// Keys in the store that are written by the operator and the runners.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreKeys {
-    /// The operator's document. It sorts before the other keys that hosts read.
+    /// Key of the operator's document. It sorts before the other keys that hosts read.
     pub document: &'static str,
-    /// Prefix of the runners' entries.
+    /// Prefix of the keys of runners.
     pub runner_prefix: &'static str,
 }
 
-/// A platform's language.
+/// Translates messages to and from one platform.
 pub trait Adapter: fmt::Debug + Send + Sync {
-    /// Path at which the balancer asks whether callers should come here.
+    /// Path of the readiness endpoint that the load balancer polls.
     fn ready_path(&self) -> &'static str;
 
-    /// Keys in the store.
+    /// Keys in the store that hosts read.
     fn store_keys(&self) -> StoreKeys;
 
-    /// Reads a caller's head.
+    /// Parses the headers of a caller's request.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// Kind of the refusal, if the headers are invalid.
     fn parse_request(&self, parts: &request::Parts) -> Result<Metadata, Kind>;
 
-    /// Head towards a runner.
+    /// Headers of the request forwarded to a runner.
     fn forwarded_headers(&self, parts: &request::Parts, forwarding: &Forwarding<'_>) -> HeaderMap;
 
-    /// Reads a runner's head.
+    /// Parses the headers of a runner's response.
     fn parse_response(&self, parts: &response::Parts) -> Provenance;
 
-    /// Reads the operator's document.
+    /// Parses the operator's document.
     ///
     /// # Errors
     ///
-    /// Names what cannot be read.
+    /// Names what cannot be parsed.
     fn parse_document(&self, entry: &Entry) -> Result<Table>;
 
-    /// Reads a runner's entry.
+    /// Parses a runner's entry.
     ///
     /// # Errors
     ///
-    /// Names what cannot be read.
+    /// Names what cannot be parsed.
     fn parse_runner(&self, entry: &Entry) -> Result<Listed>;
 
-    /// A call to the store.
+    /// HTTP request for a call to the store.
     fn store_request(&self, call: &Call) -> Request<Bytes>;
 
-    /// The store's answer to a call.
+    /// Parses the store's response to a call.
     fn parse_store_response(&self, call: &Call, status: StatusCode, body: &[u8]) -> StoreResponse;
 
-    /// A usage report under a fencing number.
+    /// HTTP request that reports usage under a fencing number.
     fn usage_request(&self, host: &str, fence: u64, window: &Window) -> Request<Bytes>;
 
-    /// An order for runners under a fencing number.
+    /// HTTP request that orders runners under a fencing number.
     fn order_request(&self, host: &str, fence: u64, order: &Order) -> Request<Bytes>;
 }
 
-/// An answer of the store.
+/// Response of the store to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreResponse {
-    /// What it says.
+    /// Result of the call.
     pub answer: Answer,
-    /// Whether there are more keys behind the last one.
+    /// Whether the listing continues after its last key.
     pub has_more: bool,
-    /// The store's revision when it answered a listing; 0 for other calls.
+    /// The store's revision at the time of a listing; 0 for other calls.
     pub store_revision: u64,
 }
