--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -1,4 +1,4 @@
-//! The callers' side: connections, limits, and one request after the other.
+//! Accepts callers' connections, enforces limits and serves the requests.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -27,16 +27,16 @@
 use crate::flight::Flight;
 use crate::serve;
 
-/// Longest time for a body to come where the caller names no deadline.
-const BODY: Duration = Duration::from_secs(15);
-/// Smallest head buffer that the HTTP library takes.
-const HEAD_BUFFER: usize = 8 * 1024;
+/// Time limit for receiving a body when the caller sets no deadline.
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Smallest head buffer that the HTTP library accepts.
+const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Accepts connections until `stop` turns true; a connection that is open then
-/// ends after the request that it carries.
+/// Accepts connections until `stop` becomes true. Connections that are open then
+/// close after their current request.
 pub async fn serve(forwarder: Arc<Forwarder>, listener: TcpListener, stop: watch::Receiver<bool>) {
-    let bound = forwarder.shared.settings.load().connections;
-    let places = Arc::new(Semaphore::new(bound));
+    let max_connections = forwarder.shared.settings.load().connections;
+    let permits = Arc::new(Semaphore::new(max_connections));
     let mut stopped = stop.clone();
     loop {
         let accepted = tokio::select! {
@@ -46,42 +46,42 @@
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(err) => {
-                // Out of descriptors: others must close before more can come.
-                tracing::warn!(event = "not-accepted", reason = %err);
+                // Out of file descriptors: connections must close before more can be accepted.
+                tracing::warn!(event = "accept-failed", reason = %err);
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             }
         };
-        let Ok(place) = places.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             forwarder.shared.metrics.refused_connections.inc();
             continue;
         };
         let (forwarder, stop) = (forwarder.clone(), stop.clone());
         tokio::spawn(async move {
-            connection(forwarder, stream, stop).await;
-            drop(place);
+            serve_connection(forwarder, stream, stop).await;
+            drop(permit);
         });
     }
 }
 
-fn limits(shared: &Shared) -> Limits {
+fn current_limits(shared: &Shared) -> Limits {
     let state = shared.state();
     state.table.as_ref().map(|table| table.limits).unwrap_or_default()
 }
 
-async fn connection(forwarder: Arc<Forwarder>, stream: TcpStream, stop: watch::Receiver<bool>) {
-    // A caller's connection works without it, only slower.
+async fn serve_connection(forwarder: Arc<Forwarder>, stream: TcpStream, stop: watch::Receiver<bool>) {
+    // The connection also works without this option, only slower.
     let _ = stream.set_nodelay(true);
-    let limits = limits(&forwarder.shared);
+    let limits = current_limits(&forwarder.shared);
     let service = service_fn(move |request| {
         let forwarder = forwarder.clone();
         async move { Ok::<_, Infallible>(handle(forwarder, request).await) }
     });
-    // The time for a head also runs while a connection is idle, so it must not
-    // be shorter than the idle time that callers were told.
+    // The head timeout also runs while a connection is idle, so it must not be
+    // shorter than the idle timeout announced to callers.
     let limits = serve::Limits {
         head_time: limits.idle.max(limits.head_time),
-        head: limits.head.max(HEAD_BUFFER),
+        head: limits.head.max(MIN_HEAD_BUFFER_BYTES),
     };
     serve::connection(stream, limits, service, stop).await;
 }
@@ -89,20 +89,20 @@
 async fn handle(forwarder: Arc<Forwarder>, request: Request<Incoming>) -> Response<Body> {
     let shared = forwarder.shared.clone();
     let arrived = shared.now();
-    let mut answer = match respond(forwarder, request, arrived).await {
-        Ok(answer) => answer,
+    let mut response = match respond(forwarder, request, arrived).await {
+        Ok(response) => response,
         Err(refusal) => reply::from_refusal(&refusal),
     };
-    let headers = answer.headers_mut();
+    let headers = response.headers_mut();
     if shared.is_stopping() || shared.state().hands_over(arrived) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     } else {
-        let idle = limits(&shared).idle.as_secs().max(1);
+        let idle = current_limits(&shared).idle.as_secs().max(1);
         if let Ok(value) = HeaderValue::from_str(&format!("timeout={idle}")) {
             headers.insert(HeaderName::from_static("keep-alive"), value);
         }
     }
-    answer
+    response
 }
 
 async fn respond(
@@ -115,11 +115,16 @@
     let (parts, body) = request.into_parts();
     let metadata = shared.adapter.parse_request(&parts);
     let caller_timeout = metadata.as_ref().ok().and_then(|metadata| metadata.timeout);
-    let body = read(body, limits(&shared).body, caller_timeout.unwrap_or(BODY)).await;
-    let metadata = metadata.map_err(|kind| refused(&shared, None, Refusal::new(kind)))?;
-    let body = body.map_err(|kind| refused(&shared, Some(&metadata), Refusal::new(kind)))?;
-    let admission =
-        admit(&shared, &parts, &metadata).map_err(|refusal| refused(&shared, Some(&metadata), refusal))?;
+    let body = read_body(
+        body,
+        current_limits(&shared).body,
+        caller_timeout.unwrap_or(DEFAULT_BODY_TIMEOUT),
+    )
+    .await;
+    let metadata = metadata.map_err(|kind| log_refusal(&shared, None, Refusal::new(kind)))?;
+    let body = body.map_err(|kind| log_refusal(&shared, Some(&metadata), Refusal::new(kind)))?;
+    let admission = admit(&shared, &parts, &metadata)
+        .map_err(|refusal| log_refusal(&shared, Some(&metadata), refusal))?;
     let job = Job {
         deadline: deadline(arrived, &metadata, &admission),
         parts,
@@ -128,10 +133,10 @@
         admission,
         arrived,
     };
-    pass(forwarder, job, flight).await
+    forward(forwarder, job, flight).await
 }
 
-async fn pass(forwarder: Arc<Forwarder>, job: Job, flight: Flight) -> Result<Response<Body>, Refusal> {
+async fn forward(forwarder: Arc<Forwarder>, job: Job, flight: Flight) -> Result<Response<Body>, Refusal> {
     let shared = forwarder.shared.clone();
     let job = Arc::new(job);
     let mut history = History::default();
@@ -147,7 +152,7 @@
     let now = shared.now();
     let after_ms = now.since(job.arrived).as_millis() as u64;
     let (outcome, status) = match &result {
-        Ok(answer) => ("answered", answer.status().as_u16()),
+        Ok(response) => ("answered", response.status().as_u16()),
         Err(refusal) => (refusal.kind.name(), refusal.kind.status()),
     };
     let route = &job.admission.route.name;
@@ -191,21 +196,23 @@
 }
 
 fn deadline(arrived: Moment, metadata: &Metadata, admission: &Admission) -> Option<Moment> {
-    let spans = [metadata.timeout, admission.route.timeout];
-    let span = spans.into_iter().flatten().min()?;
-    Some(arrived + span)
+    let limits = [metadata.timeout, admission.route.timeout];
+    let limit = limits.into_iter().flatten().min()?;
+    Some(arrived + limit)
 }
 
-/// Reads a body whole. A refusal that comes before its body is read would
-/// close the connection on unread bytes, and the caller might never see it.
-async fn read(body: Incoming, most: usize, limit: Duration) -> Result<Bytes, Kind> {
+/// Reads a complete body.
+///
+/// The body is read before the request can be refused: a refusal sent earlier would
+/// close the connection with bytes unread, and the caller might not receive it.
+async fn read_body(body: Incoming, max_bytes: usize, time_limit: Duration) -> Result<Bytes, Kind> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(Kind::TooLarge);
     }
-    match timeout(limit, Limited::new(body, most).collect()).await {
+    match timeout(time_limit, Limited::new(body, max_bytes).collect()).await {
         Err(_) => Err(Kind::SlowRequest),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(err)) if err.is::<http_body_util::LengthLimitError>() => Err(Kind::TooLarge),
@@ -213,7 +220,7 @@
     }
 }
 
-fn refused(shared: &Shared, metadata: Option<&Metadata>, refusal: Refusal) -> Refusal {
+fn log_refusal(shared: &Shared, metadata: Option<&Metadata>, refusal: Refusal) -> Refusal {
     let now = shared.now();
     let state = shared.state();
     tracing::info!(
