--- a/crates/entry/src/proxy/discovery.rs
+++ b/crates/entry/src/proxy/discovery.rs
@@ -1,4 +1,4 @@
-//! Putting in force what was read of the runners.
+//! Runner discovery: parses the runners' entries and applies them to the fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,71 +10,72 @@
 use super::Shared;
 use crate::upstream::pool::Pool;
 
-/// Time between two log lines on the pace of runners.
-const TELL_PACE: Duration = Duration::from_secs(10);
+/// Time between log lines about the speed of runners.
+const PACE_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A runner's entry as it was read last.
+/// A runner's entry as last parsed.
 #[derive(Debug)]
 struct Parsed {
     key: String,
     version: u64,
-    /// None if it names no runner.
+    /// `None` if the entry could not be parsed.
     listed: Option<Listed>,
 }
 
-/// Reads entries and puts them in force.
+/// Parses runners' entries and applies them to the fleet.
 #[derive(Debug)]
 pub struct Discovery {
     shared: Arc<Shared>,
-    runners: Arc<Pool>,
-    /// Sorted by key. Most entries are the same in each round, and reading
-    /// thousands anew would take a small host's time.
+    pool: Arc<Pool>,
+    /// Entries as last parsed, sorted by key. Most entries are the same in each round,
+    /// and parsing thousands again would slow down a small host.
     parsed: Vec<Parsed>,
-    /// When the pace of runners was logged last.
-    told: Moment,
+    /// Time at which the speed of runners was last logged.
+    pace_logged_at: Moment,
 }
 
 impl Discovery {
-    /// Of a host that has read nothing.
-    pub fn new(shared: Arc<Shared>, runners: Arc<Pool>) -> Self {
+    /// Creates the state of a host that has read no entries.
+    pub fn new(shared: Arc<Shared>, pool: Arc<Pool>) -> Self {
         Self {
             shared,
-            runners,
+            pool,
             parsed: Vec::new(),
-            told: Moment::default(),
+            pace_logged_at: Moment::default(),
         }
     }
 
-    /// Takes all runners' entries, in order, as of a moment; whether any of them
-    /// has changed.
-    pub fn list(&mut self, as_of: Moment, entries: &[Entry]) -> bool {
+    /// Applies all runners' entries as of a moment; returns whether any has changed.
+    ///
+    /// The entries must be sorted by key.
+    pub fn apply(&mut self, as_of: Moment, entries: &[Entry]) -> bool {
         let mut changed = entries.len() != self.parsed.len();
         let mut parsed = Vec::with_capacity(entries.len());
-        let mut known = std::mem::take(&mut self.parsed).into_iter().peekable();
+        let mut previous = std::mem::take(&mut self.parsed).into_iter().peekable();
         for entry in entries {
-            while known.next_if(|have| have.key < entry.key).is_some() {}
-            let same = known.next_if(|have| have.key == entry.key && have.version == entry.version);
-            changed |= same.is_none();
-            parsed.push(same.unwrap_or_else(|| self.parse(entry)));
+            while previous.next_if(|old| old.key < entry.key).is_some() {}
+            let unchanged = previous.next_if(|old| old.key == entry.key && old.version == entry.version);
+            changed |= unchanged.is_none();
+            parsed.push(unchanged.unwrap_or_else(|| self.parse(entry)));
         }
         self.parsed = parsed;
         let listed = self.parsed.iter().filter_map(|parsed| parsed.listed.clone());
         let now = self.shared.now();
-        let void = self.shared.state().list(now, as_of, listed.collect());
-        self.tell_pace(now);
-        for address in void {
-            self.runners.forget(address);
+        let stale = self.shared.state().list(now, as_of, listed.collect());
+        self.log_pace(now);
+        for address in stale {
+            self.pool.forget(address);
         }
         changed
     }
 
-    /// Logs now and then what runners are believed to be able to do, as placement and
-    /// orders follow it.
-    fn tell_pace(&mut self, now: Moment) {
-        if now.since(self.told) < TELL_PACE {
+    /// Logs the estimated speed of runners at intervals, as placement and orders depend
+    /// on it.
+    fn log_pace(&mut self, now: Moment) {
+        if now.since(self.pace_logged_at) < PACE_LOG_INTERVAL {
             return;
         }
-        self.told = now;
+        self.pace_logged_at = now;
         let state = self.shared.state();
         let Some(table) = state.table.clone() else {
             return;
@@ -99,7 +100,7 @@
     fn parse(&self, entry: &Entry) -> Parsed {
         let listed = self.shared.adapter.parse_runner(entry);
         if let Err(err) = &listed {
-            not_read(entry, err);
+            log_unreadable(entry, err);
         }
         Parsed {
             key: entry.key.clone(),
@@ -109,6 +110,6 @@
     }
 }
 
-fn not_read(entry: &Entry, err: &anyhow::Error) {
+fn log_unreadable(entry: &Entry, err: &anyhow::Error) {
     tracing::warn!(event = "entry-not-read", key = entry.key, revision = entry.version, reason = %format!("{err:#}"));
 }
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -252,7 +252,7 @@
             let under = |prefix: &str| mirror.under(prefix).to_vec();
             (as_of, under(keys.runner_prefix), under(PREFIX))
         };
-        let changed = self.discovery.list(as_of, &runners);
+        let changed = self.discovery.apply(as_of, &runners);
         // A full channel is emptied by the next round.
         let _ = self.own.try_send(Own { as_of, entries: own });
         changed
