--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -23,7 +23,7 @@
 
 /// Asks the store within a time limit and counts what came of it.
 pub async fn send(shared: &Shared, client: &Client, call: &Call, limit: Duration) -> StoreResponse {
-    send_with(shared, client, call, Timeouts::within(limit)).await
+    send_with(shared, client, call, Timeouts::all(limit)).await
 }
 
 /// The same with other timeouts.
--- a/crates/entry/src/proxy/client.rs
+++ b/crates/entry/src/proxy/client.rs
@@ -1,7 +1,7 @@
-//! Asking the platform: short calls with a time limit each.
+//! HTTP client for short calls to the platform and to peers, each with timeouts.
 //!
-//! A connection on which an answer was lost returns nothing further, so a call
-//! that ran out of time takes its connection with it.
+//! A connection on which a response was lost returns nothing further, so a call
+//! that times out also closes its connection.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -16,23 +16,23 @@
 
 use crate::upstream::line::{self, Line, Sent};
 
-/// Longest time to connect.
-const CONNECT: Duration = Duration::from_millis(400);
-/// Most bytes of an answer: a page of the store holds a megabyte of values.
-const BYTES: usize = 8 * 1024 * 1024;
-/// Most idle connections.
-const MOST: usize = 4;
+/// Time limit for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum size of a response; a page of the store holds a megabyte of values.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum number of idle connections.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// What came of a call.
+/// Outcome of a call.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// It was answered.
+    /// A complete response was received.
     Response(StatusCode, Bytes),
-    /// It did not leave this host.
+    /// Nothing was sent.
     NotSent,
-    /// It may have been carried out.
+    /// No complete response was received; the call may have been carried out.
     Lost {
-        /// Bytes of the answer's body that had come.
+        /// Bytes of the response body that had been received.
         received: usize,
     },
 }
@@ -40,17 +40,17 @@
 /// Timeouts of one call.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// Until the answer's head has come, a new connection included.
+    /// Until the head of the response is received, including a new connection.
     pub head: Duration,
-    /// Between two parts of the answer.
+    /// Between two parts of the response body.
     pub idle: Duration,
-    /// Until all of the answer has come.
+    /// Until the complete response is received.
     pub total: Duration,
 }
 
 impl Timeouts {
-    /// One limit for everything.
-    pub const fn within(limit: Duration) -> Self {
+    /// The same limit for all timeouts.
+    pub const fn all(limit: Duration) -> Self {
         Self {
             head: limit,
             idle: limit,
@@ -59,37 +59,38 @@
     }
 }
 
-/// Connections to one service of the platform.
+/// HTTP client for one address, with a pool of idle connections.
 #[derive(Debug, Default)]
 pub struct Client {
     idle: Mutex<Vec<Line>>,
 }
 
 impl Client {
-    /// Asks within a time limit.
+    /// Sends a request with one time limit for the whole call.
     pub async fn send(&self, address: SocketAddr, request: Request<Bytes>, limit: Duration) -> Outcome {
-        self.send_with(address, request, Timeouts::within(limit)).await
+        self.send_with(address, request, Timeouts::all(limit)).await
     }
 
-    /// Asks with these timeouts.
+    /// Sends a request with the given timeouts.
     pub async fn send_with(
         &self,
         address: SocketAddr,
         request: Request<Bytes>,
         timeouts: Timeouts,
     ) -> Outcome {
-        let mut left = false;
-        let began = Instant::now();
-        let (line, response) = match timeout(timeouts.head, self.start(address, request, &mut left)).await {
-            Ok(Ok(begun)) => begun,
-            Ok(Err(asked)) => return asked,
-            Err(_) if left => return Outcome::Lost { received: 0 },
-            Err(_) => return Outcome::NotSent,
-        };
-        let rest = timeouts.total.saturating_sub(began.elapsed());
+        let mut maybe_sent = false;
+        let started_at = Instant::now();
+        let (connection, response) =
+            match timeout(timeouts.head, self.start(address, request, &mut maybe_sent)).await {
+                Ok(Ok(started)) => started,
+                Ok(Err(outcome)) => return outcome,
+                Err(_) if maybe_sent => return Outcome::Lost { received: 0 },
+                Err(_) => return Outcome::NotSent,
+            };
+        let time_left = timeouts.total.saturating_sub(started_at.elapsed());
         let mut body = BytesMut::new();
-        let collecting = self.collect(line, response, timeouts.idle, &mut body);
-        match timeout(rest, collecting).await {
+        let reading = self.read_body(connection, response, timeouts.idle, &mut body);
+        match timeout(time_left, reading).await {
             Ok(Some(status)) => Outcome::Response(status, body.freeze()),
             Ok(None) | Err(_) => Outcome::Lost { received: body.len() },
         }
@@ -99,33 +100,34 @@
         &self,
         address: SocketAddr,
         request: Request<Bytes>,
-        left: &mut bool,
+        maybe_sent: &mut bool,
     ) -> Result<(Line, Response<Incoming>), Outcome> {
-        let Some(mut line) = self.line(address).await else {
+        let Some(mut connection) = self.connection(address).await else {
             return Err(Outcome::NotSent);
         };
         let (mut parts, body) = request.into_parts();
         if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
             parts.headers.insert(HOST, host);
         }
-        *left = true;
-        match line.send(Request::from_parts(parts, Full::new(body))).await {
-            Sent::Answer(response) => Ok((line, response)),
+        *maybe_sent = true;
+        match connection.send(Request::from_parts(parts, Full::new(body))).await {
+            Sent::Answer(response) => Ok((connection, response)),
             Sent::Never => Err(Outcome::NotSent),
             Sent::Maybe => Err(Outcome::Lost { received: 0 }),
         }
     }
 
-    /// Reads an answer to its end; its connection serves on then. None if it broke off or fell silent.
-    async fn collect(
+    /// Reads a response body to its end and keeps the connection for reuse; `None` if the
+    /// body broke off, stalled or was too long.
+    async fn read_body(
         &self,
-        line: Line,
+        connection: Line,
         response: Response<Incoming>,
         idle: Duration,
         received: &mut BytesMut,
     ) -> Option<StatusCode> {
         let (parts, body) = response.into_parts();
-        let mut body = Limited::new(body, BYTES);
+        let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
         while let Some(frame) = timeout(idle, body.frame()).await.ok()? {
             if let Ok(data) = frame.ok()?.into_data() {
                 received.extend_from_slice(&data);
@@ -133,23 +135,23 @@
         }
         if !line::closes(&parts.headers) {
             let mut idle = self.lock();
-            if idle.len() < MOST {
-                idle.push(line);
+            if idle.len() < MAX_IDLE_CONNECTIONS {
+                idle.push(connection);
             }
         }
         Some(parts.status)
     }
 
-    async fn line(&self, address: SocketAddr) -> Option<Line> {
+    async fn connection(&self, address: SocketAddr) -> Option<Line> {
         loop {
-            let Some(mut line) = self.lock().pop() else {
+            let Some(mut connection) = self.lock().pop() else {
                 break;
             };
-            if line.is_usable().await {
-                return Some(line);
+            if connection.is_usable().await {
+                return Some(connection);
             }
         }
-        Line::connect(address, CONNECT).await.ok()
+        Line::connect(address, CONNECT_TIMEOUT).await.ok()
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Line>> {
