--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform's store, counted.
+//! Calls to the platform's store, with metrics and logging.
 
 use std::time::Duration;
 
@@ -8,56 +8,58 @@
 use super::adapter::StoreResponse;
 use super::client::{Client, Outcome, Timeouts};
 
-/// Keys of a page that are asked for.
-pub const LIMIT: u32 = 500;
-/// Longest wait for a write to the store.
-pub const WRITE: Duration = Duration::from_millis(800);
+/// Number of keys requested for one page of a listing.
+pub const PAGE_LIMIT: u32 = 500;
+/// Time limit for a write to the store.
+pub const WRITE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Timeouts of a transfer whose size is not known beforehand: it goes on while bytes come,
-/// up to a total far above what a megabyte takes over a slow link.
-pub const TRANSFER: Timeouts = Timeouts {
+/// Timeouts of a transfer of unknown size: it continues while bytes arrive, up to a total
+/// far above the time that a megabyte takes over a slow link.
+pub const TRANSFER_TIMEOUTS: Timeouts = Timeouts {
     head: Duration::from_millis(1_200),
     idle: Duration::from_millis(1_200),
     total: Duration::from_secs(12),
 };
 
-/// Asks the store within a time limit and counts what came of it.
-pub async fn send(shared: &Shared, client: &Client, call: &Call, limit: Duration) -> StoreResponse {
-    send_with(shared, client, call, Timeouts::all(limit)).await
+/// Sends a call to the store with one time limit, and records its outcome.
+pub async fn send(shared: &Shared, client: &Client, call: &Call, time_limit: Duration) -> StoreResponse {
+    send_with(shared, client, call, Timeouts::all(time_limit)).await
 }
 
-/// The same with other timeouts.
+/// Sends a call to the store with the given timeouts, and records its outcome.
 pub async fn send_with(shared: &Shared, client: &Client, call: &Call, timeouts: Timeouts) -> StoreResponse {
-    let asked = shared.now();
+    let sent_at = shared.now();
     let address = shared.settings.load().store;
     let request = shared.adapter.store_request(call);
-    let unanswered = |answer| StoreResponse {
+    let without_response = |answer| StoreResponse {
         answer,
         has_more: false,
         store_revision: 0,
     };
-    let (page, bytes) = match client.send_with(address, request, timeouts).await {
+    let (response, bytes) = match client.send_with(address, request, timeouts).await {
         Outcome::Response(status, body) => (
             shared.adapter.parse_store_response(call, status, &body),
             body.len(),
         ),
-        Outcome::NotSent => (unanswered(Answer::Refused), 0),
-        Outcome::Lost { received } => (unanswered(Answer::Lost), received),
+        Outcome::NotSent => (without_response(Answer::Refused), 0),
+        Outcome::Lost { received } => (without_response(Answer::Lost), received),
     };
-    let took = shared.now().since(asked);
+    let took = shared.now().since(sent_at);
     shared.metrics.answered(call.name(), bytes, took);
-    if matches!(page.answer, Answer::Refused | Answer::Lost) {
+    if matches!(response.answer, Answer::Refused | Answer::Lost) {
         tracing::warn!(
             event = "store-call-failed",
             call = call.name(),
-            outcome = page.answer.outcome(),
+            outcome = response.answer.outcome(),
             bytes,
             took_ms = took.as_millis() as u64
         );
     }
-    if !matches!(page.answer, Answer::Refused | Answer::Lost) {
-        shared.state().store_answered.renew(asked);
+    if !matches!(response.answer, Answer::Refused | Answer::Lost) {
+        shared.state().store_answered.renew(sent_at);
     }
-    shared.metrics.platform_call(call.name(), page.answer.outcome());
-    page
+    shared
+        .metrics
+        .platform_call(call.name(), response.answer.outcome());
+    response
 }
--- a/crates/entry/src/proxy/changes.rs
+++ b/crates/entry/src/proxy/changes.rs
@@ -119,7 +119,7 @@
     let timeouts = if most <= SHORT {
         SHORT_ANSWER
     } else {
-        call::TRANSFER
+        call::TRANSFER_TIMEOUTS
     };
     let path = format!("{DOCUMENT}?{HAVE}={have}&{MOST}={most}");
     fetch_path(shared, client, peer, "peer-document", &path, timeouts).await
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -16,7 +16,7 @@
 use radishstair_core::time::Moment;
 
 use super::Shared;
-use super::call::{self, TRANSFER};
+use super::call::{self, TRANSFER_TIMEOUTS};
 use super::changes;
 use super::client::Client;
 
@@ -93,7 +93,7 @@
             Step::Renew => Call::Renew { key, version },
             Step::Read | Step::Rest(_) => Call::Get { key },
         };
-        let page = call::send_with(&self.shared, &self.store, &call, TRANSFER).await;
+        let page = call::send_with(&self.shared, &self.store, &call, TRANSFER_TIMEOUTS).await;
         match page.answer {
             Answer::Same => renew(&self.shared, sent),
             // No entry: the operator has written no document yet.
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::Shared;
-use super::call::{self, WRITE};
+use super::call::{self, WRITE_TIMEOUT};
 use super::client::{Client, Outcome};
 use super::records::{Own, PREFIX, Records};
 
@@ -125,7 +125,9 @@
         let candidate = now.since(self.began) >= SETTLED;
         let mut call = self.lease.tick(now, candidate);
         while let Some(next) = call {
-            let answer = call::send(&self.shared, &self.store, &next, WRITE).await.answer;
+            let answer = call::send(&self.shared, &self.store, &next, WRITE_TIMEOUT)
+                .await
+                .answer;
             call = self.lease.answer(self.shared.now(), &answer);
         }
         self.tell();
@@ -135,7 +137,9 @@
         let now = self.shared.now();
         self.lease.stop(now);
         while let Some(call) = self.lease.tick(self.shared.now(), false) {
-            let answer = call::send(&self.shared, &self.store, &call, WRITE).await.answer;
+            let answer = call::send(&self.shared, &self.store, &call, WRITE_TIMEOUT)
+                .await
+                .answer;
             self.lease.answer(self.shared.now(), &answer);
         }
         self.tell();
@@ -167,7 +171,9 @@
         while let Some(next) = step {
             step = match next {
                 report::Step::Store(call) => {
-                    let answer = call::send(&self.shared, &self.store, &call, WRITE).await.answer;
+                    let answer = call::send(&self.shared, &self.store, &call, WRITE_TIMEOUT)
+                        .await
+                        .answer;
                     self.reporter.answer(self.shared.now(), &answer)
                 }
                 report::Step::Report(grant, window) => {
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -17,7 +17,7 @@
 use radishstair_core::time::Moment;
 
 use super::Shared;
-use super::call::{self, LIMIT, WRITE};
+use super::call::{self, PAGE_LIMIT, WRITE_TIMEOUT};
 use super::client::Client;
 
 /// Prefix of this system's own keys.
@@ -179,9 +179,9 @@
             let call = Call::Range {
                 prefix: COUNTS.into(),
                 after,
-                limit: LIMIT,
+                limit: PAGE_LIMIT,
             };
-            let page = call::send(&self.shared, &self.store, &call, WRITE).await;
+            let page = call::send(&self.shared, &self.store, &call, WRITE_TIMEOUT).await;
             let Answer::Found(entries) = page.answer else {
                 return;
             };
@@ -213,7 +213,9 @@
                 };
                 let expect = *version;
                 let call = Call::Remove { key, expect };
-                let answer = call::send(&self.shared, &self.store, &call, WRITE).await.answer;
+                let answer = call::send(&self.shared, &self.store, &call, WRITE_TIMEOUT)
+                    .await
+                    .answer;
                 tracing::info!(event = "host-forgotten", host = record.host, incarnation = %record.incarnation, answer = ?answer);
             }
         }
@@ -247,7 +249,7 @@
         expect: written.version,
         value,
     };
-    match call::send(shared, store, &call, WRITE).await.answer {
+    match call::send(shared, store, &call, WRITE_TIMEOUT).await.answer {
         Answer::Written(version) => {
             written.version = version;
             true
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -18,7 +18,7 @@
 use radishstair_core::time::Moment;
 use tokio::sync::mpsc;
 
-use super::call::{self, LIMIT};
+use super::call::{self, PAGE_LIMIT};
 use super::client::Client;
 use super::discovery::Discovery;
 use super::records::{self, COUNTS, NOTHING, Own, PREFIX};
@@ -176,7 +176,7 @@
     fn has_long_list(&self, now: Moment) -> bool {
         let mirror = self.shared.mirror();
         let young = |as_of: Moment| now.since(as_of) < LISTED;
-        mirror.len() > LIMIT as usize && mirror.as_of().is_some_and(young)
+        mirror.len() > PAGE_LIMIT as usize && mirror.as_of().is_some_and(young)
     }
 
     /// Reads all keys but the document from the store; whether all pages came.
@@ -191,7 +191,7 @@
                     true => self.shared.adapter.store_keys().document.to_string(),
                     false => after.clone(),
                 },
-                limit: LIMIT,
+                limit: PAGE_LIMIT,
             };
             let page = call::send(&self.shared, &self.store, &call, PAGE).await;
             let Answer::Found(mut entries) = page.answer else {
