--- a/crates/entry/src/proxy/changes.rs
+++ b/crates/entry/src/proxy/changes.rs
@@ -1,8 +1,9 @@
-//! What has changed in the store, told from host to host.
+//! Exchange of store changes between hosts.
 //!
-//! Short calls over HTTP on the peers' port: the question names the revision up to which
-//! the asker has seen all keys and the version of the document that it has, the answer is
-//! a [`Changes`] or [`Notice`] message.
+//! Hosts fetch changes from each other with short HTTP calls on the peer port. The
+//! request names the revision up to which the requesting host has seen all keys, and the
+//! version of the document that it has; the response is a [`Changes`] or [`Notice`]
+//! message.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,110 +19,120 @@
 use super::reply::{Body, with_body};
 use super::{Shared, call, document};
 
-const CHANGES: &str = "/changes";
-const DOCUMENT: &str = "/document";
-/// Query parameter: revision up to which the asker has seen all keys.
-const AFTER: &str = "after";
-/// Query parameter: version of the document whose text the asker has.
-const HAVE: &str = "have";
-/// Query parameter: most bytes that are to come of what the asker lacks.
-const MOST: &str = "most";
-/// Longest wait for a peer's answer to begin, a new connection to it included: a host
-/// whose peer is cut off must still read the store in time to leave runners alone that
-/// have left two seconds ago.
-const WAIT_HEAD: Duration = Duration::from_millis(250);
-/// Longest wait for the whole answer: when hundreds of runners change at once, a
-/// megabyte goes to 25 hosts at a time.
-const WAIT: Duration = Duration::from_millis(700);
-/// The same for all keys: a megabyte at 3,000 runners, for 25 hosts at a time after a
-/// start of all. Given up too soon, it would be asked for again and again, and fill the
-/// peer's link with answers that nobody takes.
-const WAIT_WHOLE: Duration = Duration::from_secs(2);
+/// Path for changes of all keys.
+const CHANGES_PATH: &str = "/changes";
+/// Path for the operator's document.
+const DOCUMENT_PATH: &str = "/document";
+/// Query parameter: revision up to which the requesting host has seen all keys.
+const AFTER_PARAM: &str = "after";
+/// Query parameter: version of the document that the requesting host has.
+const HAVE_PARAM: &str = "have";
+/// Query parameter: maximum bytes of document text or delta to send.
+const MOST_PARAM: &str = "most";
+/// Time limit for the head of a peer's response, including a new connection. A host whose
+/// peer is unreachable must still be able to read the store in time, as runners that left
+/// must get no requests two seconds later.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time limit for a complete response with changes. When hundreds of runners change at
+/// once, a peer sends a megabyte to each of 25 hosts at the same time.
+const CHANGES_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time limit for a complete response with all keys: a megabyte with 3,000 runners, for 25
+/// hosts at the same time after a start of all hosts. A shorter limit would make hosts
+/// request the keys again and again, and fill the peer's link with responses that are
+/// discarded.
+const ALL_KEYS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Timeouts of a short answer.
-const SHORT_ANSWER: Timeouts = Timeouts {
-    head: WAIT_HEAD,
-    idle: WAIT,
-    total: WAIT,
+/// Timeouts of a short response.
+const SHORT_TIMEOUTS: Timeouts = Timeouts {
+    head: HEAD_TIMEOUT,
+    idle: CHANGES_TIMEOUT,
+    total: CHANGES_TIMEOUT,
 };
 
-/// Answers a peer.
+/// Responds to a peer's request.
 pub fn respond(shared: &Shared, request: &Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
-        CHANGES => respond_changes(shared, request.uri()),
-        DOCUMENT => respond_document(shared, request.uri()),
+        CHANGES_PATH => respond_changes(shared, request.uri()),
+        DOCUMENT_PATH => respond_document(shared, request.uri()),
         _ => with_body(StatusCode::NOT_FOUND, "not found\n"),
     }
 }
 
 fn respond_changes(shared: &Shared, uri: &Uri) -> Response<Body> {
-    let (Some(after), Some(have)) = (number(uri, AFTER), number(uri, HAVE)) else {
+    let (Some(after), Some(known_version)) = (query_number(uri, AFTER_PARAM), query_number(uri, HAVE_PARAM))
+    else {
         return with_body(StatusCode::BAD_REQUEST, "after, have: numbers are needed\n");
     };
     let changes = shared.mirror().changes(shared.now(), after);
     let changes = changes.map(|changes| Changes {
-        document: document::notice(shared, have, SHORT),
+        document: document::notice(shared, known_version, SHORT),
         ..changes
     });
-    encoded(changes)
+    encode(changes)
 }
 
 fn respond_document(shared: &Shared, uri: &Uri) -> Response<Body> {
-    let (Some(have), Some(most)) = (number(uri, HAVE), number(uri, MOST)) else {
+    let (Some(known_version), Some(max_bytes)) =
+        (query_number(uri, HAVE_PARAM), query_number(uri, MOST_PARAM))
+    else {
         return with_body(StatusCode::BAD_REQUEST, "have, most: numbers are needed\n");
     };
-    encoded(document::notice(shared, have, most as usize))
+    encode(document::notice(shared, known_version, max_bytes as usize))
 }
 
-fn encoded(message: Option<impl Message>) -> Response<Body> {
+fn encode(message: Option<impl Message>) -> Response<Body> {
     match message {
         Some(message) => with_body(StatusCode::OK, message.encode_to_vec()),
         None => with_body(StatusCode::SERVICE_UNAVAILABLE, "nothing is known yet\n"),
     }
 }
 
-fn number(uri: &Uri, name: &str) -> Option<u64> {
+fn query_number(uri: &Uri, name: &str) -> Option<u64> {
     let pairs = uri.query()?.split('&').filter_map(|pair| pair.split_once('='));
-    let (_, value) = pairs.into_iter().find(|(have, _)| *have == name)?;
+    let (_, value) = pairs.into_iter().find(|(param, _)| *param == name)?;
     value.parse().ok()
 }
 
-/// Asks a peer for what came after a revision, and for the document if it is newer than
-/// version `have`; none if it cannot tell.
+/// Fetches the changes after a revision from a peer; `None` if that fails.
+///
+/// The response also has a notice about the document, with a short text or delta if the
+/// peer's version is newer than `known_version`.
 pub async fn fetch(
     shared: &Shared,
     client: &Client,
     peer: SocketAddr,
     after: u64,
-    have: u64,
+    known_version: u64,
 ) -> Option<Changes> {
     let timeouts = match after {
         0 => Timeouts {
-            idle: WAIT_WHOLE,
-            total: WAIT_WHOLE,
-            ..SHORT_ANSWER
+            idle: ALL_KEYS_TIMEOUT,
+            total: ALL_KEYS_TIMEOUT,
+            ..SHORT_TIMEOUTS
         },
-        _ => SHORT_ANSWER,
+        _ => SHORT_TIMEOUTS,
     };
-    let path = format!("{CHANGES}?{AFTER}={after}&{HAVE}={have}");
+    let path = format!("{CHANGES_PATH}?{AFTER_PARAM}={after}&{HAVE_PARAM}={known_version}");
     fetch_path(shared, client, peer, "peer", &path, timeouts).await
 }
 
-/// Asks a peer for the document if it is newer than version `have`, with at most so many
-/// bytes of what is lacking.
+/// Fetches a notice about the document from a peer; `None` if that fails.
+///
+/// If the peer's version is newer than `known_version`, the notice has the text or a delta
+/// of up to `max_bytes`.
 pub async fn fetch_document(
     shared: &Shared,
     client: &Client,
     peer: SocketAddr,
-    have: u64,
-    most: usize,
+    known_version: u64,
+    max_bytes: usize,
 ) -> Option<Notice> {
-    let timeouts = if most <= SHORT {
-        SHORT_ANSWER
+    let timeouts = if max_bytes <= SHORT {
+        SHORT_TIMEOUTS
     } else {
         call::TRANSFER_TIMEOUTS
     };
-    let path = format!("{DOCUMENT}?{HAVE}={have}&{MOST}={most}");
+    let path = format!("{DOCUMENT_PATH}?{HAVE_PARAM}={known_version}&{MOST_PARAM}={max_bytes}");
     fetch_path(shared, client, peer, "peer-document", &path, timeouts).await
 }
 
@@ -133,13 +144,13 @@
     path: &str,
     timeouts: Timeouts,
 ) -> Option<M> {
-    let asked = shared.now();
+    let sent_at = shared.now();
     let mut request = Request::new(Bytes::new());
-    // Made of fixed words and numbers only.
+    // The path is built from constants and numbers, so it always parses.
     *request.uri_mut() = path.parse().unwrap_or_default();
-    let answer = client.send_with(peer, request, timeouts).await;
-    let took = shared.now().since(asked);
-    let (told, outcome, bytes) = match answer {
+    let outcome = client.send_with(peer, request, timeouts).await;
+    let took = shared.now().since(sent_at);
+    let (message, failure, bytes) = match outcome {
         Outcome::Response(StatusCode::OK, body) => {
             let bytes = body.len();
             (M::decode(body).ok(), "odd", bytes)
@@ -149,8 +160,8 @@
         Outcome::Lost { received } => (None, "lost", received),
     };
     shared.metrics.answered(name, bytes, took);
-    if told.is_none() {
-        tracing::warn!(event = "peer-call-failed", call = name, %peer, outcome, bytes, took_ms = took.as_millis() as u64);
+    if message.is_none() {
+        tracing::warn!(event = "peer-call-failed", call = name, %peer, outcome = failure, bytes, took_ms = took.as_millis() as u64);
     }
-    told
+    message
 }
