--- a/crates/entry/src/proxy/admin.rs
+++ b/crates/entry/src/proxy/admin.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer, metrics for operators, changes for peers.
+//! HTTP servers for readiness checks, metrics and the peers' exchange of changes.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,21 +14,22 @@
 use super::reply::{Body, with_body};
 use super::{Shared, changes};
 
-/// Where metrics are served.
-const METRICS: &str = "/metrics";
-/// Longest time for a head to come; the balancer asks on each connection.
-const HEAD: Duration = Duration::from_secs(30);
+/// Path of the metrics endpoint.
+const METRICS_PATH: &str = "/metrics";
+/// Time limit for receiving a request's head; the load balancer sends a check on each
+/// connection.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Who calls on a port.
+/// Kind of clients that a port serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Port {
-    /// The balancer and operators; their ports may be one.
-    Outside,
-    /// Peers. What the store holds names callers' keys, so nobody else is told.
+    /// The load balancer and operators, which may share a port.
+    Monitoring,
+    /// Peers only: the store's contents include callers' keys.
     Peers,
 }
 
-/// Serves a port until the process ends.
+/// Serves one port until the process ends.
 pub async fn serve(shared: Arc<Shared>, listener: TcpListener, port: Port) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -38,17 +39,17 @@
         let shared = shared.clone();
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                let answer = match port {
-                    Port::Outside => respond(&shared, &request),
+                let response = match port {
+                    Port::Monitoring => respond(&shared, &request),
                     Port::Peers => changes::respond(&shared, &request),
                 };
-                async move { Ok::<_, Infallible>(answer) }
+                async move { Ok::<_, Infallible>(response) }
             });
             let served = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEAD)
+                .header_read_timeout(HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
-            // The asker asks again on another connection.
+            // Errors are ignored: the client tries again on another connection.
             let _ = served.await;
         });
     }
@@ -56,7 +57,7 @@
 
 fn respond(shared: &Shared, request: &Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
-        METRICS => {
+        METRICS_PATH => {
             let trusted = shared.state().is_fresh(shared.now());
             shared.metrics.trusted.set(i64::from(trusted));
             shared.metrics.in_flight.set(shared.in_flight() as i64);
--- a/crates/entry/src/proxy/run.rs
+++ b/crates/entry/src/proxy/run.rs
@@ -104,8 +104,8 @@
     let shared = shared.clone();
     spawn("control", move || {
         control.block_on(async move {
-            tokio::spawn(admin::serve(shared.clone(), ready, Port::Outside));
-            tokio::spawn(admin::serve(shared.clone(), metrics, Port::Outside));
+            tokio::spawn(admin::serve(shared.clone(), ready, Port::Monitoring));
+            tokio::spawn(admin::serve(shared.clone(), metrics, Port::Monitoring));
             tokio::spawn(admin::serve(shared.clone(), changes, Port::Peers));
             tokio::spawn(gossip::run(shared.clone(), peers));
             let store = Arc::new(Client::default());
