--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -1,9 +1,10 @@
-//! Keeping the operator's document up to date, apart from the other keys.
+//! Keeps the operator's document up to date, separately from the other keys.
 //!
-//! A host that reads the store asks in each round whether its version still stands,
-//! which takes a few bytes. The other hosts hear versions from their peers. Whoever lacks
-//! a text reads it from the store, whose link is fast, and from a peer where the store
-//! does not answer. A text that is under way is waited for as long as it goes on coming.
+//! A host that reads the store checks in each round whether its version is still current,
+//! which takes a few bytes. The other hosts receive versions from their peers. A host that
+//! lacks the current text reads it from the store, whose link is fast, or from a peer if
+//! the store does not answer. A transfer is not given up while bytes keep arriving, up to
+//! a limit for the whole call.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,52 +21,53 @@
 use super::changes;
 use super::client::Client;
 
-/// Reads the document when it is due, until the process ends.
+/// Reads the document whenever a read is due, until the process ends.
 pub async fn run(shared: Arc<Shared>, store: Arc<Client>) {
-    let mut keeper = Keeper {
+    let mut updater = Updater {
         shared,
         store,
         share: Share::default(),
         plan: Plan::default(),
     };
     loop {
-        let pause = keeper.round().await;
+        let pause = updater.round().await;
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = keeper.shared.document_requested.notified() => {}
+            () = updater.shared.document_requested.notified() => {}
         }
     }
 }
 
-struct Keeper {
+/// State of the task that updates the document.
+struct Updater {
     shared: Arc<Shared>,
     store: Arc<Client>,
     share: Share,
     plan: Plan,
 }
 
-impl Keeper {
-    /// Reads the document if it is due; the time until the next look.
+impl Updater {
+    /// Runs one round; returns the time until the next one.
     async fn round(&mut self) -> Duration {
-        let began = self.shared.now();
+        let started_at = self.shared.now();
         let holder = self.shared.document_holder().take();
         if let Some(peer) = holder {
-            self.ask(peer, SHORT).await;
+            self.fetch_from(peer, SHORT).await;
         }
         let standing = self.standing();
         let step = self.plan.step(standing);
         if let Step::Rest(pause) = step {
             return pause;
         }
-        let Err(failure) = self.read(step, standing.reads).await else {
-            let took = self.shared.now().since(began);
+        let Err(failure) = self.read_store(step, standing.reads).await else {
+            let took = self.shared.now().since(started_at);
             return self.plan.answered(took);
         };
-        if standing.is_behind && self.ask_peer().await {
+        if standing.is_behind && self.fetch_from_any_peer().await {
             return self.plan.answered(Duration::ZERO);
         }
-        let is_away = self.shared.is_store_lost();
-        self.plan.failed(step, failure, is_away, rand::random())
+        let is_store_lost = self.shared.is_store_lost();
+        self.plan.failed(step, failure, is_store_lost, rand::random())
     }
 
     fn standing(&self) -> Standing {
@@ -80,26 +82,26 @@
     }
 
     fn is_reader(&self) -> bool {
-        let me = self.shared.settings.load().peer_listen;
-        share::reads(me, &self.shared.hosts())
+        let own_address = self.shared.settings.load().peer_listen;
+        share::reads(own_address, &self.shared.hosts())
     }
 
-    /// Asks the store.
-    async fn read(&self, step: Step, reads: bool) -> Result<(), Failure> {
-        let sent = self.shared.now();
+    /// Checks the version in the store, or reads the text.
+    async fn read_store(&self, step: Step, reads: bool) -> Result<(), Failure> {
+        let sent_at = self.shared.now();
         let key = self.shared.adapter.store_keys().document.to_string();
         let version = self.shared.document().version();
         let call = match step {
             Step::Renew => Call::Renew { key, version },
             Step::Read | Step::Rest(_) => Call::Get { key },
         };
-        let page = call::send_with(&self.shared, &self.store, &call, TRANSFER_TIMEOUTS).await;
-        match page.answer {
-            Answer::Same => renew(&self.shared, sent),
-            // No entry: the operator has written no document yet.
+        let response = call::send_with(&self.shared, &self.store, &call, TRANSFER_TIMEOUTS).await;
+        match response.answer {
+            Answer::Same => renew(&self.shared, sent_at),
+            // No entry means that the operator has not written a document yet.
             Answer::Found(entries) => {
                 let entry = entries.into_iter().next();
-                let is_new = entry.is_some_and(|entry| take(&self.shared, sent, entry));
+                let is_new = entry.is_some_and(|entry| accept(&self.shared, sent_at, entry));
                 if is_new && reads {
                     self.shared.store_changed.notify_one();
                 }
@@ -107,36 +109,37 @@
             Answer::Refused => return Err(Failure::Refused),
             Answer::Lost | Answer::Written(_) | Answer::Conflict(_) => return Err(Failure::Lost),
         }
-        self.shared.store_regained(sent);
+        self.shared.store_regained(sent_at);
         Ok(())
     }
 
-    /// Asks a peer for a text that the store does not give; whether it came.
-    async fn ask_peer(&mut self) -> bool {
+    /// Fetches the text from any peer; returns whether a new one was received.
+    async fn fetch_from_any_peer(&mut self) -> bool {
         let now = self.shared.now();
-        let me = self.shared.settings.load().peer_listen;
-        let Some(peer) = self.share.any(now, me, &self.shared.hosts()) else {
+        let own_address = self.shared.settings.load().peer_listen;
+        let Some(peer) = self.share.any(now, own_address, &self.shared.hosts()) else {
             return false;
         };
-        let is_new = self.ask(peer, usize::MAX).await;
+        let is_new = self.fetch_from(peer, usize::MAX).await;
         if !is_new {
             self.share.silent(self.shared.now(), peer);
         }
         is_new
     }
 
-    /// Asks a peer for at most so many bytes of what is lacking; whether that came.
-    async fn ask(&self, peer: SocketAddr, most: usize) -> bool {
-        let asked = self.shared.now();
-        let have = self.shared.document().version();
-        // An asker's connections all lead to one address, and peers are asked here once in a while.
+    /// Fetches up to `max_bytes` of text or delta from a peer; returns whether a new text
+    /// resulted.
+    async fn fetch_from(&self, peer: SocketAddr, max_bytes: usize) -> bool {
+        let sent_at = self.shared.now();
+        let known_version = self.shared.document().version();
+        // A client keeps connections to one address, and peers are seldom asked here.
         let client = Client::default();
-        let told = changes::fetch_document(&self.shared, &client, peer, have, most).await;
-        told.is_some_and(|notice| hear(&self.shared, asked, notice))
+        let notice = changes::fetch_document(&self.shared, &client, peer, known_version, max_bytes).await;
+        notice.is_some_and(|notice| apply_notice(&self.shared, sent_at, notice))
     }
 }
 
-/// The text that is known was the newest at `as_of`.
+/// Records that the known text was the newest at `as_of`.
 fn renew(shared: &Shared, as_of: Moment) {
     let (version, is_behind) = {
         let mut document = shared.document();
@@ -145,7 +148,8 @@
     };
     let mut state = shared.state();
     state.is_behind = is_behind;
-    // A text that could not be read is not in force, and proves nothing of the one that is.
+    // A text that could not be parsed is not in force, so it proves nothing about the one
+    // that is.
     if state
         .table
         .as_ref()
@@ -155,24 +159,24 @@
     }
 }
 
-/// Takes a text that was the newest at `as_of`, and puts it in force; whether it is new.
-fn take(shared: &Shared, as_of: Moment, entry: Entry) -> bool {
+/// Accepts a text that was the newest at `as_of`; returns whether it is new.
+fn accept(shared: &Shared, as_of: Moment, entry: Entry) -> bool {
     let entry = Arc::new(entry);
     let is_new = shared.document().take(as_of, entry.clone());
     if is_new {
-        put_in_force(shared, as_of, &entry);
+        activate(shared, as_of, &entry);
     }
     renew(shared, as_of);
     is_new
 }
 
-fn put_in_force(shared: &Shared, as_of: Moment, entry: &Entry) {
+fn activate(shared: &Shared, as_of: Moment, entry: &Entry) {
     let table = match shared.adapter.parse_document(entry) {
         Ok(table) => table,
         Err(err) => {
-            // The store takes valid documents only; this one says something that this
-            // version does not know. The proof is not renewed, so that keys are not
-            // trusted for ever.
+            // The store accepts valid documents only, so this one uses something that this
+            // program version does not support. The proof is not renewed, so that the keys
+            // of the previous document are not trusted forever.
             tracing::warn!(event = "entry-not-read", key = entry.key, revision = entry.version, reason = %format!("{err:#}"));
             return;
         }
@@ -192,11 +196,11 @@
     );
 }
 
-/// Takes in what a peer told when it was asked at `asked`; whether it brought a new text.
-pub fn hear(shared: &Shared, asked: Moment, notice: Notice) -> bool {
+/// Applies a peer's notice requested at `sent_at`; returns whether it had a new text.
+pub fn apply_notice(shared: &Shared, sent_at: Moment, notice: Notice) -> bool {
     let (known, news) = {
         let mut document = shared.document();
-        (document.newest(), document.hear(asked, notice))
+        (document.newest(), document.hear(sent_at, notice))
     };
     match news {
         News::Proven(as_of) => {
@@ -205,7 +209,7 @@
         }
         News::Text(as_of, version, value) => {
             let key = shared.adapter.store_keys().document.to_string();
-            take(shared, as_of, Entry { key, version, value })
+            accept(shared, as_of, Entry { key, version, value })
         }
         News::Newer(version) => {
             if known < version {
@@ -219,19 +223,19 @@
     }
 }
 
-/// A peer says by itself that it has a version: it has just read something new.
+/// Handles a peer's announcement that it has read changes and has this version.
 ///
-/// Of several that read, the one with the fastest link says so first, and is asked for
-/// what has changed while the others may still be reading.
-pub fn hear_version(shared: &Shared, peer: SocketAddr, version: u64) {
+/// Of several hosts that read the store, the one with the fastest link announces first.
+/// Changes are fetched from it while the others may still be reading.
+pub fn on_announcement(shared: &Shared, peer: SocketAddr, version: u64) {
     if version > shared.document().newest() {
         *shared.document_holder() = Some(peer);
         shared.document_requested.notify_one();
     }
 }
 
-/// What a peer is told that has the text of version `have`, with at most so many bytes of
-/// what it lacks.
-pub fn notice(shared: &Shared, have: u64, most: usize) -> Option<Notice> {
-    shared.document().notice(shared.now(), have, most)
+/// Notice for a peer that has version `known_version`, with up to `max_bytes` of text or
+/// delta if that is outdated.
+pub fn notice(shared: &Shared, known_version: u64, max_bytes: usize) -> Option<Notice> {
+    shared.document().notice(shared.now(), known_version, max_bytes)
 }
--- a/crates/entry/src/proxy/gossip.rs
+++ b/crates/entry/src/proxy/gossip.rs
@@ -170,7 +170,7 @@
         };
         if let Ok(packet) = Packet::decode(&bytes[..length]) {
             if packet.nudge {
-                document::hear_version(&shared, peer, packet.document);
+                document::on_announcement(&shared, peer, packet.document);
                 shared.peer_notified.notify_one();
                 continue;
             }
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -88,8 +88,8 @@
     /// One round; whether it brought news or the proof that there are none.
     async fn round(&mut self, began: Moment) -> bool {
         let hosts = self.shared.hosts();
-        let me = self.shared.settings.load().peer_listen;
-        let first = self.share.first(began, me, &hosts);
+        let own_address = self.shared.settings.load().peer_listen;
+        let first = self.share.first(began, own_address, &hosts);
         if let Source::Peer(peer) = first {
             if self.ask(peer).await {
                 return self.known(Source::Peer(peer));
@@ -104,7 +104,7 @@
         }
         self.shared.store_lost(began);
         let now = self.shared.now();
-        match self.share.instead(now, me, &hosts) {
+        match self.share.instead(now, own_address, &hosts) {
             Some(peer) => self.ask(peer).await && self.known(Source::Peer(peer)),
             None => false,
         }
@@ -152,7 +152,7 @@
         let have = shared.document().version();
         let mut told = changes::fetch(&shared, self.connection(peer), peer, after, have).await?;
         if let Some(notice) = told.document.take() {
-            document::hear(&shared, asked, notice);
+            document::apply_notice(&shared, asked, notice);
         }
         Some(self.shared.mirror().take(asked, told))
     }
@@ -231,8 +231,8 @@
         if self.deferred >= DEFERRED || self.shared.mirror().upto() > 0 {
             return None;
         }
-        let me = self.shared.settings.load().peer_listen;
-        match self.share.first(now, me, &records::hosts(first)) {
+        let own_address = self.shared.settings.load().peer_listen;
+        match self.share.first(now, own_address, &records::hosts(first)) {
             Source::Store => None,
             Source::Peer(peer) => {
                 self.deferred += 1;
