--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -17,15 +17,15 @@
 use super::Shared;
 use super::call::{self, WRITE_TIMEOUT};
 use super::client::{Client, Outcome};
-use super::records::{Own, PREFIX, Records};
+use super::records::{KEY_PREFIX, Records, Snapshot};
 
 /// Time between looks at what is due.
-const TICK: Duration = Duration::from_millis(250);
+const STEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Most orders of one step, so that the lease is renewed in time.
-const ORDERS: usize = 4;
+const MAX_ORDERS_PER_STEP: usize = 4;
 /// A process does not seek the duty in its first seconds: its former run may
 /// have held it, and two changes of the holder within a lease are one too many.
-const SETTLED: Duration = Duration::from_secs(4);
+const CANDIDACY_DELAY: Duration = Duration::from_secs(4);
 
 /// State of the duties.
 #[derive(Debug)]
@@ -33,12 +33,12 @@
     shared: Arc<Shared>,
     store: Arc<Client>,
     desk: Client,
-    began: Moment,
+    started_at: Moment,
     lease: Lease,
     reporter: Reporter,
     planner: Planner,
     records: Records,
-    holds: bool,
+    is_holder: bool,
 }
 
 impl Duty {
@@ -46,38 +46,38 @@
     pub fn new(shared: Arc<Shared>, store: Arc<Client>) -> Self {
         let terms = Terms::fenced(Duration::from_millis(shared.settings.load().bounds.lease_ms));
         Self {
-            began: shared.now(),
-            lease: Lease::with(shared.incarnation, format!("{PREFIX}duty"), terms),
+            started_at: shared.now(),
+            lease: Lease::with(shared.incarnation, format!("{KEY_PREFIX}duty"), terms),
             records: Records::new(shared.clone(), store.clone()),
             shared,
             store,
             desk: Client::default(),
             reporter: Reporter::default(),
             planner: Planner::default(),
-            holds: false,
+            is_holder: false,
         }
     }
 
     /// Runs until `stop` is told; then gives everything back.
-    pub async fn run(mut self, mut own: mpsc::Receiver<Own>, mut stop: oneshot::Receiver<()>) {
+    pub async fn run(mut self, mut snapshots: mpsc::Receiver<Snapshot>, mut stop: oneshot::Receiver<()>) {
         loop {
             tokio::select! {
-                read = own.recv() => match read {
-                    Some(read) => self.take(read),
+                snapshot = snapshots.recv() => match snapshot {
+                    Some(snapshot) => self.apply(snapshot),
                     None => return,
                 },
-                () = tokio::time::sleep(TICK) => {}
+                () = tokio::time::sleep(STEP_INTERVAL) => {}
                 _ = &mut stop => break,
             }
             self.step().await;
         }
         self.records.end().await;
-        self.hand_back().await;
+        self.release().await;
     }
 
     async fn step(&mut self) {
         if self.shared.is_stopping() {
-            self.hand_back().await;
+            self.release().await;
         } else {
             self.renew().await;
         }
@@ -89,11 +89,11 @@
         };
         if self.shared.settings.load().duties.usage {
             self.records.gather().await;
-            self.report(grant).await;
+            self.report_usage(grant).await;
         }
         if self.shared.settings.load().duties.orders {
-            for _ in 0..ORDERS {
-                if !self.order(grant).await {
+            for _ in 0..MAX_ORDERS_PER_STEP {
+                if !self.send_order(grant).await {
                     break;
                 }
             }
@@ -101,19 +101,19 @@
         self.records.clean().await;
     }
 
-    fn take(&mut self, own: Own) {
+    fn apply(&mut self, snapshot: Snapshot) {
         let now = self.shared.now();
-        let duty = format!("{PREFIX}duty");
-        let duty = own.entries.iter().find(|entry| entry.key == duty);
+        let duty = format!("{KEY_PREFIX}duty");
+        let duty = snapshot.entries.iter().find(|entry| entry.key == duty);
         self.lease.show(now, duty);
-        let sealed: Vec<Entry> = own
+        let sealed: Vec<Entry> = snapshot
             .entries
             .iter()
             .filter(|entry| entry.key.starts_with(report::SEALED))
             .cloned()
             .collect();
         self.reporter.adopt(&sealed);
-        self.records.take(&own);
+        self.records.apply(&snapshot);
     }
 
     fn grant(&self) -> Option<Grant> {
@@ -122,18 +122,18 @@
 
     async fn renew(&mut self) {
         let now = self.shared.now();
-        let candidate = now.since(self.began) >= SETTLED;
-        let mut call = self.lease.tick(now, candidate);
-        while let Some(next) = call {
-            let answer = call::send(&self.shared, &self.store, &next, WRITE_TIMEOUT)
+        let is_candidate = now.since(self.started_at) >= CANDIDACY_DELAY;
+        let mut next_call = self.lease.tick(now, is_candidate);
+        while let Some(call) = next_call {
+            let answer = call::send(&self.shared, &self.store, &call, WRITE_TIMEOUT)
                 .await
                 .answer;
-            call = self.lease.answer(self.shared.now(), &answer);
+            next_call = self.lease.answer(self.shared.now(), &answer);
         }
-        self.tell();
+        self.log_change();
     }
 
-    async fn hand_back(&mut self) {
+    async fn release(&mut self) {
         let now = self.shared.now();
         self.lease.stop(now);
         while let Some(call) = self.lease.tick(self.shared.now(), false) {
@@ -142,31 +142,31 @@
                 .answer;
             self.lease.answer(self.shared.now(), &answer);
         }
-        self.tell();
+        self.log_change();
     }
 
-    fn tell(&mut self) {
+    fn log_change(&mut self) {
         let grant = self.grant();
-        if grant.is_some() != self.holds {
-            self.holds = grant.is_some();
+        if grant.is_some() != self.is_holder {
+            self.is_holder = grant.is_some();
             tracing::info!(
                 event = "duty",
-                held = self.holds,
+                held = self.is_holder,
                 fence = grant.map(|grant| grant.fence)
             );
         }
     }
 
-    async fn report(&mut self, grant: Grant) {
+    async fn report_usage(&mut self, grant: Grant) {
         let now = self.shared.now();
-        let civil = self.shared.wall_clock_ms(now);
+        let wall_clock_ms = self.shared.wall_clock_ms(now);
         let mut step = {
             let state = self.shared.state();
             let plan = report::Plan {
                 length_s: state.bounds.usage_window_s,
                 due_s: state.bounds.usage_due_s,
             };
-            self.reporter.tick(now, civil, plan, grant, &state.ledger)
+            self.reporter.tick(now, wall_clock_ms, plan, grant, &state.ledger)
         };
         while let Some(next) = step {
             step = match next {
@@ -200,7 +200,7 @@
     }
 
     /// Sends one order; whether it was accepted.
-    async fn order(&mut self, grant: Grant) -> bool {
+    async fn send_order(&mut self, grant: Grant) -> bool {
         let now = self.shared.now();
         let (order, flow) = {
             let state = self.shared.state();
@@ -243,14 +243,14 @@
             return None;
         }
         let address = self.shared.settings.load().desk;
-        let asked = self.desk.send(address, request, grant.send).await;
-        let (outcome, status) = match asked {
+        let outcome = self.desk.send(address, request, grant.send).await;
+        let (label, status) = match outcome {
             Outcome::Response(status, _) if status.is_success() => ("ok", Some(status.as_u16())),
             Outcome::Response(status, _) => ("refused", Some(status.as_u16())),
             Outcome::NotSent => ("refused", None),
             Outcome::Lost { .. } => ("lost", None),
         };
-        self.shared.metrics.platform_call("duty", outcome);
+        self.shared.metrics.platform_call("duty", label);
         if status == Some(StatusCode::CONFLICT.as_u16()) {
             tracing::warn!(event = "duty-refused", fence = grant.fence);
         }
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -21,13 +21,13 @@
 use super::client::Client;
 
 /// Prefix of this system's own keys.
-pub const PREFIX: &str = "radishstair/";
+pub const KEY_PREFIX: &str = "radishstair/";
 /// Prefix of presences.
-const HOSTS: &str = "radishstair/host/";
+const PRESENCE_PREFIX: &str = "radishstair/host/";
 /// Prefix of counts.
-pub const COUNTS: &str = "radishstair/count/";
+pub const COUNT_PREFIX: &str = "radishstair/count/";
 /// A key that no host writes. Reading it tells whether the store answers, in few bytes.
-pub const NOTHING: &str = "radishstair/nothing";
+pub const PROBE_KEY: &str = "radishstair/nothing";
 /// Wait after a window's end before the counts are written, so that they are whole.
 /// Between writes the peers hold the newer counts.
 const SETTLE_MS: u64 = 120;
@@ -44,7 +44,7 @@
 
 /// The keys that hosts of this system write, as one round read them.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct Snapshot {
     /// Moment as of which they stood.
     pub as_of: Moment,
     /// All keys under [`PREFIX`].
@@ -88,8 +88,8 @@
         Self {
             shared,
             store,
-            presence: written(HOSTS),
-            counts: written(COUNTS),
+            presence: written(PRESENCE_PREFIX),
+            counts: written(COUNT_PREFIX),
             announced: false,
             published: 0,
             gathered: 0,
@@ -100,17 +100,17 @@
     }
 
     /// Takes what was read of all runs.
-    pub fn take(&mut self, own: &Own) {
+    pub fn apply(&mut self, snapshot: &Snapshot) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        let gap = self.read.map(|last| own.as_of.since(last));
+        let gap = self.read.map(|last| snapshot.as_of.since(last));
         if let Some(gap) = gap.filter(|gap| *gap >= AWAY) {
             state.ledger.excuse(gap);
         }
-        self.read = Some(own.as_of);
+        self.read = Some(snapshot.as_of);
         self.versions.clear();
-        for entry in &own.entries {
-            if entry.key.starts_with(HOSTS) {
+        for entry in &snapshot.entries {
+            if entry.key.starts_with(PRESENCE_PREFIX) {
                 if let Some(presence) = parse(entry) {
                     state.ledger.show(now, presence);
                 }
@@ -177,7 +177,7 @@
         let mut after = String::new();
         loop {
             let call = Call::Range {
-                prefix: COUNTS.into(),
+                prefix: COUNT_PREFIX.into(),
                 after,
                 limit: PAGE_LIMIT,
             };
@@ -207,7 +207,7 @@
         let gone = self.shared.state().ledger.forget(now);
         for record in gone {
             let run = run(&record.host, record.incarnation);
-            for key in [format!("{HOSTS}{run}"), format!("{COUNTS}{run}")] {
+            for key in [format!("{PRESENCE_PREFIX}{run}"), format!("{COUNT_PREFIX}{run}")] {
                 let Some((_, version)) = self.versions.iter().find(|(have, _)| *have == key) else {
                     continue;
                 };
@@ -270,7 +270,7 @@
 
 /// The run whose counts a key holds.
 fn counted(key: &str) -> Option<Incarnation> {
-    let (_, run) = key.strip_prefix(COUNTS)?.rsplit_once('/')?;
+    let (_, run) = key.strip_prefix(COUNT_PREFIX)?.rsplit_once('/')?;
     run.parse().ok()
 }
 
@@ -287,7 +287,9 @@
 /// Addresses of the runs that a page of the store's keys shows, for a host that has
 /// read no more yet.
 pub fn hosts(entries: &[Entry]) -> Vec<Host> {
-    let own = entries.iter().filter(|entry| entry.key.starts_with(HOSTS));
+    let own = entries
+        .iter()
+        .filter(|entry| entry.key.starts_with(PRESENCE_PREFIX));
     let here = own
         .filter_map(parse::<Presence>)
         .filter(|presence| !presence.ended);
--- a/crates/entry/src/proxy/run.rs
+++ b/crates/entry/src/proxy/run.rs
@@ -110,7 +110,7 @@
             tokio::spawn(gossip::run(shared.clone(), peers));
             let store = Arc::new(Client::default());
             let (own, read) = mpsc::channel(1);
-            tokio::spawn(sync::watch_store(shared.clone(), store.clone()));
+            tokio::spawn(sync::probe_store(shared.clone(), store.clone()));
             tokio::spawn(document::run(shared.clone(), store.clone()));
             tokio::spawn(sync::run(shared.clone(), store.clone(), runners, own));
             Duty::new(shared, store).run(read, told).await;
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -1,10 +1,10 @@
-//! Keeping the beliefs up to date from the platform's store, but for the operator's
-//! [`document`].
+//! Synchronization of the host's state with the platform's store, except for the
+//! operator's [`document`].
 //!
-//! A few hosts read all keys anew each round: an open watch is no proof (it may be
-//! cut without a sign, or hear nothing while history is dropped). The other hosts
-//! ask one of them for what has changed, and read the store only where no peer can
-//! help; see [`share`].
+//! A few hosts list all keys in every round. A watch would not prove that the state is
+//! current: it may be disconnected without notice, or miss changes when the store drops
+//! history. The other hosts fetch changes from one of these hosts, and read the store only
+//! if no peer can help; see [`share`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,49 +21,55 @@
 use super::call::{self, PAGE_LIMIT};
 use super::client::Client;
 use super::discovery::Discovery;
-use super::records::{self, COUNTS, NOTHING, Own, PREFIX};
+use super::records::{self, COUNT_PREFIX, KEY_PREFIX, PROBE_KEY, Snapshot};
 use super::{Shared, changes, document};
 use crate::upstream::pool::Pool;
 
-/// Shortest time between the beginnings of two rounds, however often peers say
-/// that there is something new.
-const LEAST: Duration = Duration::from_millis(50);
-/// Longest wait for one page; a slow store takes a quarter of a second.
-const PAGE: Duration = Duration::from_millis(700);
-/// Age of what is known of a long list up to which a host that no peer helps asks the
-/// next peer instead of reading it. Hundreds of hosts that read thousands of runners at
-/// once kept the store's link full, and each other from reading; runners that leave must
-/// get nothing new after two seconds.
-const LISTED: Duration = Duration::from_millis(1_600);
-/// Times that a host which has just started asks a peer before it reads a long list
-/// itself: the peer may have just started, too, and be reading.
-const DEFERRED: u32 = 3;
+/// Minimum time between the starts of two rounds, however often peers announce changes.
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(50);
+/// Time limit for one page; a slow store takes a quarter of a second.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Age up to which a host keeps a list of several pages and asks the next peer, instead of
+/// reading the list from the store, when a peer fails. When hundreds of hosts read
+/// thousands of runners at once, they saturated the store's link and blocked each other.
+/// The limit leaves time to read the store, as runners that leave must get no new requests
+/// after two seconds.
+const LONG_LIST_MAX_AGE: Duration = Duration::from_millis(1_600);
+/// Times that a starting host asks a peer before it reads a long list itself; the peer may
+/// have just started too, and still be reading.
+const MAX_DEFERRALS: u32 = 3;
 
-/// Reads round after round until `own` is closed.
-pub async fn run(shared: Arc<Shared>, store: Arc<Client>, runners: Arc<Pool>, own: mpsc::Sender<Own>) {
+/// Runs rounds until the receiver of `snapshots` is closed.
+pub async fn run(
+    shared: Arc<Shared>,
+    store: Arc<Client>,
+    pool: Arc<Pool>,
+    snapshots: mpsc::Sender<Snapshot>,
+) {
     let mut reader = Reader {
-        discovery: Discovery::new(shared.clone(), runners),
+        discovery: Discovery::new(shared.clone(), pool),
         shared,
         store,
-        own,
+        snapshots,
         share: Share::default(),
-        peers: Vec::new(),
+        clients: Vec::new(),
         source: None,
         backoff: Backoff::default(),
-        deferred: 0,
+        deferrals: 0,
     };
-    while !reader.own.is_closed() {
-        let began = reader.shared.now();
-        let waits = match reader.round(began).await {
-            true => reader.rest(ROUND, began),
+    while !reader.snapshots.is_closed() {
+        let round_start = reader.shared.now();
+        let pause = match reader.round(round_start).await {
+            true => reader.remaining(ROUND, round_start),
             false => reader.backoff.pause(rand::random()),
         };
-        // Peers tell only those that ask them; one that reads has its own rounds.
-        let asks = matches!(reader.source, Some(Source::Peer(_)));
+        // A peer's announcement matters only to a host that fetches from peers; one that
+        // reads the store keeps to its own rounds.
+        let fetches_from_peer = matches!(reader.source, Some(Source::Peer(_)));
         tokio::select! {
-            () = tokio::time::sleep(waits) => {}
-            () = reader.shared.peer_notified.notified(), if asks => {
-                tokio::time::sleep(reader.rest(LEAST, began)).await;
+            () = tokio::time::sleep(pause) => {}
+            () = reader.shared.peer_notified.notified(), if fetches_from_peer => {
+                tokio::time::sleep(reader.remaining(MIN_ROUND_INTERVAL, round_start)).await;
             }
         }
     }
@@ -73,70 +79,70 @@
     shared: Arc<Shared>,
     store: Arc<Client>,
     discovery: Discovery,
-    own: mpsc::Sender<Own>,
+    snapshots: mpsc::Sender<Snapshot>,
     share: Share,
-    /// Connections to the peers that were asked, sorted by address.
-    peers: Vec<(SocketAddr, Client)>,
-    /// Where the last round learned what is new.
+    /// Clients for the peers that were asked, sorted by address.
+    clients: Vec<(SocketAddr, Client)>,
+    /// Source of the last successful round.
     source: Option<Source>,
     backoff: Backoff,
-    /// Times that a peer was asked before the first listing.
-    deferred: u32,
+    /// Times that the first listing was deferred to a peer.
+    deferrals: u32,
 }
 
 impl Reader {
-    /// One round; whether it brought news or the proof that there are none.
-    async fn round(&mut self, began: Moment) -> bool {
+    /// Runs one round; returns whether it brought changes, or proof that there are none.
+    async fn round(&mut self, round_start: Moment) -> bool {
         let hosts = self.shared.hosts();
         let own_address = self.shared.settings.load().peer_listen;
-        let first = self.share.first(began, own_address, &hosts);
-        if let Source::Peer(peer) = first {
-            if self.ask(peer).await {
-                return self.known(Source::Peer(peer));
+        let source = self.share.first(round_start, own_address, &hosts);
+        if let Source::Peer(peer) = source {
+            if self.fetch_from(peer).await {
+                return self.record_success(Source::Peer(peer));
             }
-            if self.has_long_list(began) {
+            if self.has_recent_long_list(round_start) {
                 return false;
             }
         }
-        if self.read().await {
-            self.shared.store_regained(began);
-            return self.known(Source::Store);
+        if self.read_store().await {
+            self.shared.store_regained(round_start);
+            return self.record_success(Source::Store);
         }
-        self.shared.store_lost(began);
+        self.shared.store_lost(round_start);
         let now = self.shared.now();
         match self.share.instead(now, own_address, &hosts) {
-            Some(peer) => self.ask(peer).await && self.known(Source::Peer(peer)),
+            Some(peer) => self.fetch_from(peer).await && self.record_success(Source::Peer(peer)),
             None => false,
         }
     }
 
-    /// What is left of a span that began with the round.
-    fn rest(&self, span: Duration, began: Moment) -> Duration {
-        span.saturating_sub(self.shared.now().since(began))
+    /// Remainder of a time span that began with the round.
+    fn remaining(&self, span: Duration, round_start: Moment) -> Duration {
+        span.saturating_sub(self.shared.now().since(round_start))
     }
 
-    /// Asks a peer; whether what is known is fresh then.
-    async fn ask(&mut self, peer: SocketAddr) -> bool {
+    /// Fetches changes from a peer; returns whether the state is fresh afterwards.
+    async fn fetch_from(&mut self, peer: SocketAddr) -> bool {
         let (after, before) = {
             let mirror = self.shared.mirror();
             (mirror.upto(), mirror.as_of())
         };
-        let told = match self.ask_after(peer, after).await {
-            // Something was missed; all keys tell what.
-            Some(false) => self.ask_after(peer, 0).await,
-            told => told,
+        let complete = match self.fetch_after(peer, after).await {
+            // Changes were missed, so all keys are fetched.
+            Some(false) => self.fetch_after(peer, 0).await,
+            complete => complete,
         };
         let as_of = self.shared.mirror().as_of();
         let now = self.shared.now();
-        let fresh = as_of.is_some_and(|as_of| share::helps(now, as_of, before));
-        let helped = told == Some(true) && fresh;
+        let is_fresh = as_of.is_some_and(|as_of| share::helps(now, as_of, before));
+        let helped = complete == Some(true) && is_fresh;
         self.shared
             .metrics
             .platform_call("peer", if helped { "ok" } else { "refused" });
         if helped {
-            self.settle();
+            self.apply();
         } else {
-            if told == Some(true) {
+            if complete == Some(true) {
                 let age_ms = as_of.map(|as_of| now.since(as_of).as_millis() as u64);
                 tracing::info!(event = "peer-not-fresh", %peer, age_ms);
             }
@@ -145,104 +151,107 @@
         helped
     }
 
-    /// Asks for what came after a revision; false if that was not all.
-    async fn ask_after(&mut self, peer: SocketAddr, after: u64) -> Option<bool> {
-        let asked = self.shared.now();
+    /// Fetches the changes after a revision; false if they were not complete, `None` if the
+    /// call failed.
+    async fn fetch_after(&mut self, peer: SocketAddr, after: u64) -> Option<bool> {
+        let sent_at = self.shared.now();
         let shared = self.shared.clone();
-        let have = shared.document().version();
-        let mut told = changes::fetch(&shared, self.connection(peer), peer, after, have).await?;
-        if let Some(notice) = told.document.take() {
-            document::apply_notice(&shared, asked, notice);
+        let known_version = shared.document().version();
+        let mut changes = changes::fetch(&shared, self.client_for(peer), peer, after, known_version).await?;
+        if let Some(notice) = changes.document.take() {
+            document::apply_notice(&shared, sent_at, notice);
         }
-        Some(self.shared.mirror().take(asked, told))
+        Some(self.shared.mirror().take(sent_at, changes))
     }
 
-    /// The connections to a peer; those to hosts that no longer live are dropped.
-    fn connection(&mut self, peer: SocketAddr) -> &Client {
+    /// Client for a peer; clients for hosts that are no longer live are dropped.
+    fn client_for(&mut self, peer: SocketAddr) -> &Client {
         let live = self.shared.peers.load();
-        self.peers
-            .retain(|(have, _)| *have == peer || live.contains(have));
-        let at = match self.peers.binary_search_by_key(&peer, |(have, _)| *have) {
+        self.clients
+            .retain(|(address, _)| *address == peer || live.contains(address));
+        let at = match self.clients.binary_search_by_key(&peer, |(address, _)| *address) {
             Ok(at) => at,
             Err(at) => {
-                self.peers.insert(at, (peer, Client::default()));
+                self.clients.insert(at, (peer, Client::default()));
                 at
             }
         };
-        &self.peers[at].1
+        &self.clients[at].1
     }
 
-    /// Whether a list of several pages is known, and not old.
-    fn has_long_list(&self, now: Moment) -> bool {
+    /// Whether a list of several pages is known that is not too old.
+    fn has_recent_long_list(&self, now: Moment) -> bool {
         let mirror = self.shared.mirror();
-        let young = |as_of: Moment| now.since(as_of) < LISTED;
-        mirror.len() > PAGE_LIMIT as usize && mirror.as_of().is_some_and(young)
+        let is_recent = |as_of: Moment| now.since(as_of) < LONG_LIST_MAX_AGE;
+        mirror.len() > PAGE_LIMIT as usize && mirror.as_of().is_some_and(is_recent)
     }
 
-    /// Reads all keys but the document from the store; whether all pages came.
-    async fn read(&mut self) -> bool {
+    /// Reads all keys except the document from the store; returns whether all pages arrived.
+    async fn read_store(&mut self) -> bool {
         let mut after = String::new();
         loop {
-            let sent = self.shared.now();
+            let sent_at = self.shared.now();
             let call = Call::Range {
                 prefix: String::new(),
                 after: match after.is_empty() {
-                    // It sorts before the other keys.
+                    // The document's key sorts before the other keys.
                     true => self.shared.adapter.store_keys().document.to_string(),
                     false => after.clone(),
                 },
                 limit: PAGE_LIMIT,
             };
-            let page = call::send(&self.shared, &self.store, &call, PAGE).await;
-            let Answer::Found(mut entries) = page.answer else {
+            let response = call::send(&self.shared, &self.store, &call, PAGE_TIMEOUT).await;
+            let Answer::Found(mut entries) = response.answer else {
                 return false;
             };
-            strip_counts(&mut entries);
-            let last = entries.last().filter(|_| page.has_more);
+            clear_counts(&mut entries);
+            let last = entries.last().filter(|_| response.has_more);
             let last = last.map(|entry| entry.key.clone());
             if after.is_empty()
                 && last.is_some()
-                && let Some(peer) = self.defers(sent, &entries)
+                && let Some(peer) = self.defer_to(sent_at, &entries)
             {
-                return self.ask(peer).await;
+                return self.fetch_from(peer).await;
             }
             self.shared.mirror().page(mirror::Page {
                 after,
                 entries,
                 more: last.is_some(),
-                revision: page.store_revision,
-                sent,
+                revision: response.store_revision,
+                sent: sent_at,
             });
             let Some(last) = last else {
                 break;
             };
             after = last;
         }
-        if self.settle() {
+        if self.apply() {
             self.shared.store_changed.notify_one();
         }
         true
     }
 
-    /// The host to which a long list is left, by its first page: one that reads, while
-    /// nothing is known yet, as after a start. When hundreds of hosts start at once, the
-    /// store would turn most of them away again and again.
-    fn defers(&mut self, now: Moment, first: &[Entry]) -> Option<SocketAddr> {
-        if self.deferred >= DEFERRED || self.shared.mirror().upto() > 0 {
+    /// Host to fetch from instead of reading a long list, given the list's first page.
+    ///
+    /// This applies while nothing is known yet, as after a start: if hundreds of hosts start
+    /// at once, the store would reject most of them again and again. The host is one that
+    /// reads the store itself.
+    fn defer_to(&mut self, now: Moment, first_page: &[Entry]) -> Option<SocketAddr> {
+        if self.deferrals >= MAX_DEFERRALS || self.shared.mirror().upto() > 0 {
             return None;
         }
         let own_address = self.shared.settings.load().peer_listen;
-        match self.share.first(now, own_address, &records::hosts(first)) {
+        match self.share.first(now, own_address, &records::hosts(first_page)) {
             Source::Store => None,
             Source::Peer(peer) => {
-                self.deferred += 1;
+                self.deferrals += 1;
                 Some(peer)
             }
         }
     }
 
-    /// Puts in force what all keys say; whether any runner has changed.
-    fn settle(&mut self) -> bool {
+    /// Applies the known keys to the state; returns whether any runner has changed.
+    fn apply(&mut self) -> bool {
         let keys = self.shared.adapter.store_keys();
         let (as_of, runners, own) = {
             let mirror = self.shared.mirror();
@@ -250,15 +259,15 @@
                 return false;
             };
             let under = |prefix: &str| mirror.under(prefix).to_vec();
-            (as_of, under(keys.runner_prefix), under(PREFIX))
+            (as_of, under(keys.runner_prefix), under(KEY_PREFIX))
         };
         let changed = self.discovery.apply(as_of, &runners);
-        // A full channel is emptied by the next round.
-        let _ = self.own.try_send(Own { as_of, entries: own });
+        // If the channel is full, a later round sends a newer snapshot.
+        let _ = self.snapshots.try_send(Snapshot { as_of, entries: own });
         changed
     }
 
-    fn known(&mut self, source: Source) -> bool {
+    fn record_success(&mut self, source: Source) -> bool {
         self.backoff.reset();
         if self.source != Some(source) {
             let (from, peer) = match source {
@@ -277,21 +286,23 @@
     }
 }
 
-/// Leaves of the counts only that they have changed, which is all that is told on.
-fn strip_counts(entries: &mut [Entry]) {
-    for entry in entries.iter_mut().filter(|entry| entry.key.starts_with(COUNTS)) {
+/// Removes the values of usage counts; hosts pass on only that these have changed.
+fn clear_counts(entries: &mut [Entry]) {
+    for entry in entries
+        .iter_mut()
+        .filter(|entry| entry.key.starts_with(COUNT_PREFIX))
+    {
         entry.value.clear();
     }
 }
 
-/// Asks the store now and then whether it still answers this host, where nothing
-/// else has asked it.
-pub async fn watch_store(shared: Arc<Shared>, store: Arc<Client>) {
+/// Probes the store at intervals, unless another call was answered recently.
+pub async fn probe_store(shared: Arc<Shared>, store: Arc<Client>) {
     loop {
         let now = shared.now();
-        let key = NOTHING.to_string();
+        let key = PROBE_KEY.to_string();
         if !shared.state().store_answered.covers(now, STORE_ASKED) {
-            call::send(&shared, &store, &Call::Peek { key }, PAGE).await;
+            call::send(&shared, &store, &Call::Peek { key }, PAGE_TIMEOUT).await;
         }
         tokio::time::sleep(STORE_ASKED / 4).await;
     }
