--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -1,6 +1,6 @@
-//! What one host does for all: usage reports and orders for runners.
+//! Duties that one host at a time performs for all: usage reports and orders for runners.
 //!
-//! The duty is a record in the store that its holder renews.
+//! The holder is elected by a lease, a record in the store that the holder renews.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,19 +19,20 @@
 use super::client::{Client, Outcome};
 use super::records::{KEY_PREFIX, Records, Snapshot};
 
-/// Time between looks at what is due.
+/// Time between steps in which due work is done.
 const STEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Most orders of one step, so that the lease is renewed in time.
+/// Maximum number of orders in one step, so that the lease is renewed in time.
 const MAX_ORDERS_PER_STEP: usize = 4;
-/// A process does not seek the duty in its first seconds: its former run may
-/// have held it, and two changes of the holder within a lease are one too many.
+/// Time after its start for which a process does not apply for the lease: its previous
+/// run may have held it, and the holder must not change twice within one lease term.
 const CANDIDACY_DELAY: Duration = Duration::from_secs(4);
 
-/// State of the duties.
+/// Performs the duties while this host holds the lease.
 #[derive(Debug)]
 pub struct Duty {
     shared: Arc<Shared>,
     store: Arc<Client>,
+    /// Client for the service that receives usage reports and orders.
     desk: Client,
     started_at: Moment,
     lease: Lease,
@@ -42,7 +43,7 @@
 }
 
 impl Duty {
-    /// A host that holds nothing yet.
+    /// Creates the state of a host that does not hold the lease.
     pub fn new(shared: Arc<Shared>, store: Arc<Client>) -> Self {
         let terms = Terms::fenced(Duration::from_millis(shared.settings.load().bounds.lease_ms));
         Self {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Runs until `stop` is told; then gives everything back.
+    /// Runs until `stop` is signalled; then publishes the last counts and releases the lease.
     pub async fn run(mut self, mut snapshots: mpsc::Receiver<Snapshot>, mut stop: oneshot::Receiver<()>) {
         loop {
             tokio::select! {
@@ -199,7 +200,7 @@
         status == Some(StatusCode::OK.as_u16())
     }
 
-    /// Sends one order; whether it was accepted.
+    /// Sends one order; returns whether it was accepted.
     async fn send_order(&mut self, grant: Grant) -> bool {
         let now = self.shared.now();
         let (order, flow) = {
@@ -234,10 +235,10 @@
         accepted
     }
 
-    /// Sends under the duty; the status, if one came.
+    /// Sends a request under the lease; returns the status, if there was a response.
     ///
-    /// The process may have been frozen since the grant was looked at: the last
-    /// look is right before the bytes leave, and the send ends with the grant.
+    /// The process may have been suspended since the grant was checked, so it is checked
+    /// again right before sending, and the send is bounded to end with the grant.
     async fn send(&mut self, grant: Grant, request: hyper::Request<bytes::Bytes>) -> Option<u16> {
         if !grant.covers(self.shared.now()) {
             return None;
