--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -72,7 +72,7 @@
             }
             self.step().await;
         }
-        self.records.end().await;
+        self.records.publish_end().await;
         self.release().await;
     }
 
@@ -89,7 +89,7 @@
             return;
         };
         if self.shared.settings.load().duties.usage {
-            self.records.gather().await;
+            self.records.read_counts().await;
             self.report_usage(grant).await;
         }
         if self.shared.settings.load().duties.orders {
@@ -99,7 +99,7 @@
                 }
             }
         }
-        self.records.clean().await;
+        self.records.remove_forgotten().await;
     }
 
     fn apply(&mut self, snapshot: Snapshot) {
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -1,10 +1,11 @@
-//! What each run of a host writes about itself, and what is read of the others.
+//! Records that hosts publish about themselves in the store.
 //!
-//! Two keys a run: its presence, written at its start and end, and its counts,
-//! written after each usage window. All hosts read presences, and of the counts only
-//! that they have changed, which tells that the run lives. What was counted is read
-//! by the holder of the duty alone: counts of hundreds of hosts, passed on to
-//! hundreds of others, filled the links of those that pass them on.
+//! Each run of a host, identified by its incarnation, writes two keys: its presence, at
+//! start and end, and its usage counts, after each usage window. All hosts read the
+//! presences, and of the counts only the versions, as a change shows that the run is
+//! alive. The values of the counts are read only by the holder of the duty: passing the
+//! counts of hundreds of hosts on to hundreds of others saturated the links of the hosts
+//! that read the store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,109 +21,110 @@
 use super::call::{self, PAGE_LIMIT, WRITE_TIMEOUT};
 use super::client::Client;
 
-/// Prefix of this system's own keys.
+/// Prefix of all keys that hosts of this system write.
 pub const KEY_PREFIX: &str = "radishstair/";
-/// Prefix of presences.
+/// Prefix of the presence keys.
 const PRESENCE_PREFIX: &str = "radishstair/host/";
-/// Prefix of counts.
+/// Prefix of the usage count keys.
 pub const COUNT_PREFIX: &str = "radishstair/count/";
-/// A key that no host writes. Reading it tells whether the store answers, in few bytes.
+/// Key that no host writes; reading it checks cheaply whether the store answers.
 pub const PROBE_KEY: &str = "radishstair/nothing";
-/// Wait after a window's end before the counts are written, so that they are whole.
-/// Between writes the peers hold the newer counts.
-const SETTLE_MS: u64 = 120;
-/// Time over which the hosts' writes are spread, so that they do not come at the
-/// store together.
-const SPREAD_MS: u64 = 400;
-/// Wait after a window's end before the holder reads the counts: all are written, and
-/// the window is not sealed yet.
-const GATHER_MS: u64 = 900;
-/// Pause after a read of the counts that failed.
-const AGAIN: Duration = Duration::from_millis(500);
-/// A pause between two reads past which the silence of hosts means nothing.
-const AWAY: Duration = Duration::from_millis(2_500);
+/// Delay after a window's end before its counts are written, in milliseconds, so that
+/// they are complete. Between writes, peers have the newer counts.
+const PUBLISH_DELAY_MS: u64 = 120;
+/// Time over which the hosts' writes are spread, in milliseconds, so that they do not
+/// reach the store at the same time.
+const PUBLISH_SPREAD_MS: u64 = 400;
+/// Delay after a window's end before the holder of the duty reads the counts, in
+/// milliseconds: by then all are written, and the window is not sealed yet.
+const READ_COUNTS_DELAY_MS: u64 = 900;
+/// Pause after a failed read of the counts.
+const READ_COUNTS_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Longest gap between two reads of the store. After a longer one, hosts do not count as
+/// gone because they were silent during the gap.
+const MAX_READ_GAP: Duration = Duration::from_millis(2_500);
 
-/// The keys that hosts of this system write, as one round read them.
+/// Keys written by the hosts of this system, as read in one round.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Moment as of which they stood.
+    /// Time as of which the entries were current.
     pub as_of: Moment,
-    /// All keys under [`PREFIX`].
+    /// All entries under [`KEY_PREFIX`].
     pub entries: Vec<Entry>,
 }
 
-/// A key that this run writes.
+/// A key that this run writes, and its last known version.
 #[derive(Debug)]
-struct Written {
+struct OwnKey {
     key: String,
     version: u64,
 }
 
-/// The records of all runs.
+/// Publishes this run's records and reads those of all runs.
 #[derive(Debug)]
 pub struct Records {
     shared: Arc<Shared>,
     store: Arc<Client>,
-    presence: Written,
-    counts: Written,
-    announced: bool,
-    /// Window after which the counts were written last.
-    published: u64,
-    /// Window after which all counts were read last.
-    gathered: u64,
-    next_gather: Moment,
-    /// Moment as of which the others were read last.
-    read: Option<Moment>,
-    /// Versions of all runs' keys.
+    presence: OwnKey,
+    counts: OwnKey,
+    is_announced: bool,
+    /// Last window for which the counts were written.
+    published_window: u64,
+    /// Last window for which the counts of all runs were read.
+    read_window: u64,
+    next_read_at: Moment,
+    /// Time as of which the last snapshot was current.
+    last_read: Option<Moment>,
+    /// Versions of the keys of all runs.
     versions: Vec<(String, u64)>,
 }
 
 impl Records {
-    /// Of a run that has written nothing.
+    /// Creates the state of a run that has not written anything.
     pub fn new(shared: Arc<Shared>, store: Arc<Client>) -> Self {
-        let run = run(&shared.settings.load().host, shared.incarnation);
-        let written = |prefix: &str| Written {
+        let run = run_name(&shared.settings.load().host, shared.incarnation);
+        let own_key = |prefix: &str| OwnKey {
             key: format!("{prefix}{run}"),
             version: 0,
         };
         Self {
             shared,
             store,
-            presence: written(PRESENCE_PREFIX),
-            counts: written(COUNT_PREFIX),
-            announced: false,
-            published: 0,
-            gathered: 0,
-            next_gather: Moment::default(),
-            read: None,
+            presence: own_key(PRESENCE_PREFIX),
+            counts: own_key(COUNT_PREFIX),
+            is_announced: false,
+            published_window: 0,
+            read_window: 0,
+            next_read_at: Moment::default(),
+            last_read: None,
             versions: Vec::new(),
         }
     }
 
-    /// Takes what was read of all runs.
+    /// Applies a snapshot of all runs' keys.
     pub fn apply(&mut self, snapshot: &Snapshot) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        let gap = self.read.map(|last| snapshot.as_of.since(last));
-        if let Some(gap) = gap.filter(|gap| *gap >= AWAY) {
+        let gap = self.last_read.map(|last| snapshot.as_of.since(last));
+        if let Some(gap) = gap.filter(|gap| *gap >= MAX_READ_GAP) {
             state.ledger.excuse(gap);
         }
-        self.read = Some(snapshot.as_of);
+        self.last_read = Some(snapshot.as_of);
         self.versions.clear();
         for entry in &snapshot.entries {
             if entry.key.starts_with(PRESENCE_PREFIX) {
                 if let Some(presence) = parse(entry) {
                     state.ledger.show(now, presence);
                 }
-            } else if let Some(run) = counted(&entry.key) {
+            } else if let Some(run) = run_of_counts(&entry.key) {
                 state.ledger.stir(now, run, entry.version);
             } else {
                 continue;
             }
             self.versions.push((entry.key.clone(), entry.version));
         }
-        let alive = state.ledger.all(now).filter(|(_, alive)| *alive);
-        let peers: Vec<SocketAddr> = alive.filter_map(|(record, _)| record.peer.parse().ok()).collect();
+        let live = state.ledger.all(now).filter(|(_, alive)| *alive);
+        let peers: Vec<SocketAddr> = live.filter_map(|(record, _)| record.peer.parse().ok()).collect();
         state.hosts = (peers.len() as u32).max(1);
         drop(state);
         if *self.shared.peers.load_full() != peers {
@@ -131,49 +133,49 @@
         self.shared.peers.store(Arc::new(peers));
     }
 
-    /// Writes what is due.
+    /// Writes the presence and the counts if they are due.
     pub async fn publish(&mut self) {
-        if self.read.is_none() {
+        if self.last_read.is_none() {
             return;
         }
-        let window = self.window(SETTLE_MS + self.spread());
-        if self.announced && self.published == window {
+        let window = self.window_ago(PUBLISH_DELAY_MS + self.publish_spread_ms());
+        if self.is_announced && self.published_window == window {
             return;
         }
         let record = self.shared.usage_record(false);
-        if !self.announced {
-            self.announced = self.announce(&record).await;
+        if !self.is_announced {
+            self.is_announced = self.publish_presence(&record).await;
         }
-        if self.published != window && self.write(&record).await {
-            self.published = window;
+        if self.published_window != window && self.publish_counts(&record).await {
+            self.published_window = window;
         }
     }
 
-    /// Writes the last counts, and that no more will come.
-    pub async fn end(&mut self) {
+    /// Writes the final counts and marks this run as ended.
+    pub async fn publish_end(&mut self) {
         let record = self.shared.usage_record(true);
-        self.write(&record).await;
-        self.announce(&record).await;
+        self.publish_counts(&record).await;
+        self.publish_presence(&record).await;
     }
 
-    async fn announce(&mut self, record: &Record) -> bool {
+    async fn publish_presence(&mut self, record: &Record) -> bool {
         let value = serde_json::to_string(&record.presence());
         put(&self.shared, &self.store, &mut self.presence, value).await
     }
 
-    async fn write(&mut self, record: &Record) -> bool {
+    async fn publish_counts(&mut self, record: &Record) -> bool {
         let value = serde_json::to_string(record);
         put(&self.shared, &self.store, &mut self.counts, value).await
     }
 
-    /// Reads all runs' counts once a window, while in charge.
-    pub async fn gather(&mut self) {
-        let window = self.window(GATHER_MS);
+    /// Reads the counts of all runs, once per window; called by the holder of the duty.
+    pub async fn read_counts(&mut self) {
+        let window = self.window_ago(READ_COUNTS_DELAY_MS);
         let now = self.shared.now();
-        if self.gathered == window || !now.reached(self.next_gather) {
+        if self.read_window == window || !now.reached(self.next_read_at) {
             return;
         }
-        self.next_gather = now + AGAIN;
+        self.next_read_at = now + READ_COUNTS_RETRY_PAUSE;
         let mut after = String::new();
         loop {
             let call = Call::Range {
@@ -181,13 +183,13 @@
                 after,
                 limit: PAGE_LIMIT,
             };
-            let page = call::send(&self.shared, &self.store, &call, WRITE_TIMEOUT).await;
-            let Answer::Found(entries) = page.answer else {
+            let response = call::send(&self.shared, &self.store, &call, WRITE_TIMEOUT).await;
+            let Answer::Found(entries) = response.answer else {
                 return;
             };
             let last = entries
                 .last()
-                .filter(|_| page.has_more)
+                .filter(|_| response.has_more)
                 .map(|entry| entry.key.clone());
             let now = self.shared.now();
             for record in entries.iter().filter_map(parse) {
@@ -198,17 +200,17 @@
             };
             after = last;
         }
-        self.gathered = window;
+        self.read_window = window;
     }
 
-    /// Removes the keys of runs that are long gone.
-    pub async fn clean(&mut self) {
+    /// Removes the keys of runs that ended long ago.
+    pub async fn remove_forgotten(&mut self) {
         let now = self.shared.now();
-        let gone = self.shared.state().ledger.forget(now);
-        for record in gone {
-            let run = run(&record.host, record.incarnation);
+        let forgotten = self.shared.state().ledger.forget(now);
+        for record in forgotten {
+            let run = run_name(&record.host, record.incarnation);
             for key in [format!("{PRESENCE_PREFIX}{run}"), format!("{COUNT_PREFIX}{run}")] {
-                let Some((_, version)) = self.versions.iter().find(|(have, _)| *have == key) else {
+                let Some((_, version)) = self.versions.iter().find(|(known, _)| *known == key) else {
                     continue;
                 };
                 let expect = *version;
@@ -221,55 +223,55 @@
         }
     }
 
-    /// The window that had begun `ago_ms` ago.
-    fn window(&self, ago_ms: u64) -> u64 {
+    /// Number of the usage window that was current `ago_ms` milliseconds ago.
+    fn window_ago(&self, ago_ms: u64) -> u64 {
         let window_ms = self.shared.settings.load().bounds.usage_window_s * 1_000;
-        let civil = self.shared.wall_clock_ms(self.shared.now());
-        civil.saturating_sub(ago_ms) / window_ms.max(1)
+        let wall_clock_ms = self.shared.wall_clock_ms(self.shared.now());
+        wall_clock_ms.saturating_sub(ago_ms) / window_ms.max(1)
     }
 
-    fn spread(&self) -> u64 {
-        radishstair_core::id::digest(self.counts.key.as_bytes()) % SPREAD_MS
+    fn publish_spread_ms(&self) -> u64 {
+        radishstair_core::id::digest(self.counts.key.as_bytes()) % PUBLISH_SPREAD_MS
     }
 }
 
-/// Writes a key of this run; whether it stands then.
+/// Writes a key of this run; returns whether it was written.
 async fn put(
     shared: &Shared,
     store: &Client,
-    written: &mut Written,
+    own_key: &mut OwnKey,
     value: Result<String, serde_json::Error>,
 ) -> bool {
     let Ok(value) = value else {
-        // Text and numbers always become JSON.
+        // Strings and numbers always serialize to JSON.
         return false;
     };
     let call = Call::Swap {
-        key: written.key.clone(),
-        expect: written.version,
+        key: own_key.key.clone(),
+        expect: own_key.version,
         value,
     };
     match call::send(shared, store, &call, WRITE_TIMEOUT).await.answer {
         Answer::Written(version) => {
-            written.version = version;
+            own_key.version = version;
             true
         }
-        // An earlier write whose answer was lost; the next tick repeats it.
+        // An earlier write whose response was lost took effect; the next step writes again.
         Answer::Conflict(entry) => {
-            written.version = entry.version;
+            own_key.version = entry.version;
             false
         }
         Answer::Refused | Answer::Lost | Answer::Found(_) | Answer::Same => false,
     }
 }
 
-/// Name of a run in its keys.
-fn run(host: &str, incarnation: Incarnation) -> String {
+/// Suffix that identifies a run in its keys.
+fn run_name(host: &str, incarnation: Incarnation) -> String {
     format!("{host}/{incarnation}")
 }
 
-/// The run whose counts a key holds.
-fn counted(key: &str) -> Option<Incarnation> {
+/// Run whose counts a key holds, if it is a count key.
+fn run_of_counts(key: &str) -> Option<Incarnation> {
     let (_, run) = key.strip_prefix(COUNT_PREFIX)?.rsplit_once('/')?;
     run.parse().ok()
 }
@@ -284,16 +286,18 @@
     }
 }
 
-/// Addresses of the runs that a page of the store's keys shows, for a host that has
-/// read no more yet.
+/// Hosts whose runs are present in one page of the store's keys, for a host that has read
+/// no further yet.
 pub fn hosts(entries: &[Entry]) -> Vec<Host> {
-    let own = entries
+    let presences = entries
         .iter()
         .filter(|entry| entry.key.starts_with(PRESENCE_PREFIX));
-    let here = own
+    let running = presences
         .filter_map(parse::<Presence>)
         .filter(|presence| !presence.ended);
-    let mut hosts: Vec<SocketAddr> = here.filter_map(|presence| presence.peer.parse().ok()).collect();
+    let mut hosts: Vec<SocketAddr> = running
+        .filter_map(|presence| presence.peer.parse().ok())
+        .collect();
     hosts.sort_unstable();
     hosts.dedup();
     hosts.into_iter().map(Host::unplaced).collect()
