--- a/crates/entry/src/proxy/gossip.rs
+++ b/crates/entry/src/proxy/gossip.rs
@@ -1,7 +1,7 @@
-//! Sending and hearing what hosts have on runners, over UDP.
+//! Gossip between hosts about their load on runners, over UDP.
 //!
-//! Nothing is decided by these packets but which of several good runners gets a
-//! request, and when a host asks for changes, so it needs no acknowledgement.
+//! These packets influence only which of several suitable runners gets a request, and
+//! when a host fetches changes, so they need no acknowledgement.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,107 +15,111 @@
 
 use super::{Shared, document};
 
-/// Most bytes of one datagram; loads of 1,500 runners fit in.
-const DATAGRAM: usize = 48 * 1024;
+/// Maximum size of a datagram; the loads of 1,500 runners fit.
+const MAX_DATAGRAM_BYTES: usize = 48 * 1024;
 
-/// Most holders that are kept for other zones; more are told as they are used again.
-const UNTOLD: usize = 1_024;
+/// Maximum number of holders kept until the next packet to other zones. Further ones are
+/// dropped, and sent when they are used again.
+const MAX_PENDING_HOLDERS: usize = 1_024;
 
-/// Peers of other zones, sorted, as far as they were heard.
-type Far = Arc<Mutex<Vec<SocketAddr>>>;
+/// Peers in other zones from which packets were received, sorted.
+type RemotePeers = Arc<Mutex<Vec<SocketAddr>>>;
 
-/// Sends and hears until the process ends.
+/// Sends and receives packets until the process ends.
 pub async fn run(shared: Arc<Shared>, socket: UdpSocket) {
     let socket = Arc::new(socket);
-    let far = Far::default();
-    tokio::spawn(hear(shared.clone(), socket.clone(), far.clone()));
-    let mut teller = Teller {
+    let remote_peers = RemotePeers::default();
+    tokio::spawn(receive(shared.clone(), socket.clone(), remote_peers.clone()));
+    let mut sender = Sender {
         shared: shared.clone(),
         socket: socket.clone(),
-        number: 0,
-        near_knows_idle: false,
-        far_knows_idle: false,
-        untold: Vec::new(),
-        told: Arc::default(),
+        sequence: 0,
+        zone_was_sent_idle: false,
+        remote_was_sent_idle: false,
+        pending_holders: Vec::new(),
+        last_peers: Arc::default(),
     };
     loop {
-        let beyond = far.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let pause = teller.tell(&beyond).await;
-        // What was found is told at once, and does not put the next packet off.
-        let next = tokio::time::sleep(pause);
-        tokio::pin!(next);
+        let remote = remote_peers
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
+        let pause = sender.send_due(&remote).await;
+        // Changes are announced at once, without delaying the next packet.
+        let next_packet = tokio::time::sleep(pause);
+        tokio::pin!(next_packet);
         loop {
             tokio::select! {
-                () = &mut next => break,
-                () = shared.store_changed.notified() => send(&shared, &socket, &nudge(&shared), |_| true).await,
+                () = &mut next_packet => break,
+                () = shared.store_changed.notified() => send(&shared, &socket, &change_notification(&shared), |_| true).await,
             }
         }
     }
 }
 
-/// Tells the others, those of this zone more often.
-struct Teller {
+/// Sends packets to the other hosts, more often to those of this zone.
+struct Sender {
     shared: Arc<Shared>,
     socket: Arc<UdpSocket>,
-    number: u64,
-    /// Whether those of this zone were told that nothing runs; that is said once.
-    near_knows_idle: bool,
-    /// The same of other zones.
-    far_knows_idle: bool,
-    /// What other zones were not told yet.
-    untold: Vec<Holder>,
-    /// Peers that were told last.
-    told: Arc<Vec<SocketAddr>>,
+    sequence: u64,
+    /// Whether the last packet to this zone had no loads; such a packet is sent once.
+    zone_was_sent_idle: bool,
+    /// The same for other zones.
+    remote_was_sent_idle: bool,
+    /// Holders that were not sent to other zones yet.
+    pending_holders: Vec<Holder>,
+    /// Peers as of the last packet.
+    last_peers: Arc<Vec<SocketAddr>>,
 }
 
-impl Teller {
-    /// Sends what is due; the time until the next packet.
-    async fn tell(&mut self, beyond: &[SocketAddr]) -> Duration {
-        self.number += 1;
+impl Sender {
+    /// Sends the packets that are due; returns the time until the next one.
+    async fn send_due(&mut self, remote: &[SocketAddr]) -> Duration {
+        self.sequence += 1;
         let now = self.shared.now();
         let (mut packet, hosts) = {
             let mut state = self.shared.state();
             (
-                state.packet(now, self.shared.incarnation, self.number),
+                state.packet(now, self.shared.incarnation, self.sequence),
                 state.hosts,
             )
         };
         packet.link_mbps = self.shared.own_host().link_mbps;
-        packet.record = self.record(gossip::has_record(self.number));
-        self.announce_to_new_peers();
-        self.untold.extend(packet.holders.iter().copied());
-        self.untold.truncate(UNTOLD);
-        let is_far = |peer: &SocketAddr| beyond.binary_search(peer).is_ok();
-        if says_something(&packet) || !self.near_knows_idle {
-            self.near_knows_idle = packet.loads.is_empty();
-            send(&self.shared, &self.socket, &packet, |peer| !is_far(peer)).await;
+        packet.record = self.due_record(gossip::has_record(self.sequence));
+        self.reset_for_new_peers();
+        self.pending_holders.extend(packet.holders.iter().copied());
+        self.pending_holders.truncate(MAX_PENDING_HOLDERS);
+        let is_remote = |peer: &SocketAddr| remote.binary_search(peer).is_ok();
+        if is_informative(&packet) || !self.zone_was_sent_idle {
+            self.zone_was_sent_idle = packet.loads.is_empty();
+            send(&self.shared, &self.socket, &packet, |peer| !is_remote(peer)).await;
         }
-        if gossip::goes_far(self.number, hosts) {
-            packet.holders = std::mem::take(&mut self.untold);
-            packet.record = self.record(gossip::has_record_far(self.number, hosts));
-            if says_something(&packet) || !self.far_knows_idle {
-                self.far_knows_idle = packet.loads.is_empty();
-                send(&self.shared, &self.socket, &packet, is_far).await;
+        if gossip::goes_far(self.sequence, hosts) {
+            packet.holders = std::mem::take(&mut self.pending_holders);
+            packet.record = self.due_record(gossip::has_record_far(self.sequence, hosts));
+            if is_informative(&packet) || !self.remote_was_sent_idle {
+                self.remote_was_sent_idle = packet.loads.is_empty();
+                send(&self.shared, &self.socket, &packet, is_remote).await;
             }
         }
         let peers = self.shared.peers.load();
-        let near = peers.iter().filter(|peer| !is_far(peer)).count();
-        gossip::pause(near as u32, hosts)
+        let zone_peers = peers.iter().filter(|peer| !is_remote(peer)).count();
+        gossip::pause(zone_peers as u32, hosts)
     }
 
-    /// Makes the next packets go out though nothing runs here, if there are other peers
-    /// than before: they do not know where this host is.
-    fn announce_to_new_peers(&mut self) {
+    /// If the peers have changed, lets the next packets be sent even without loads, so that
+    /// new peers receive this host's zone and link.
+    fn reset_for_new_peers(&mut self) {
         let peers = self.shared.peers.load_full();
-        if !Arc::ptr_eq(&peers, &self.told) && *peers != *self.told {
-            self.near_knows_idle = false;
-            self.far_knows_idle = false;
+        if !Arc::ptr_eq(&peers, &self.last_peers) && *peers != *self.last_peers {
+            self.zone_was_sent_idle = false;
+            self.remote_was_sent_idle = false;
         }
-        self.told = peers;
+        self.last_peers = peers;
     }
 
-    /// The usage record of this run, if it is due.
-    fn record(&self, is_due: bool) -> Vec<u8> {
+    /// Serialized usage record of this run, or nothing if it is not due.
+    fn due_record(&self, is_due: bool) -> Vec<u8> {
         if !is_due {
             return Vec::new();
         }
@@ -124,12 +128,12 @@
     }
 }
 
-/// Whether a packet tells more than that nothing runs.
-fn says_something(packet: &Packet) -> bool {
+/// Whether a packet has loads, a usage record or holders.
+fn is_informative(packet: &Packet) -> bool {
     !packet.loads.is_empty() || !packet.record.is_empty() || !packet.holders.is_empty()
 }
 
-fn nudge(shared: &Shared) -> Packet {
+fn change_notification(shared: &Shared) -> Packet {
     Packet {
         incarnation: shared.incarnation.0,
         nudge: true,
@@ -140,31 +144,31 @@
 
 async fn send(shared: &Shared, socket: &UdpSocket, packet: &Packet, to: impl Fn(&SocketAddr) -> bool) {
     let bytes = packet.encode_to_vec();
-    let own = shared.settings.load().peer_listen;
+    let own_address = shared.settings.load().peer_listen;
     let peers = shared.peers.load();
-    for peer in peers.iter().filter(|peer| **peer != own && to(peer)) {
-        // The next one says it again.
+    for peer in peers.iter().filter(|peer| **peer != own_address && to(peer)) {
+        // A lost packet is made up for by the next one.
         let _ = socket.send_to(&bytes, *peer).await;
     }
 }
 
-/// Keeps in mind in which zone a peer is.
-fn locate(far: &Far, peer: SocketAddr, is_far: bool) {
-    let mut far = far.lock().unwrap_or_else(PoisonError::into_inner);
-    match (far.binary_search(&peer), is_far) {
-        (Err(at), true) => far.insert(at, peer),
+/// Records whether a peer is in another zone.
+fn set_remote(remote: &RemotePeers, peer: SocketAddr, is_remote: bool) {
+    let mut remote = remote.lock().unwrap_or_else(PoisonError::into_inner);
+    match (remote.binary_search(&peer), is_remote) {
+        (Err(at), true) => remote.insert(at, peer),
         (Ok(at), false) => {
-            far.remove(at);
+            remote.remove(at);
         }
         _ => {}
     }
 }
 
-async fn hear(shared: Arc<Shared>, socket: Arc<UdpSocket>, far: Far) {
-    let mut bytes = vec![0; DATAGRAM];
+async fn receive(shared: Arc<Shared>, socket: Arc<UdpSocket>, remote: RemotePeers) {
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, peer)) = socket.recv_from(&mut bytes).await else {
-            // A peer's closed port shows here; others may still send.
+            // A peer's closed port is reported as an error here; others may still send.
             tokio::task::yield_now().await;
             continue;
         };
@@ -181,7 +185,7 @@
                 link_mbps: packet.link_mbps,
             });
             let mut state = shared.state();
-            locate(&far, peer, packet.zone != state.fleet.zone);
+            set_remote(&remote, peer, packet.zone != state.fleet.zone);
             state.hear(now, shared.incarnation, packet);
         }
     }
