--- a/crates/entry/src/proxy/run.rs
+++ b/crates/entry/src/proxy/run.rs
@@ -1,4 +1,4 @@
-//! The life of an entry host on a platform: start, serve, reload, stop.
+//! Lifecycle of an entry host on a platform: start, serve, reload, stop.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -23,24 +23,24 @@
 
 use super::{Shared, accept, admin, document, gossip, sync};
 
-/// How long a stopping host goes on accepting: the balancer asks once a second
-/// and turns away after two misses, and its answer may be a moment late.
-const LINGER: Duration = Duration::from_millis(2_700);
-/// Kept back from the grace period to hand everything back.
-const HAND_BACK: Duration = Duration::from_millis(1_100);
-/// Longest wait for the platform to take back what was held.
-const LAST_CALLS: Duration = Duration::from_millis(900);
-/// Time between looks at the settings file, which may change without a signal.
-const LOOK: Duration = Duration::from_secs(2);
+/// Time for which a stopping host still accepts connections. The load balancer checks
+/// readiness once a second and stops sending callers after two failures, with some delay.
+const STOP_ACCEPT_DELAY: Duration = Duration::from_millis(2_700);
+/// Part of the grace period reserved for publishing the last counts and releasing the lease.
+const RELEASE_RESERVE: Duration = Duration::from_millis(1_100);
+/// Time limit for these last calls to the platform.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time between checks of the settings file, which may change without a signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Runs an entry host until it is told to stop.
+/// Runs an entry host until it receives a signal to stop.
 ///
 /// # Errors
 ///
-/// When something cannot be read, bound or started.
+/// If the settings cannot be read, an address cannot be bound or a thread not started.
 pub fn run(path: &Path, adapter: Arc<dyn Adapter>) -> Result<()> {
     let settings = load_settings(path)?;
-    // Before anything else: a signal that comes early must not end the process.
+    // Installed first, as an early signal must not end the process.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).context("setting signal handlers")?;
     let shared = Shared::new(settings.clone(), adapter);
     tracing::info!(event = "starting", host = settings.host, zone = settings.zone, incarnation = %shared.incarnation);
@@ -58,15 +58,15 @@
     spawn("traffic", move || {
         traffic.block_on(async {
             accept::serve(forwarder, listener, stopped).await;
-            // Requests that are under way go on until the process ends.
+            // Requests in flight continue until the process ends.
             std::future::pending::<()>().await;
         });
     })?;
     tracing::info!(event = "serving", address = %settings.listen);
-    wait(signals, path, &shared);
-    wind_down(&shared, &stop);
+    wait_for_stop(signals, path, &shared);
+    drain(&shared, &stop);
     let _ = finish.send(());
-    let _ = finished.recv_timeout(LAST_CALLS);
+    let _ = finished.recv_timeout(RELEASE_TIMEOUT);
     tracing::info!(event = "stopped", in_flight = shared.in_flight());
     Ok(())
 }
@@ -75,7 +75,7 @@
 ///
 /// # Errors
 ///
-/// Names the file and the key.
+/// If the file cannot be read or a setting is invalid; names the file and the key.
 pub fn load_settings(path: &Path) -> Result<Settings> {
     let settings: Settings = radishstair_wire::settings::load(path)?;
     settings
@@ -84,9 +84,10 @@
     Ok(settings)
 }
 
-type Finish = (oneshot::Sender<()>, crossbeam::channel::Receiver<()>);
+/// Requests the control thread to finish, and signals that it has.
+type ControlHandle = (oneshot::Sender<()>, crossbeam::channel::Receiver<()>);
 
-fn start_control(settings: &Settings, shared: &Arc<Shared>, runners: Arc<Pool>) -> Result<Finish> {
+fn start_control(settings: &Settings, shared: &Arc<Shared>, pool: Arc<Pool>) -> Result<ControlHandle> {
     let control = runtime()?;
     let bind = |name: &str, address| {
         control
@@ -99,7 +100,7 @@
     let peers = control
         .block_on(UdpSocket::bind(settings.peer_listen))
         .with_context(|| format!("peer_listen: binding {}", settings.peer_listen))?;
-    let (finish, told) = oneshot::channel();
+    let (finish, finish_requested) = oneshot::channel();
     let (done, finished) = crossbeam::channel::bounded(1);
     let shared = shared.clone();
     spawn("control", move || {
@@ -109,34 +110,36 @@
             tokio::spawn(admin::serve(shared.clone(), changes, Port::Peers));
             tokio::spawn(gossip::run(shared.clone(), peers));
             let store = Arc::new(Client::default());
-            let (own, read) = mpsc::channel(1);
+            let (snapshots, snapshots_read) = mpsc::channel(1);
             tokio::spawn(sync::probe_store(shared.clone(), store.clone()));
             tokio::spawn(document::run(shared.clone(), store.clone()));
-            tokio::spawn(sync::run(shared.clone(), store.clone(), runners, own));
-            Duty::new(shared, store).run(read, told).await;
+            tokio::spawn(sync::run(shared.clone(), store.clone(), pool, snapshots));
+            Duty::new(shared, store)
+                .run(snapshots_read, finish_requested)
+                .await;
         });
         let _ = done.send(());
     })?;
     Ok((finish, finished))
 }
 
-/// Waits for the signal to stop, and reloads meanwhile.
-fn wait(mut signals: Signals, path: &Path, shared: &Arc<Shared>) {
+/// Waits for the signal to stop; reloads the settings on SIGHUP and when the file changes.
+fn wait_for_stop(mut signals: Signals, path: &Path, shared: &Arc<Shared>) {
     let watcher = shared.clone();
     let file: PathBuf = path.to_path_buf();
-    let watching = spawn("settings", move || {
-        let mut seen = modified(&file);
+    let watch_thread = spawn("settings", move || {
+        let mut last_modified = modified(&file);
         loop {
-            thread::sleep(LOOK);
+            thread::sleep(SETTINGS_POLL_INTERVAL);
             let now = modified(&file);
-            if now != seen {
-                seen = now;
+            if now != last_modified {
+                last_modified = now;
                 reload(&file, &watcher, "changed");
             }
         }
     });
-    if let Err(err) = watching {
-        tracing::warn!(event = "settings-not-watched", reason = %format!("{err:#}"));
+    if let Err(err) = watch_thread {
+        tracing::warn!(event = "settings-watch-failed", reason = %format!("{err:#}"));
     }
     for signal in signals.forever() {
         match signal {
@@ -167,16 +170,17 @@
     tracing::info!(event = "settings-reloaded", why);
 }
 
-/// Goes on serving while the balancer learns, then lets requests finish.
-fn wind_down(shared: &Shared, stop: &watch::Sender<bool>) {
-    let began = Instant::now();
+/// Keeps serving until the load balancer has stopped sending callers, then waits for the
+/// requests in flight.
+fn drain(shared: &Shared, stop: &watch::Sender<bool>) {
+    let started_at = Instant::now();
     let grace = Duration::from_secs(shared.settings.load().bounds.grace_s);
     tracing::info!(event = "stopping", in_flight = shared.in_flight());
     shared.stopping.store(true, Ordering::SeqCst);
-    thread::sleep(LINGER.min(grace / 2));
+    thread::sleep(STOP_ACCEPT_DELAY.min(grace / 2));
     stop.send_replace(true);
-    let until = began + grace.saturating_sub(HAND_BACK);
-    while shared.in_flight() > 0 && Instant::now() < until {
+    let drain_until = started_at + grace.saturating_sub(RELEASE_RESERVE);
+    while shared.in_flight() > 0 && Instant::now() < drain_until {
         thread::sleep(Duration::from_millis(50));
     }
 }
