--- a/crates/entry/src/proxy/settings.rs
+++ b/crates/entry/src/proxy/settings.rs
@@ -1,63 +1,64 @@
-//! Settings of an entry host that runs on a platform.
+//! Settings of an entry host on a platform.
 
 use std::net::SocketAddr;
 
 use anyhow::{Result, ensure};
 use radishstair_core::proxy::Bounds;
 
-/// What a process learns before it starts.
+/// Settings of one entry host, read from its settings file.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the host.
+    /// Name of this host.
     pub host: String,
-    /// Availability zone.
+    /// Availability zone of this host.
     pub zone: String,
-    /// Where callers connect.
+    /// Address on which callers are served.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether the host is ready.
+    /// Address on which the load balancer checks readiness.
     pub ready_listen: SocketAddr,
-    /// Where metrics are served.
+    /// Address on which metrics are served.
     pub admin_listen: SocketAddr,
-    /// Where peers send their load, over UDP, and ask for changes, over TCP.
+    /// Address on which peers send their load, over UDP, and fetch changes, over TCP.
     pub peer_listen: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Where usage is reported and runners are ordered.
+    /// Address of the service that receives usage reports and orders for runners.
     pub desk: SocketAddr,
-    /// Duties that the platform takes calls for.
+    /// Duties for which the platform accepts calls.
     pub duties: Duties,
-    /// Bounds that the platform promises.
+    /// Bounds that the operator promises to callers, the same on all hosts.
     pub bounds: Bounds,
-    /// Bandwidth of this host's link, in Mbit/s; 0 if it is not known.
+    /// Bandwidth of this host's link, in Mbit/s; 0 if unknown.
     #[serde(default)]
     pub link_mbps: f64,
-    /// Most connections of callers; some of the descriptors are for runners.
+    /// Maximum number of callers' connections. File descriptors beyond it remain for
+    /// connections to runners.
     #[serde(default = "default_connections")]
     pub connections: usize,
 }
 
-/// Duties that one host at a time holds.
+/// Duties that one host at a time performs.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Duties {
-    /// Whether usage is reported.
+    /// Whether usage is reported to the platform.
     pub usage: bool,
     /// Whether runners may be ordered.
     pub orders: bool,
 }
 
-/// Half of the descriptors that a small host has; the others are for runners.
+/// Half of the file descriptors of a small host; the rest is for connections to runners.
 fn default_connections() -> usize {
     2_048
 }
 
 impl Settings {
-    /// Checks what types alone do not.
+    /// Checks constraints that the types do not express.
     ///
     /// # Errors
     ///
-    /// Names the key and what is allowed there.
+    /// Names the invalid key and its allowed values.
     pub fn check(&self) -> Result<()> {
         ensure!(!self.host.is_empty(), "host: must not be empty");
         ensure!(!self.zone.is_empty(), "zone: must not be empty");
