--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -29,7 +29,7 @@
     /// Time for which the caller waits for the response.
     pub timeout: Option<Duration>,
     /// API key.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// Last event of the stream that the caller has received.
     pub last_event: Option<u64>,
     /// Tokens of the prompt; 0 for requests that are not for engines.
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -94,7 +94,7 @@
     Ask {
         host: host.and_then(|host| host.to_str().ok()).unwrap_or_default(),
         path: parts.uri.path(),
-        key: metadata.key.as_deref(),
+        key: metadata.api_key.as_deref(),
         draw: rand::random(),
     }
 }
