--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -71,9 +71,12 @@
     pub settings: ArcSwap<settings::Settings>,
     /// Whether the process has been asked to stop.
     pub stopping: AtomicBool,
+    /// Routing state: document, runners, load and budgets.
     state: Mutex<State>,
     wall_clock: Mutex<Civil>,
+    /// Copy of the store's keys, except the document.
     mirror: Mutex<Mirror>,
+    /// The operator's document as last read.
     document: Mutex<Document>,
     /// Start of the current outage of the store, as seen from this host.
     store_lost_since: Mutex<Option<Moment>>,
@@ -85,7 +88,9 @@
     store_changed: Notify,
     /// Notified when a peer announces that it has read changes from the store.
     peer_notified: Notify,
+    /// Number of requests in flight.
     active_requests: flight::Count,
+    /// Addresses of all live hosts, this one included.
     peers: ArcSwap<Vec<SocketAddr>>,
     /// Zones and links of hosts, taken from their datagrams; sorted by address.
     locations: Mutex<Vec<Host>>,
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -46,7 +46,7 @@
     /// Reservation on the runner.
     pub slot: Slot,
     /// Connection, to be returned to the pool once the body was read completely.
-    pub kept: Kept,
+    pub connection: Kept,
     /// Status and headers.
     pub parts: response::Parts,
     /// Body, not yet read.
@@ -277,7 +277,7 @@
     ) -> Result<RunnerResponse, AttemptError> {
         let now = self.shared.now();
         self.shared.state().fleet.hear(now, slot.key);
-        let (response, kept) = exchange.split();
+        let (response, connection) = exchange.split();
         let (parts, body) = response.into_parts();
         let provenance = self.shared.adapter.parse_response(&parts);
         if provenance.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
@@ -294,7 +294,7 @@
             );
             let drained = timeout(DRAIN_TIMEOUT, Limited::new(body, 64 * 1024).collect()).await;
             if matches!(drained, Ok(Ok(_))) {
-                self.return_connection(&slot, kept);
+                self.return_connection(&slot, connection);
             }
             return Err(AttemptError::Failed(Fault::NotRun));
         }
@@ -312,7 +312,7 @@
         }
         Ok(RunnerResponse {
             slot,
-            kept,
+            connection,
             parts,
             body,
         })
@@ -326,7 +326,7 @@
     ) -> Option<(response::Parts, Bytes)> {
         let RunnerResponse {
             mut slot,
-            kept,
+            connection,
             parts,
             body,
         } = response;
@@ -349,13 +349,13 @@
             true => Sign::Failed,
             false => Sign::Sound,
         });
-        self.return_connection(&slot, kept);
+        self.return_connection(&slot, connection);
         Some((parts, body.to_bytes()))
     }
 
     /// Returns a connection to the pool once its response was read to the end.
-    pub fn return_connection(&self, slot: &Slot, kept: Kept) {
-        kept.give(&self.pool, self.shared.now());
+    pub fn return_connection(&self, slot: &Slot, connection: Kept) {
+        connection.give(&self.pool, self.shared.now());
         self.update_idle(slot);
     }
 
--- a/crates/entry/src/proxy/stream/segment.rs
+++ b/crates/entry/src/proxy/stream/segment.rs
@@ -18,7 +18,7 @@
 const MIN_SILENCE: Duration = Duration::from_millis(1_500);
 /// The same limit as a multiple of the operator's longest gap between events.
 const SILENCE_GAP_MULTIPLE: u32 = 2;
-/// Stands for no limit.
+/// Duration that stands for no limit.
 const NO_LIMIT: Duration = Duration::from_secs(24 * 3_600);
 
 /// A runner's segment of a stream.
@@ -28,6 +28,7 @@
     /// Id of the last event received.
     pub last_event: Option<u64>,
     splitter: Splitter,
+    /// Whether a length or chunks mark the end of the body.
     is_framed: bool,
     /// Time at which the last event arrived.
     last_arrival: Option<Moment>,
@@ -73,7 +74,7 @@
             let time_left = job.time_left(shared.now()).unwrap_or(NO_LIMIT);
             let silence_limit = self.silence_limit(job).unwrap_or(NO_LIMIT);
             match timeout(time_left.min(silence_limit), self.next_events()).await {
-                Ok(piece) => return piece,
+                Ok(progress) => return progress,
                 Err(_) if silence_limit >= time_left => return Progress::TimedOut,
                 Err(_) if shared.is_stopping() => {}
                 Err(_) => return Progress::Broken,
@@ -167,10 +168,10 @@
 
     /// Ends a complete segment; its connection is reused if the response was framed.
     pub fn finish(self, forwarder: &Forwarder) {
-        let RunnerResponse { slot, kept, .. } = self.response;
+        let RunnerResponse { slot, connection, .. } = self.response;
         slot.report(Sign::Sound);
         if self.is_framed {
-            forwarder.return_connection(&slot, kept);
+            forwarder.return_connection(&slot, connection);
         }
     }
 }
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -29,11 +29,11 @@
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(50);
 /// Time limit for one page; a slow store takes a quarter of a second.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Age up to which a host keeps a list of several pages and asks the next peer, instead of
-/// reading the list from the store, when a peer fails. When hundreds of hosts read
-/// thousands of runners at once, they saturated the store's link and blocked each other.
-/// The limit leaves time to read the store, as runners that leave must get no new requests
-/// after two seconds.
+/// Age of a list of several pages up to which a host whose peer failed asks the next peer,
+/// instead of reading the list from the store. Hundreds of hosts that read thousands of
+/// runners at once saturated the store's link and blocked each other. The limit leaves
+/// time to read the store, as runners that leave must get no new requests after two
+/// seconds.
 const LONG_LIST_MAX_AGE: Duration = Duration::from_millis(1_600);
 /// Times that a starting host asks a peer before it reads a long list itself; the peer may
 /// have just started too, and still be reading.
@@ -75,6 +75,7 @@
     }
 }
 
+/// State of the task that synchronizes with the store.
 struct Reader {
     shared: Arc<Shared>,
     store: Arc<Client>,
@@ -231,11 +232,11 @@
         true
     }
 
-    /// Host to fetch from instead of reading a long list, given the list's first page.
+    /// Peer to fetch from instead of reading a long list, given the list's first page.
     ///
-    /// This applies while nothing is known yet, as after a start: if hundreds of hosts start
-    /// at once, the store would reject most of them again and again. The host is one that
-    /// reads the store itself.
+    /// A host defers only while it has no listing yet, as after a start: if hundreds of hosts
+    /// start at once, the store would reject most of them again and again. The peer is one
+    /// that reads the store.
     fn defer_to(&mut self, now: Moment, first_page: &[Entry]) -> Option<SocketAddr> {
         if self.deferrals >= MAX_DEFERRALS || self.shared.mirror().upto() > 0 {
             return None;
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Applies the known keys to the state; returns whether any runner has changed.
+    /// Applies the current keys to the state; returns whether any runner has changed.
     fn apply(&mut self) -> bool {
         let keys = self.shared.adapter.store_keys();
         let (as_of, runners, own) = {
@@ -267,6 +268,7 @@
         changed
     }
 
+    /// Records a successful round and its source; always true.
     fn record_success(&mut self, source: Source) -> bool {
         self.backoff.reset();
         if self.source != Some(source) {
@@ -286,7 +288,7 @@
     }
 }
 
-/// Removes the values of usage counts; hosts pass on only that these have changed.
+/// Removes the values of usage counts; for other hosts their versions suffice.
 fn clear_counts(entries: &mut [Entry]) {
     for entry in entries
         .iter_mut()
