--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -127,15 +127,15 @@
 
     /// All live hosts, with zone and link where these are known.
     fn hosts(&self) -> Vec<Host> {
-        let own = self.own_host();
+        let own_host = self.own_host();
         let locations = self.locations.lock().unwrap_or_else(PoisonError::into_inner);
         let located = |address: &SocketAddr| {
             let found = locations.binary_search_by_key(address, |host| host.address);
             found.map_or(Host::unplaced(*address), |index| locations[index])
         };
         let peers = self.peers.load();
-        let hosts = peers.iter().map(|address| match *address == own.address {
-            true => own,
+        let hosts = peers.iter().map(|address| match *address == own_host.address {
+            true => own_host,
             false => located(address),
         });
         hosts.collect()
@@ -154,13 +154,13 @@
     /// Stores a host's zone and link; hosts that are no longer peers are dropped.
     fn record_location(&self, host: Host) {
         let mut locations = self.locations.lock().unwrap_or_else(PoisonError::into_inner);
-        match locations.binary_search_by_key(&host.address, |known| known.address) {
+        match locations.binary_search_by_key(&host.address, |other| other.address) {
             Ok(index) => locations[index] = host,
             Err(_) => {
                 let peers = self.peers.load();
-                locations.retain(|known| peers.contains(&known.address));
+                locations.retain(|other| peers.contains(&other.address));
                 locations.push(host);
-                locations.sort_unstable_by_key(|known| known.address);
+                locations.sort_unstable_by_key(|other| other.address);
             }
         }
     }
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -198,7 +198,7 @@
 
 /// Applies a peer's notice requested at `sent_at`; returns whether it had a new text.
 pub fn apply_notice(shared: &Shared, sent_at: Moment, notice: Notice) -> bool {
-    let (known, news) = {
+    let (previous_newest, news) = {
         let mut document = shared.document();
         (document.newest(), document.hear(sent_at, notice))
     };
@@ -212,7 +212,7 @@
             accept(shared, as_of, Entry { key, version, value })
         }
         News::Newer(version) => {
-            if known < version {
+            if previous_newest < version {
                 tracing::info!(event = "configuration-to-read", revision = version);
             }
             shared.state().is_behind = true;
--- a/crates/entry/src/proxy/events.rs
+++ b/crates/entry/src/proxy/events.rs
@@ -47,8 +47,8 @@
 /// Length up to and including the last blank line.
 fn complete_length(bytes: &[u8]) -> usize {
     let end_after_last = |pattern: &[u8]| {
-        let at = bytes.windows(pattern.len()).rposition(|window| window == pattern);
-        at.map_or(0, |at| at + pattern.len())
+        let index = bytes.windows(pattern.len()).rposition(|window| window == pattern);
+        index.map_or(0, |index| index + pattern.len())
     };
     end_after_last(b"\n\n").max(end_after_last(b"\r\n\r\n"))
 }
--- a/crates/entry/src/proxy/gossip.rs
+++ b/crates/entry/src/proxy/gossip.rs
@@ -156,9 +156,9 @@
 fn set_remote(remote: &RemotePeers, peer: SocketAddr, is_remote: bool) {
     let mut remote = remote.lock().unwrap_or_else(PoisonError::into_inner);
     match (remote.binary_search(&peer), is_remote) {
-        (Err(at), true) => remote.insert(at, peer),
-        (Ok(at), false) => {
-            remote.remove(at);
+        (Err(index), true) => remote.insert(index, peer),
+        (Ok(index), false) => {
+            remote.remove(index);
         }
         _ => {}
     }
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -124,7 +124,7 @@
 
     /// Fetches changes from a peer; returns whether the state is fresh afterwards.
     async fn fetch_from(&mut self, peer: SocketAddr) -> bool {
-        let (after, before) = {
+        let (after, previous_as_of) = {
             let mirror = self.shared.mirror();
             (mirror.upto(), mirror.as_of())
         };
@@ -135,7 +135,7 @@
         };
         let as_of = self.shared.mirror().as_of();
         let now = self.shared.now();
-        let is_fresh = as_of.is_some_and(|as_of| share::helps(now, as_of, before));
+        let is_fresh = as_of.is_some_and(|as_of| share::helps(now, as_of, previous_as_of));
         let helped = complete == Some(true) && is_fresh;
         self.shared
             .metrics
@@ -170,14 +170,14 @@
         let live = self.shared.peers.load();
         self.clients
             .retain(|(address, _)| *address == peer || live.contains(address));
-        let at = match self.clients.binary_search_by_key(&peer, |(address, _)| *address) {
-            Ok(at) => at,
-            Err(at) => {
-                self.clients.insert(at, (peer, Client::default()));
-                at
+        let index = match self.clients.binary_search_by_key(&peer, |(address, _)| *address) {
+            Ok(index) => index,
+            Err(index) => {
+                self.clients.insert(index, (peer, Client::default()));
+                index
             }
         };
-        &self.clients[at].1
+        &self.clients[index].1
     }
 
     /// Whether a list of several pages is known that is not too old.
@@ -254,17 +254,24 @@
     /// Applies the current keys to the state; returns whether any runner has changed.
     fn apply(&mut self) -> bool {
         let keys = self.shared.adapter.store_keys();
-        let (as_of, runners, own) = {
+        let (as_of, runners, own_entries) = {
             let mirror = self.shared.mirror();
             let Some(as_of) = mirror.as_of() else {
                 return false;
             };
-            let under = |prefix: &str| mirror.under(prefix).to_vec();
-            (as_of, under(keys.runner_prefix), under(KEY_PREFIX))
+            let entries_under = |prefix: &str| mirror.under(prefix).to_vec();
+            (
+                as_of,
+                entries_under(keys.runner_prefix),
+                entries_under(KEY_PREFIX),
+            )
         };
         let changed = self.discovery.apply(as_of, &runners);
         // If the channel is full, a later round sends a newer snapshot.
-        let _ = self.snapshots.try_send(Snapshot { as_of, entries: own });
+        let _ = self.snapshots.try_send(Snapshot {
+            as_of,
+            entries: own_entries,
+        });
         changed
     }
 
