--- a/crates/entry/src/proxy/adapter.rs
+++ b/crates/entry/src/proxy/adapter.rs
@@ -38,9 +38,9 @@
     pub max_output_tokens: u64,
     /// Tokens of the answer as estimated by the caller; often inaccurate.
     pub expected_output_tokens: Option<u64>,
-    /// Parts of the prompt, in order; the last one belongs to the request itself or to
+    /// Segments of the prompt, in order; the last one belongs to the request itself or to
     /// its session.
-    pub prompt_parts: Vec<Part>,
+    pub prompt_segments: Vec<Part>,
 }
 
 /// Values that are added to a request's headers when it is forwarded to a runner.
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -79,7 +79,7 @@
                 .expected_output_tokens
                 .unwrap_or(self.metadata.max_output_tokens)
                 .min(self.metadata.max_output_tokens),
-            parts: self.metadata.prompt_parts.clone(),
+            parts: self.metadata.prompt_segments.clone(),
             bytes: self.body.len() as u64,
             copies: self.admission.copies,
             once: self.is_at_most_once(),
