--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -22,7 +22,7 @@
 use super::Shared;
 use super::adapter::Metadata;
 use super::forward::Forwarder;
-use super::job::{History, Job, route_query};
+use super::job::{AttemptLog, Job, request_head};
 use super::reply::{self, Body, retry_after};
 use crate::flight::Flight;
 use crate::serve;
@@ -139,15 +139,15 @@
 async fn forward(forwarder: Arc<Forwarder>, job: Job, flight: Flight) -> Result<Response<Body>, Refusal> {
     let shared = forwarder.shared.clone();
     let job = Arc::new(job);
-    let mut history = History::default();
+    let mut log = AttemptLog::default();
     let result = match job.is_stream() {
         true => {
             forwarder
                 .clone()
-                .forward_stream(job.clone(), &mut history, flight)
+                .forward_stream(job.clone(), &mut log, flight)
                 .await
         }
-        false => forwarder.forward_buffered(&job, &mut history).await,
+        false => forwarder.forward_buffered(&job, &mut log).await,
     };
     let now = shared.now();
     let after_ms = now.since(job.arrived).as_millis() as u64;
@@ -173,11 +173,11 @@
         version = job.admission.version,
         outcome,
         status,
-        sent = history.attempts.sent(),
-        runner = history.last_runner,
+        sent = log.history.sent(),
+        runner = log.last_runner,
         after_ms,
         proof_ms,
-        runners = history.candidates,
+        runners = log.candidates,
     );
     result
 }
@@ -186,7 +186,7 @@
     let now = shared.now();
     let mut state = shared.state();
     let admission = state
-        .admit(now, &route_query(parts, metadata))
+        .admit(now, &request_head(parts, metadata))
         .map_err(|refusal| match refusal.kind {
             Kind::Stale => refusal.after(retry_after(metadata.timeout, rand::random())),
             _ => refusal,
--- a/crates/entry/src/proxy/buffered.rs
+++ b/crates/entry/src/proxy/buffered.rs
@@ -6,7 +6,7 @@
 use radishstair_core::repeat::Fault;
 
 use super::forward::{AttemptError, Forwarder};
-use super::job::{History, Job};
+use super::job::{AttemptLog, Job};
 use super::reply::{self, Body};
 use super::slot::Slot;
 use crate::upstream::attempts::{self, Attempts};
@@ -15,7 +15,7 @@
 struct Buffered<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
-    history: &'a mut History,
+    log: &'a mut AttemptLog,
     /// Last server error of a runner, forwarded if no other runner succeeds.
     failure: Option<Response<Body>>,
 }
@@ -26,11 +26,11 @@
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
-        self.forwarder.reserve_slot(self.job, self.history)
+        self.forwarder.reserve_slot(self.job, self.log)
     }
 
     async fn attempt(&mut self, slot: Slot) -> Result<Response<Body>, AttemptError> {
-        let response = self.forwarder.send(self.job, None, slot, self.history).await?;
+        let response = self.forwarder.send(self.job, None, slot, self.log).await?;
         let collected = self.forwarder.read_response(self.job, response).await;
         let (parts, body) = collected.ok_or(AttemptError::Failed(Fault::Broken))?;
         let reply = reply::from_runner(&parts, body);
@@ -43,7 +43,7 @@
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        self.forwarder.record_failure(self.job, self.history, fault)
+        self.forwarder.record_failure(self.job, self.log, fault)
     }
 }
 
@@ -53,15 +53,11 @@
     /// # Errors
     ///
     /// The refusal for the caller.
-    pub async fn forward_buffered(
-        &self,
-        job: &Job,
-        history: &mut History,
-    ) -> Result<Response<Body>, Refusal> {
+    pub async fn forward_buffered(&self, job: &Job, log: &mut AttemptLog) -> Result<Response<Body>, Refusal> {
         let mut buffered = Buffered {
             forwarder: self,
             job,
-            history,
+            log,
             failure: None,
         };
         let result = attempts::run(&mut buffered).await;
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -26,8 +26,8 @@
     let mut updater = Updater {
         shared,
         store,
-        share: Share::default(),
-        plan: Plan::default(),
+        readers: Share::default(),
+        schedule: Plan::default(),
     };
     loop {
         let pause = updater.round().await;
@@ -42,8 +42,8 @@
 struct Updater {
     shared: Arc<Shared>,
     store: Arc<Client>,
-    share: Share,
-    plan: Plan,
+    readers: Share,
+    schedule: Plan,
 }
 
 impl Updater {
@@ -54,23 +54,23 @@
         if let Some(peer) = holder {
             self.fetch_from(peer, SHORT).await;
         }
-        let standing = self.standing();
-        let step = self.plan.step(standing);
+        let status = self.status();
+        let step = self.schedule.step(status);
         if let Step::Rest(pause) = step {
             return pause;
         }
-        let Err(failure) = self.read_store(step, standing.reads).await else {
+        let Err(failure) = self.read_store(step, status.reads).await else {
             let took = self.shared.now().since(started_at);
-            return self.plan.answered(took);
+            return self.schedule.answered(took);
         };
-        if standing.is_behind && self.fetch_from_any_peer().await {
-            return self.plan.answered(Duration::ZERO);
+        if status.is_behind && self.fetch_from_any_peer().await {
+            return self.schedule.answered(Duration::ZERO);
         }
         let is_store_lost = self.shared.is_store_lost();
-        self.plan.failed(step, failure, is_store_lost, rand::random())
+        self.schedule.failed(step, failure, is_store_lost, rand::random())
     }
 
-    fn standing(&self) -> Standing {
+    fn status(&self) -> Standing {
         let now = self.shared.now();
         let reads = self.is_reader();
         let document = self.shared.document();
@@ -97,7 +97,7 @@
         };
         let response = call::send_with(&self.shared, &self.store, &call, TRANSFER_TIMEOUTS).await;
         match response.answer {
-            Answer::Same => renew(&self.shared, sent_at),
+            Answer::Same => confirm(&self.shared, sent_at),
             // No entry means that the operator has not written a document yet.
             Answer::Found(entries) => {
                 let entry = entries.into_iter().next();
@@ -117,12 +117,12 @@
     async fn fetch_from_any_peer(&mut self) -> bool {
         let now = self.shared.now();
         let own_address = self.shared.settings.load().peer_listen;
-        let Some(peer) = self.share.any(now, own_address, &self.shared.hosts()) else {
+        let Some(peer) = self.readers.any(now, own_address, &self.shared.hosts()) else {
             return false;
         };
         let is_new = self.fetch_from(peer, usize::MAX).await;
         if !is_new {
-            self.share.silent(self.shared.now(), peer);
+            self.readers.silent(self.shared.now(), peer);
         }
         is_new
     }
@@ -140,7 +140,7 @@
 }
 
 /// Records that the known text was the newest at `as_of`.
-fn renew(shared: &Shared, as_of: Moment) {
+fn confirm(shared: &Shared, as_of: Moment) {
     let (version, is_behind) = {
         let mut document = shared.document();
         document.renew(as_of);
@@ -166,7 +166,7 @@
     if is_new {
         activate(shared, as_of, &entry);
     }
-    renew(shared, as_of);
+    confirm(shared, as_of);
     is_new
 }
 
@@ -198,13 +198,13 @@
 
 /// Applies a peer's notice requested at `sent_at`; returns whether it had a new text.
 pub fn apply_notice(shared: &Shared, sent_at: Moment, notice: Notice) -> bool {
-    let (previous_newest, news) = {
+    let (previous_newest, update) = {
         let mut document = shared.document();
         (document.newest(), document.hear(sent_at, notice))
     };
-    match news {
+    match update {
         News::Proven(as_of) => {
-            renew(shared, as_of);
+            confirm(shared, as_of);
             false
         }
         News::Text(as_of, version, value) => {
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -24,7 +24,7 @@
 
 use super::Shared;
 use super::adapter::{Forwarding, Provenance};
-use super::job::{History, Job};
+use super::job::{AttemptLog, Job};
 use super::reply::retry_after;
 use super::slot::Slot;
 use crate::upstream::attempts::Stop;
@@ -71,38 +71,38 @@
     /// # Errors
     ///
     /// The refusal for the caller, if the deadline has passed or no runner is left.
-    pub fn reserve_slot(&self, job: &Job, history: &mut History) -> Result<Slot, Refusal> {
+    pub fn reserve_slot(&self, job: &Job, log: &mut AttemptLog) -> Result<Slot, Refusal> {
         let now = self.shared.now();
         if job.is_expired(now) {
-            return Err(self.deadline_refusal(job, history));
+            return Err(self.deadline_refusal(job, log));
         }
-        let Some((slot, candidates)) = self.choose_runner(now, job, history.attempts.tried()) else {
-            history.candidates = 0;
-            return Err(self.refusal(job, history, Kind::NoRunner));
+        let Some((slot, candidates)) = self.choose_runner(now, job, log.history.tried()) else {
+            log.candidates = 0;
+            return Err(self.refusal(job, log, Kind::NoRunner));
         };
-        history.attempts.choose(slot.key);
-        history.last_runner = Some(slot.id.clone());
-        history.candidates = candidates;
+        log.history.choose(slot.key);
+        log.last_runner = Some(slot.id.clone());
+        log.candidates = candidates;
         Ok(slot)
     }
 
     /// Records a failed attempt; returns the refusal if no further attempt is allowed.
-    pub fn record_failure(&self, job: &Job, history: &mut History, fault: Fault) -> Option<Refusal> {
+    pub fn record_failure(&self, job: &Job, log: &mut AttemptLog, fault: Fault) -> Option<Refusal> {
         let now = self.shared.now();
         let budget = || self.shared.state().may_repeat(now, &job.admission.service);
-        let reason = history
-            .attempts
+        let reason = log
+            .history
             .fail(&job.retry_rule(), fault, job.is_expired(now), budget)?;
         tracing::info!(
             event = "not-repeated",
             request = job.metadata.id,
             reason = reason.name(),
-            sent = history.attempts.sent(),
-            ran = history.attempts.ran()
+            sent = log.history.sent(),
+            ran = log.history.ran()
         );
         Some(match fault {
-            Fault::Unreachable => self.refusal(job, history, Kind::NoRunner),
-            Fault::NotRun => self.refusal(job, history, Kind::Overloaded),
+            Fault::Unreachable => self.refusal(job, log, Kind::NoRunner),
+            Fault::NotRun => self.refusal(job, log, Kind::Overloaded),
             Fault::Broken => self.upstream_refusal(job),
         })
     }
@@ -122,9 +122,9 @@
             key: choice.key,
             id,
             address,
-            read_work_us: choice.work,
-            held_tokens: demand.held(),
-            outlook: choice.outlook,
+            prefill_us: choice.work,
+            kv_tokens: demand.held(),
+            conditions: choice.outlook,
             sent_at: None,
             cache_source,
         };
@@ -143,16 +143,16 @@
         job: &Job,
         after: Option<u64>,
         mut slot: Slot,
-        history: &mut History,
+        log: &mut AttemptLog,
     ) -> Result<RunnerResponse, AttemptError> {
         let connection = self.connect(job, &slot).await?;
         // Last check before bytes are sent: connecting may have taken long, the
         // process may have been suspended, the runner may have started to drain.
         let now = self.shared.now();
-        self.check_before_send(now, job, &slot, history)?;
+        self.check_before_send(now, job, &slot, log)?;
         let request = self.build_request(now, job, after, &slot);
         slot.sent_at = Some(now);
-        history.attempts.send();
+        log.history.send();
         let exchange = upstream::exchange(connection, slot.address, request);
         let exchanged = async {
             tokio::select! {
@@ -168,11 +168,11 @@
         match result {
             Ok(Ok(exchange)) => self.check_response(job, slot, exchange).await,
             Ok(Err(Failure::NotSent)) => {
-                history.attempts.unsend();
+                log.history.unsend();
                 Err(AttemptError::Failed(Fault::Unreachable))
             }
             Ok(Err(Failure::Broken)) => {
-                slot.report(Sign::Broken);
+                slot.record_attempt(Sign::Broken);
                 tracing::info!(
                     event = "runner-broke-off",
                     request = job.metadata.id,
@@ -181,9 +181,9 @@
                 Err(AttemptError::Failed(Fault::Broken))
             }
             Err(_) => {
-                slot.report(Sign::Broken);
-                history.attempts.run_out();
-                Err(AttemptError::Over(self.deadline_refusal(job, history)))
+                slot.record_attempt(Sign::Broken);
+                log.history.run_out();
+                Err(AttemptError::Over(self.deadline_refusal(job, log)))
             }
         }
     }
@@ -202,7 +202,7 @@
                 Silence::Short(rest) => tokio::time::sleep(rest).await,
                 Silence::Long if self.is_reachable(slot).await => {}
                 Silence::Long => {
-                    slot.report(Sign::Cut);
+                    slot.record_attempt(Sign::Cut);
                     self.pool.forget(slot.address);
                     break;
                 }
@@ -236,7 +236,7 @@
             .await;
         connected.map_err(|err| {
             tracing::info!(event = "runner-unreachable", request = job.metadata.id, runner = slot.id, reason = %format!("{err:#}"));
-            slot.report(Sign::Unreachable);
+            slot.record_attempt(Sign::Unreachable);
             AttemptError::Failed(Fault::Unreachable)
         })
     }
@@ -247,17 +247,17 @@
         now: Moment,
         job: &Job,
         slot: &Slot,
-        history: &History,
+        log: &AttemptLog,
     ) -> Result<(), AttemptError> {
         if job.is_expired(now) {
-            return Err(AttemptError::Over(self.deadline_refusal(job, history)));
+            return Err(AttemptError::Over(self.deadline_refusal(job, log)));
         }
         let allowed = self
             .shared
             .state()
-            .may_send(now, &job.admission, &job.route_query());
+            .may_send(now, &job.admission, &job.request_head());
         if let Err(refusal) = allowed {
-            return Err(AttemptError::Over(match history.attempts.ran() {
+            return Err(AttemptError::Over(match log.history.ran() {
                 true => self.upstream_refusal(job),
                 false => self.with_retry_after(job, refusal),
             }));
@@ -281,11 +281,11 @@
         let (parts, body) = response.into_parts();
         let provenance = self.shared.adapter.parse_response(&parts);
         if provenance.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
-            let sign = match parts.status {
+            let attempt = match parts.status {
                 StatusCode::MISDIRECTED_REQUEST => Sign::Replaced,
                 _ => Sign::Full,
             };
-            slot.report(sign);
+            slot.record_attempt(attempt);
             tracing::info!(
                 event = "runner-refused",
                 request = job.metadata.id,
@@ -299,7 +299,7 @@
             return Err(AttemptError::Failed(Fault::NotRun));
         }
         if !is_response_to(job, &parts, &provenance) {
-            slot.report(Sign::Broken);
+            slot.record_attempt(Sign::Broken);
             tracing::warn!(
                 event = "answer-not-own",
                 request = job.metadata.id,
@@ -330,14 +330,14 @@
             parts,
             body,
         } = response;
-        slot.prompt_read();
+        slot.finish_prefill();
         self.shared.count_usage(job.admission.customer.as_deref());
         let collecting = Limited::new(body, MAX_RESPONSE_BYTES).collect();
         let time_left = job
             .time_left(self.shared.now())
             .unwrap_or(Duration::from_secs(3_600));
         let Ok(Ok(body)) = timeout(time_left, collecting).await else {
-            slot.report(Sign::Broken);
+            slot.record_attempt(Sign::Broken);
             tracing::info!(
                 event = "answer-not-whole",
                 request = job.metadata.id,
@@ -345,7 +345,7 @@
             );
             return None;
         };
-        slot.report(match parts.status.is_server_error() {
+        slot.record_attempt(match parts.status.is_server_error() {
             true => Sign::Failed,
             false => Sign::Sound,
         });
@@ -387,10 +387,10 @@
     }
 
     /// Refusal for a request whose deadline has passed.
-    fn deadline_refusal(&self, job: &Job, history: &History) -> Refusal {
-        match history.attempts.ran() {
+    fn deadline_refusal(&self, job: &Job, log: &AttemptLog) -> Refusal {
+        match log.history.ran() {
             true => Refusal::new(Kind::UpstreamTimeout),
-            false => self.refusal(job, history, Kind::Late),
+            false => self.refusal(job, log, Kind::Late),
         }
     }
 
@@ -402,8 +402,8 @@
     }
 
     /// Refusal of the given kind if the request has not run, else an upstream failure.
-    fn refusal(&self, job: &Job, history: &History, kind: Kind) -> Refusal {
-        if history.attempts.ran() {
+    fn refusal(&self, job: &Job, log: &AttemptLog, kind: Kind) -> Refusal {
+        if log.history.ran() {
             return self.upstream_refusal(job);
         }
         self.with_retry_after(job, Refusal::new(kind))
--- a/crates/entry/src/proxy/gossip.rs
+++ b/crates/entry/src/proxy/gossip.rs
@@ -18,9 +18,9 @@
 /// Maximum size of a datagram; the loads of 1,500 runners fit.
 const MAX_DATAGRAM_BYTES: usize = 48 * 1024;
 
-/// Maximum number of holders kept until the next packet to other zones. Further ones are
-/// dropped, and sent when they are used again.
-const MAX_PENDING_HOLDERS: usize = 1_024;
+/// Maximum number of cached prefixes kept until the next packet to other zones. Further
+/// ones are dropped, and sent when they are used again.
+const MAX_PENDING_PREFIXES: usize = 1_024;
 
 /// Peers in other zones from which packets were received, sorted.
 type RemotePeers = Arc<Mutex<Vec<SocketAddr>>>;
@@ -36,7 +36,7 @@
         sequence: 0,
         zone_was_sent_idle: false,
         remote_was_sent_idle: false,
-        pending_holders: Vec::new(),
+        pending_prefixes: Vec::new(),
         last_peers: Arc::default(),
     };
     loop {
@@ -51,7 +51,7 @@
         loop {
             tokio::select! {
                 () = &mut next_packet => break,
-                () = shared.store_changed.notified() => send(&shared, &socket, &change_notification(&shared), |_| true).await,
+                () = shared.store_changed.notified() => send(&shared, &socket, &change_hint(&shared), |_| true).await,
             }
         }
     }
@@ -66,8 +66,8 @@
     zone_was_sent_idle: bool,
     /// The same for other zones.
     remote_was_sent_idle: bool,
-    /// Holders that were not sent to other zones yet.
-    pending_holders: Vec<Holder>,
+    /// Cached prefixes that were not sent to other zones yet.
+    pending_prefixes: Vec<Holder>,
     /// Peers as of the last packet.
     last_peers: Arc<Vec<SocketAddr>>,
 }
@@ -87,15 +87,15 @@
         packet.link_mbps = self.shared.own_host().link_mbps;
         packet.record = self.due_record(gossip::has_record(self.sequence));
         self.reset_for_new_peers();
-        self.pending_holders.extend(packet.holders.iter().copied());
-        self.pending_holders.truncate(MAX_PENDING_HOLDERS);
+        self.pending_prefixes.extend(packet.holders.iter().copied());
+        self.pending_prefixes.truncate(MAX_PENDING_PREFIXES);
         let is_remote = |peer: &SocketAddr| remote.binary_search(peer).is_ok();
         if is_informative(&packet) || !self.zone_was_sent_idle {
             self.zone_was_sent_idle = packet.loads.is_empty();
             send(&self.shared, &self.socket, &packet, |peer| !is_remote(peer)).await;
         }
         if gossip::goes_far(self.sequence, hosts) {
-            packet.holders = std::mem::take(&mut self.pending_holders);
+            packet.holders = std::mem::take(&mut self.pending_prefixes);
             packet.record = self.due_record(gossip::has_record_far(self.sequence, hosts));
             if is_informative(&packet) || !self.remote_was_sent_idle {
                 self.remote_was_sent_idle = packet.loads.is_empty();
@@ -128,12 +128,12 @@
     }
 }
 
-/// Whether a packet has loads, a usage record or holders.
+/// Whether a packet has loads, a usage record or cached prefixes.
 fn is_informative(packet: &Packet) -> bool {
     !packet.loads.is_empty() || !packet.record.is_empty() || !packet.holders.is_empty()
 }
 
-fn change_notification(shared: &Shared) -> Packet {
+fn change_hint(shared: &Shared) -> Packet {
     Packet {
         incarnation: shared.incarnation.0,
         nudge: true,
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -64,9 +64,9 @@
         }
     }
 
-    /// Query with which the request is admitted again before it is sent.
-    pub fn route_query(&self) -> Ask<'_> {
-        route_query(&self.parts, &self.metadata)
+    /// Request head, to admit the request again before it is sent.
+    pub fn request_head(&self) -> Ask<'_> {
+        request_head(&self.parts, &self.metadata)
     }
 
     /// Load that the request puts on its runner; `draw` breaks ties between runners.
@@ -88,8 +88,8 @@
     }
 }
 
-/// Query for the route of a request, with a random draw among weighted services.
-pub fn route_query<'a>(parts: &'a request::Parts, metadata: &'a Metadata) -> Ask<'a> {
+/// Request head for admission, with a random draw among weighted services.
+pub fn request_head<'a>(parts: &'a request::Parts, metadata: &'a Metadata) -> Ask<'a> {
     let host = parts.headers.get(HOST);
     Ask {
         host: host.and_then(|host| host.to_str().ok()).unwrap_or_default(),
@@ -101,9 +101,9 @@
 
 /// Attempts made for one request, with details for its log line.
 #[derive(Clone, Debug, Default)]
-pub struct History {
+pub struct AttemptLog {
     /// Runners tried, and whether the request may have run.
-    pub attempts: repeat::Tries<Key>,
+    pub history: repeat::Tries<Key>,
     /// Id of the runner chosen last.
     pub last_runner: Option<String>,
     /// Number of runners among which the last one was chosen.
--- a/crates/entry/src/proxy/slot.rs
+++ b/crates/entry/src/proxy/slot.rs
@@ -20,12 +20,12 @@
     pub id: String,
     /// Address of the runner.
     pub(super) address: SocketAddr,
-    /// Time to read the prompt, in microseconds; 0 once it has been read.
-    pub(super) read_work_us: u64,
-    /// Tokens that the request holds in the runner's memory at its end.
-    pub(super) held_tokens: u64,
-    /// State of the runner when it was chosen, to which its first event is compared.
-    pub(super) outlook: Outlook,
+    /// Time to prefill the prompt, in microseconds; 0 once that has finished.
+    pub(super) prefill_us: u64,
+    /// Tokens of the runner's KV cache that the request occupies at its end.
+    pub(super) kv_tokens: u64,
+    /// Conditions on the runner when it was chosen; its first event is compared with them.
+    pub(super) conditions: Outlook,
     /// Time at which the request was sent to the runner.
     pub(super) sent_at: Option<Moment>,
     /// Address of a runner whose cache holds the beginning of the prompt.
@@ -33,24 +33,24 @@
 }
 
 impl Slot {
-    /// Records that the runner has read the prompt, as its first event arrived.
-    pub fn prompt_read(&mut self) {
+    /// Records that prefill has finished, as the first event arrived.
+    pub fn finish_prefill(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.read(self.key, self.read_work_us);
-        if let Some(sent_at) = self.sent_at.filter(|_| self.read_work_us > 0) {
-            state.first_event(self.key, &self.outlook, now.since(sent_at));
+        state.fleet.read(self.key, self.prefill_us);
+        if let Some(sent_at) = self.sent_at.filter(|_| self.prefill_us > 0) {
+            state.first_event(self.key, &self.conditions, now.since(sent_at));
         }
-        self.read_work_us = 0;
+        self.prefill_us = 0;
     }
 
-    /// Records that the runner of a resumed stream has read the prompt.
+    /// Records that prefill of a resumed stream has finished.
     ///
     /// The runner has read the earlier events as well as the prompt, so the time taken
     /// is no measure of its speed.
-    pub fn prompt_read_again(&mut self) {
-        self.shared.state().fleet.read(self.key, self.read_work_us);
-        self.read_work_us = 0;
+    pub fn finish_resumed_prefill(&mut self) {
+        self.shared.state().fleet.read(self.key, self.prefill_us);
+        self.prefill_us = 0;
     }
 
     /// Records an event that arrived `pause` after the previous one.
@@ -58,10 +58,10 @@
         self.shared.state().event(self.key, pause);
     }
 
-    /// Reports an observation of the runner's health to the fleet.
-    pub fn report(&self, sign: Sign) {
+    /// Records the outcome of an attempt on the runner.
+    pub fn record_attempt(&self, attempt: Sign) {
         let now = self.shared.now();
-        self.shared.state().fleet.sign(now, self.key, sign);
+        self.shared.state().fleet.sign(now, self.key, attempt);
     }
 }
 
@@ -69,8 +69,8 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.end(self.key, self.read_work_us, self.held_tokens);
-        if let Some(sent_at) = self.sent_at.filter(|_| self.outlook.prompt > 0) {
+        state.fleet.end(self.key, self.prefill_us, self.kv_tokens);
+        if let Some(sent_at) = self.sent_at.filter(|_| self.conditions.prompt > 0) {
             state.left(self.key, now.since(sent_at));
         }
     }
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -18,7 +18,7 @@
 
 use super::events::Events;
 use super::forward::{AttemptError, Forwarder};
-use super::job::{History, Job};
+use super::job::{AttemptLog, Job};
 use super::reply::{self, Body, Truncated};
 use super::slot::Slot;
 use crate::flight::Flight;
@@ -68,7 +68,7 @@
 struct StreamStart<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
-    history: &'a mut History,
+    log: &'a mut AttemptLog,
     /// Last server error of a runner, forwarded if no other runner succeeds.
     failure: Option<Response<Body>>,
 }
@@ -79,11 +79,11 @@
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
-        self.forwarder.reserve_slot(self.job, self.history)
+        self.forwarder.reserve_slot(self.job, self.log)
     }
 
     async fn attempt(&mut self, slot: Slot) -> Result<StartOutcome, AttemptError> {
-        let response = self.forwarder.send(self.job, None, slot, self.history).await?;
+        let response = self.forwarder.send(self.job, None, slot, self.log).await?;
         if !response.parts.status.is_success() {
             let collected = self.forwarder.read_response(self.job, response).await;
             let (parts, body) = collected.ok_or(AttemptError::Failed(Fault::Broken))?;
@@ -108,7 +108,7 @@
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        self.forwarder.record_failure(self.job, self.history, fault)
+        self.forwarder.record_failure(self.job, self.log, fault)
     }
 }
 
@@ -116,7 +116,7 @@
 struct Resume<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
-    history: &'a mut History,
+    log: &'a mut AttemptLog,
     last_event: u64,
 }
 
@@ -126,12 +126,12 @@
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
-        self.forwarder.reserve_slot(self.job, self.history)
+        self.forwarder.reserve_slot(self.job, self.log)
     }
 
     async fn attempt(&mut self, slot: Slot) -> Result<Segment, AttemptError> {
         let after = Some(self.last_event);
-        let response = self.forwarder.send(self.job, after, slot, self.history).await?;
+        let response = self.forwarder.send(self.job, after, slot, self.log).await?;
         match response.parts.status.is_success() {
             true => Ok(Segment::new(response, after)),
             false => Err(AttemptError::Failed(Fault::Broken)),
@@ -139,7 +139,7 @@
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        self.forwarder.record_failure(self.job, self.history, fault)
+        self.forwarder.record_failure(self.job, self.log, fault)
     }
 }
 
@@ -152,13 +152,13 @@
     pub async fn forward_stream(
         self: Arc<Self>,
         job: Arc<Job>,
-        history: &mut History,
+        log: &mut AttemptLog,
         flight: Flight,
     ) -> Result<Response<Body>, Refusal> {
         let mut start = StreamStart {
             forwarder: &self,
             job: &job,
-            history,
+            log,
             failure: None,
         };
         let outcome = match attempts::run(&mut start).await {
@@ -179,15 +179,15 @@
             outcome: "left",
             _flight: flight,
         };
-        let history = history.clone();
+        let log = log.clone();
         Ok(with_stream(
             &parts,
-            self.response_body(end_log, segment, events, history),
+            self.response_body(end_log, segment, events, log),
         ))
     }
 
     fn record_start(&self, job: &Job, segment: &mut Segment) {
-        segment.response.slot.prompt_read();
+        segment.response.slot.finish_prefill();
         self.shared.count_usage(job.admission.customer.as_deref());
         let waited = self.shared.now().since(job.arrived);
         self.shared.metrics.first_after(&job.admission.route.name, waited);
@@ -198,7 +198,7 @@
         end_log: EndLog,
         segment: Segment,
         first: Events,
-        mut history: History,
+        mut log: AttemptLog,
     ) -> Body {
         let frames = stream! {
             // Moved into the stream, so that it is dropped (and logged) with it.
@@ -224,7 +224,7 @@
                     }
                     Progress::Broken => {
                         let last_event = segment.abandon(&job);
-                        match self.resume(&job, last_event, &mut history).await {
+                        match self.resume(&job, last_event, &mut log).await {
                             Some(next) => segment = next,
                             None => {
                                 end_log.outcome = "broken";
@@ -246,15 +246,15 @@
     }
 
     /// Resumes the stream on another runner; `None` if it cannot be resumed.
-    async fn resume(&self, job: &Job, last_event: Option<u64>, history: &mut History) -> Option<Segment> {
+    async fn resume(&self, job: &Job, last_event: Option<u64>, log: &mut AttemptLog) -> Option<Segment> {
         let last_event = last_event?;
-        if self.record_failure(job, history, Fault::Broken).is_some() {
+        if self.record_failure(job, log, Fault::Broken).is_some() {
             return None;
         }
         let mut resume = Resume {
             forwarder: self,
             job,
-            history,
+            log,
             last_event,
         };
         let mut segment = attempts::run(&mut resume).await.ok()?;
@@ -264,7 +264,7 @@
             runner = segment.response.slot.id,
             last = last_event
         );
-        segment.response.slot.prompt_read_again();
+        segment.response.slot.finish_resumed_prefill();
         Some(segment)
     }
 }
--- a/crates/entry/src/proxy/stream/segment.rs
+++ b/crates/entry/src/proxy/stream/segment.rs
@@ -156,7 +156,7 @@
     /// Dropping the segment closes its connection, so that two runners never work on one
     /// stream.
     pub fn abandon(self, job: &Job) -> Option<u64> {
-        self.response.slot.report(Sign::Broken);
+        self.response.slot.record_attempt(Sign::Broken);
         tracing::info!(
             event = "stream-broken",
             request = job.metadata.id,
@@ -169,7 +169,7 @@
     /// Ends a complete segment; its connection is reused if the response was framed.
     pub fn finish(self, forwarder: &Forwarder) {
         let RunnerResponse { slot, connection, .. } = self.response;
-        slot.report(Sign::Sound);
+        slot.record_attempt(Sign::Sound);
         if self.is_framed {
             forwarder.return_connection(&slot, connection);
         }
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -51,7 +51,7 @@
         shared,
         store,
         snapshots,
-        share: Share::default(),
+        readers: Share::default(),
         clients: Vec::new(),
         source: None,
         backoff: Backoff::default(),
@@ -81,7 +81,7 @@
     store: Arc<Client>,
     discovery: Discovery,
     snapshots: mpsc::Sender<Snapshot>,
-    share: Share,
+    readers: Share,
     /// Clients for the peers that were asked, sorted by address.
     clients: Vec<(SocketAddr, Client)>,
     /// Source of the last successful round.
@@ -96,7 +96,7 @@
     async fn round(&mut self, round_start: Moment) -> bool {
         let hosts = self.shared.hosts();
         let own_address = self.shared.settings.load().peer_listen;
-        let source = self.share.first(round_start, own_address, &hosts);
+        let source = self.readers.first(round_start, own_address, &hosts);
         if let Source::Peer(peer) = source {
             if self.fetch_from(peer).await {
                 return self.record_success(Source::Peer(peer));
@@ -111,7 +111,7 @@
         }
         self.shared.store_lost(round_start);
         let now = self.shared.now();
-        match self.share.instead(now, own_address, &hosts) {
+        match self.readers.instead(now, own_address, &hosts) {
             Some(peer) => self.fetch_from(peer).await && self.record_success(Source::Peer(peer)),
             None => false,
         }
@@ -147,7 +147,7 @@
                 let age_ms = as_of.map(|as_of| now.since(as_of).as_millis() as u64);
                 tracing::info!(event = "peer-not-fresh", %peer, age_ms);
             }
-            self.share.silent(self.shared.now(), peer);
+            self.readers.silent(self.shared.now(), peer);
         }
         helped
     }
@@ -242,7 +242,7 @@
             return None;
         }
         let own_address = self.shared.settings.load().peer_listen;
-        match self.share.first(now, own_address, &records::hosts(first_page)) {
+        match self.readers.first(now, own_address, &records::hosts(first_page)) {
             Source::Store => None,
             Source::Peer(peer) => {
                 self.deferrals += 1;
