--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -175,7 +175,7 @@
         Ok(table) => table,
         Err(err) => {
             // The store accepts valid documents only, so this one uses something that this
-            // program version does not support. The proof is not renewed, so that the keys
+            // program version does not support. Freshness is not renewed, so that the keys
             // of the previous document are not trusted forever.
             tracing::warn!(event = "entry-not-read", key = entry.key, revision = entry.version, reason = %format!("{err:#}"));
             return;
