--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -64,6 +64,7 @@
     }
 }
 
+/// Limits of the document in force; defaults before the first document.
 fn current_limits(shared: &Shared) -> Limits {
     let state = shared.state();
     state.table.as_ref().map(|table| table.limits).unwrap_or_default()
@@ -86,6 +87,7 @@
     serve::connection(stream, limits, service, stop).await;
 }
 
+/// Serves one request; the response says whether the connection may be reused.
 async fn handle(forwarder: Arc<Forwarder>, request: Request<Incoming>) -> Response<Body> {
     let shared = forwarder.shared.clone();
     let arrived = shared.now();
@@ -105,6 +107,7 @@
     response
 }
 
+/// Reads and admits a request, then forwards it.
 async fn respond(
     forwarder: Arc<Forwarder>,
     request: Request<Incoming>,
@@ -136,6 +139,7 @@
     forward(forwarder, job, flight).await
 }
 
+/// Forwards an admitted request, and records its metrics and log line.
 async fn forward(forwarder: Arc<Forwarder>, job: Job, flight: Flight) -> Result<Response<Body>, Refusal> {
     let shared = forwarder.shared.clone();
     let job = Arc::new(job);
@@ -182,6 +186,7 @@
     result
 }
 
+/// Admits a request by the document in force, and counts it for the retry budget.
 fn admit(shared: &Shared, parts: &request::Parts, metadata: &Metadata) -> Result<Admission, Refusal> {
     let now = shared.now();
     let mut state = shared.state();
@@ -195,6 +200,7 @@
     Ok(admission)
 }
 
+/// Deadline by the shorter of the caller's and the route's time limits.
 fn deadline(arrived: Moment, metadata: &Metadata, admission: &Admission) -> Option<Moment> {
     let limits = [metadata.timeout, admission.route.timeout];
     let limit = limits.into_iter().flatten().min()?;
@@ -220,6 +226,7 @@
     }
 }
 
+/// Logs and counts a request that is refused before it is forwarded.
 fn log_refusal(shared: &Shared, metadata: Option<&Metadata>, refusal: Refusal) -> Refusal {
     let now = shared.now();
     let state = shared.state();
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Whether this host is one of those that read the store for others.
     fn is_reader(&self) -> bool {
         let own_address = self.shared.settings.load().peer_listen;
         share::reads(own_address, &self.shared.hosts())
@@ -170,6 +171,7 @@
     is_new
 }
 
+/// Parses a document and puts it in force, unless a newer one is.
 fn activate(shared: &Shared, as_of: Moment, entry: &Entry) {
     let table = match shared.adapter.parse_document(entry) {
         Ok(table) => table,
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -76,6 +76,7 @@
         self.release().await;
     }
 
+    /// Renews the lease, publishes this run's records and, as holder, does the work that is due.
     async fn step(&mut self) {
         if self.shared.is_stopping() {
             self.release().await;
@@ -146,6 +147,7 @@
         self.log_change();
     }
 
+    /// Logs when this host gains or loses the lease.
     fn log_change(&mut self) {
         let grant = self.grant();
         if grant.is_some() != self.is_holder {
@@ -158,16 +160,18 @@
         }
     }
 
+    /// Seals the usage windows that are due, and reports them.
     async fn report_usage(&mut self, grant: Grant) {
         let now = self.shared.now();
         let wall_clock_ms = self.shared.wall_clock_ms(now);
         let mut step = {
             let state = self.shared.state();
-            let plan = report::Plan {
+            let schedule = report::Plan {
                 length_s: state.bounds.usage_window_s,
                 due_s: state.bounds.usage_due_s,
             };
-            self.reporter.tick(now, wall_clock_ms, plan, grant, &state.ledger)
+            self.reporter
+                .tick(now, wall_clock_ms, schedule, grant, &state.ledger)
         };
         while let Some(next) = step {
             step = match next {
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -227,6 +227,7 @@
         false
     }
 
+    /// Takes an idle connection to the runner from the pool, or opens a new one.
     async fn connect(&self, job: &Job, slot: &Slot) -> Result<Line, AttemptError> {
         let now = self.shared.now();
         let limit = job.time_left(now).unwrap_or(pool::CONNECT);
@@ -394,6 +395,7 @@
         }
     }
 
+    /// Refusal for a request that may have run.
     fn upstream_refusal(&self, job: &Job) -> Refusal {
         match job.is_expired(self.shared.now()) {
             true => Refusal::new(Kind::UpstreamTimeout),
--- a/crates/entry/src/proxy/gossip.rs
+++ b/crates/entry/src/proxy/gossip.rs
@@ -133,6 +133,7 @@
     !packet.loads.is_empty() || !packet.record.is_empty() || !packet.holders.is_empty()
 }
 
+/// Packet that announces changes read from the store.
 fn change_hint(shared: &Shared) -> Packet {
     Packet {
         incarnation: shared.incarnation.0,
