--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -1,4 +1,4 @@
-//! The callers' side: connections, limits, and one request after the other.
+//! Accepts callers' connections, enforces limits and serves the requests.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -22,21 +22,21 @@
 use super::Shared;
 use super::adapter::Metadata;
 use super::forward::Forwarder;
-use super::job::{Job, Tries, ask};
-use super::reply::{self, Body, come_back};
+use super::job::{AttemptLog, Job, request_head};
+use super::reply::{self, Body, retry_after};
 use crate::flight::Flight;
 use crate::serve;
 
-/// Longest time for a body to come where the caller names no deadline.
-const BODY: Duration = Duration::from_secs(15);
-/// Smallest head buffer that the HTTP library takes.
-const HEAD_BUFFER: usize = 8 * 1024;
+/// Time limit for receiving a body when the caller sets no deadline.
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Smallest head buffer that the HTTP library accepts.
+const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Accepts connections until `stop` turns true; a connection that is open then
-/// ends after the request that it carries.
+/// Accepts connections until `stop` becomes true. Connections that are open then
+/// close after their current request.
 pub async fn serve(forwarder: Arc<Forwarder>, listener: TcpListener, stop: watch::Receiver<bool>) {
-    let bound = forwarder.shared.settings.load().connections;
-    let places = Arc::new(Semaphore::new(bound));
+    let max_connections = forwarder.shared.settings.load().connections;
+    let permits = Arc::new(Semaphore::new(max_connections));
     let mut stopped = stop.clone();
     loop {
         let accepted = tokio::select! {
@@ -46,108 +46,117 @@
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(err) => {
-                // Out of descriptors: others must close before more can come.
-                tracing::warn!(event = "not-accepted", reason = %err);
+                // Out of file descriptors: connections must close before more can be accepted.
+                tracing::warn!(event = "accept-failed", reason = %err);
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             }
         };
-        let Ok(place) = places.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             forwarder.shared.metrics.refused_connections.inc();
             continue;
         };
         let (forwarder, stop) = (forwarder.clone(), stop.clone());
         tokio::spawn(async move {
-            connection(forwarder, stream, stop).await;
-            drop(place);
+            serve_connection(forwarder, stream, stop).await;
+            drop(permit);
         });
     }
 }
 
-fn limits(shared: &Shared) -> Limits {
+/// Limits of the document in force; defaults before the first document.
+fn current_limits(shared: &Shared) -> Limits {
     let state = shared.state();
     state.table.as_ref().map(|table| table.limits).unwrap_or_default()
 }
 
-async fn connection(forwarder: Arc<Forwarder>, stream: TcpStream, stop: watch::Receiver<bool>) {
-    // A caller's connection works without it, only slower.
+async fn serve_connection(forwarder: Arc<Forwarder>, stream: TcpStream, stop: watch::Receiver<bool>) {
+    // The connection also works without this option, only slower.
     let _ = stream.set_nodelay(true);
-    let limits = limits(&forwarder.shared);
+    let limits = current_limits(&forwarder.shared);
     let service = service_fn(move |request| {
         let forwarder = forwarder.clone();
         async move { Ok::<_, Infallible>(handle(forwarder, request).await) }
     });
-    // The time for a head also runs while a connection is idle, so it must not
-    // be shorter than the idle time that callers were told.
+    // The head timeout also runs while a connection is idle, so it must not be
+    // shorter than the idle timeout announced to callers.
     let limits = serve::Limits {
         head_time: limits.idle_timeout.max(limits.head_timeout),
-        head: limits.head_bytes.max(HEAD_BUFFER),
+        head: limits.head_bytes.max(MIN_HEAD_BUFFER_BYTES),
     };
     serve::connection(stream, limits, service, stop).await;
 }
 
+/// Serves one request; the response says whether the connection may be reused.
 async fn handle(forwarder: Arc<Forwarder>, request: Request<Incoming>) -> Response<Body> {
     let shared = forwarder.shared.clone();
     let arrived = shared.now();
-    let mut answer = match respond(forwarder, request, arrived).await {
-        Ok(answer) => answer,
-        Err(refusal) => reply::refuse(&refusal),
+    let mut response = match respond(forwarder, request, arrived).await {
+        Ok(response) => response,
+        Err(refusal) => reply::from_refusal(&refusal),
     };
-    let headers = answer.headers_mut();
+    let headers = response.headers_mut();
     if shared.is_stopping() || shared.state().should_hand_off(arrived) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     } else {
-        let idle = limits(&shared).idle_timeout.as_secs().max(1);
+        let idle = current_limits(&shared).idle_timeout.as_secs().max(1);
         if let Ok(value) = HeaderValue::from_str(&format!("timeout={idle}")) {
             headers.insert(HeaderName::from_static("keep-alive"), value);
         }
     }
-    answer
+    response
 }
 
+/// Reads and admits a request, then forwards it.
 async fn respond(
     forwarder: Arc<Forwarder>,
     request: Request<Incoming>,
     arrived: Moment,
 ) -> Result<Response<Body>, Refusal> {
-    let flight = forwarder.shared.flight();
+    let flight = forwarder.shared.start_request();
     let shared = forwarder.shared.clone();
     let (parts, body) = request.into_parts();
-    let head = shared.adapter.parse_request(&parts);
-    let deadline = head.as_ref().ok().and_then(|head| head.timeout);
-    let body = read(body, limits(&shared).body_bytes, deadline.unwrap_or(BODY)).await;
-    let head = head.map_err(|kind| refused(&shared, None, Refusal::new(kind)))?;
-    let body = body.map_err(|kind| refused(&shared, Some(&head), Refusal::new(kind)))?;
-    let admission =
-        admit(&shared, &parts, &head).map_err(|refusal| refused(&shared, Some(&head), refusal))?;
+    let metadata = shared.adapter.parse_request(&parts);
+    let caller_timeout = metadata.as_ref().ok().and_then(|metadata| metadata.timeout);
+    let body = read_body(
+        body,
+        current_limits(&shared).body_bytes,
+        caller_timeout.unwrap_or(DEFAULT_BODY_TIMEOUT),
+    )
+    .await;
+    let metadata = metadata.map_err(|kind| log_refusal(&shared, None, Refusal::new(kind)))?;
+    let body = body.map_err(|kind| log_refusal(&shared, Some(&metadata), Refusal::new(kind)))?;
+    let admission = admit(&shared, &parts, &metadata)
+        .map_err(|refusal| log_refusal(&shared, Some(&metadata), refusal))?;
     let job = Job {
-        until: until(arrived, &head, &admission),
+        deadline: deadline(arrived, &metadata, &admission),
         parts,
-        head,
+        metadata,
         body,
         admission,
         arrived,
     };
-    pass(forwarder, job, flight).await
+    forward(forwarder, job, flight).await
 }
 
-async fn pass(forwarder: Arc<Forwarder>, job: Job, flight: Flight) -> Result<Response<Body>, Refusal> {
+/// Forwards an admitted request, and records its metrics and log line.
+async fn forward(forwarder: Arc<Forwarder>, job: Job, flight: Flight) -> Result<Response<Body>, Refusal> {
     let shared = forwarder.shared.clone();
     let job = Arc::new(job);
-    let mut tries = Tries::default();
+    let mut log = AttemptLog::default();
     let result = match job.is_stream() {
         true => {
             forwarder
                 .clone()
-                .forward_stream(job.clone(), &mut tries, flight)
+                .forward_stream(job.clone(), &mut log, flight)
                 .await
         }
-        false => forwarder.forward_buffered(&job, &mut tries).await,
+        false => forwarder.forward_buffered(&job, &mut log).await,
     };
     let now = shared.now();
     let after_ms = now.since(job.arrived).as_millis() as u64;
     let (outcome, status) = match &result {
-        Ok(answer) => ("answered", answer.status().as_u16()),
+        Ok(response) => ("answered", response.status().as_u16()),
         Err(refusal) => (refusal.kind.name(), refusal.kind.status()),
     };
     let route = &job.admission.route.name;
@@ -164,7 +173,7 @@
         .map(|age| age.as_millis() as u64);
     tracing::info!(
         event = "request",
-        request = job.head.id,
+        request = job.metadata.id,
         route,
         service = job.admission.service,
         customer = job.admission.customer,
@@ -172,44 +181,48 @@
         version = job.admission.version,
         outcome,
         status,
-        sent = tries.runs.sends(),
-        runner = tries.last,
+        sent = log.history.sends(),
+        runner = log.last_runner,
         after_ms,
         proof_ms,
-        runners = tries.among,
+        runners = log.candidates,
     );
     result
 }
 
-fn admit(shared: &Shared, parts: &request::Parts, head: &Metadata) -> Result<Admission, Refusal> {
+/// Admits a request by the document in force, and counts it for the retry budget.
+fn admit(shared: &Shared, parts: &request::Parts, metadata: &Metadata) -> Result<Admission, Refusal> {
     let now = shared.now();
     let mut state = shared.state();
     let admission = state
-        .admit(now, &ask(parts, head))
+        .admit(now, &request_head(parts, metadata))
         .map_err(|refusal| match refusal.kind {
-            Kind::Stale => refusal.retry_after(come_back(head.timeout, rand::random())),
+            Kind::Stale => refusal.retry_after(retry_after(metadata.timeout, rand::random())),
             _ => refusal,
         })?;
     state.budgets.count(now, &admission.service);
     Ok(admission)
 }
 
-fn until(arrived: Moment, head: &Metadata, admission: &Admission) -> Option<Moment> {
-    let spans = [head.timeout, admission.route.timeout];
-    let span = spans.into_iter().flatten().min()?;
-    Some(arrived + span)
+/// Deadline by the shorter of the caller's and the route's time limits.
+fn deadline(arrived: Moment, metadata: &Metadata, admission: &Admission) -> Option<Moment> {
+    let limits = [metadata.timeout, admission.route.timeout];
+    let limit = limits.into_iter().flatten().min()?;
+    Some(arrived + limit)
 }
 
-/// Reads a body whole. A refusal that comes before its body is read would
-/// close the connection on unread bytes, and the caller might never see it.
-async fn read(body: Incoming, most: usize, limit: Duration) -> Result<Bytes, Kind> {
+/// Reads a complete body.
+///
+/// The body is read before the request can be refused: a refusal sent earlier would
+/// close the connection with bytes unread, and the caller might not receive it.
+async fn read_body(body: Incoming, max_bytes: usize, time_limit: Duration) -> Result<Bytes, Kind> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(Kind::TooLarge);
     }
-    match timeout(limit, Limited::new(body, most).collect()).await {
+    match timeout(time_limit, Limited::new(body, max_bytes).collect()).await {
         Err(_) => Err(Kind::SlowRequest),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(err)) if err.is::<http_body_util::LengthLimitError>() => Err(Kind::TooLarge),
@@ -217,12 +230,13 @@
     }
 }
 
-fn refused(shared: &Shared, head: Option<&Metadata>, refusal: Refusal) -> Refusal {
+/// Logs and counts a request that is refused before it is forwarded.
+fn log_refusal(shared: &Shared, metadata: Option<&Metadata>, refusal: Refusal) -> Refusal {
     let now = shared.now();
     let state = shared.state();
     tracing::info!(
         event = "request-refused",
-        request = head.map(|head| head.id.as_str()),
+        request = metadata.map(|metadata| metadata.id.as_str()),
         kind = refusal.kind.name(),
         version = state.table.as_ref().map(|table| table.version),
         proof_ms = state.freshness.age(now).map(|age| age.as_millis() as u64),
--- a/crates/entry/src/proxy/buffered.rs
+++ b/crates/entry/src/proxy/buffered.rs
@@ -1,21 +1,22 @@
-//! Plain requests: an answer is held until it is whole.
+//! Forwarding of requests whose response is buffered until it is complete.
 
 use hyper::Response;
 use radishstair_core::error::Refusal;
 use radishstair_core::proxy::route::Mode;
 use radishstair_core::retry::Fault;
 
-use super::forward::{Forwarder, Halt};
-use super::job::{Job, Tries};
+use super::forward::{AttemptError, Forwarder};
+use super::job::{AttemptLog, Job};
 use super::reply::{self, Body};
 use super::slot::Slot;
 use crate::upstream::attempts::{self, Attempts};
 
+/// Attempts at forwarding one buffered request.
 struct Buffered<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
-    tries: &'a mut Tries,
-    /// A runner's own failure, passed on if no other runner does better.
+    log: &'a mut AttemptLog,
+    /// Last server error of a runner, forwarded if no other runner succeeds.
     failure: Option<Response<Body>>,
 }
 
@@ -25,39 +26,38 @@
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
-        self.forwarder.place(self.job, self.tries)
+        self.forwarder.reserve_slot(self.job, self.log)
     }
 
-    async fn attempt(&mut self, slot: Slot) -> Result<Response<Body>, Halt> {
-        let opened = self.forwarder.open(self.job, None, slot, self.tries).await?;
-        let collected = self.forwarder.collect(self.job, opened).await;
-        let (parts, body) = collected.ok_or(Halt::Failed(Fault::MayHaveRun))?;
-        let answer = reply::whole(&parts, body);
-        // A service's own failure of a repeatable request may pass at another runner.
-
+    async fn attempt(&mut self, slot: Slot) -> Result<Response<Body>, AttemptError> {
+        let response = self.forwarder.send(self.job, None, slot, self.log).await?;
+        let collected = self.forwarder.read_response(self.job, response).await;
+        let (parts, body) = collected.ok_or(AttemptError::Failed(Fault::MayHaveRun))?;
+        let reply = reply::from_runner(&parts, body);
+        // A repeatable request that failed with a server error may succeed on another runner.
         if parts.status.is_server_error() && self.job.admission.route.mode == Mode::Repeatable {
-            self.failure = Some(answer);
-            return Err(Halt::Failed(Fault::MayHaveRun));
+            self.failure = Some(reply);
+            return Err(AttemptError::Failed(Fault::MayHaveRun));
         }
-        Ok(answer)
+        Ok(reply)
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        self.forwarder.fail(self.job, self.tries, fault)
+        self.forwarder.record_failure(self.job, self.log, fault)
     }
 }
 
 impl Forwarder {
-    /// Has a plain request run and returns its whole answer.
+    /// Forwards a request until a runner has returned a complete response.
     ///
     /// # Errors
     ///
-    /// The refusal that the caller gets.
-    pub async fn forward_buffered(&self, job: &Job, tries: &mut Tries) -> Result<Response<Body>, Refusal> {
+    /// The refusal for the caller.
+    pub async fn forward_buffered(&self, job: &Job, log: &mut AttemptLog) -> Result<Response<Body>, Refusal> {
         let mut buffered = Buffered {
             forwarder: self,
             job,
-            tries,
+            log,
             failure: None,
         };
         let result = attempts::run(&mut buffered).await;
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -1,6 +1,6 @@
-//! What one host does for all: usage reports and orders for runners.
+//! Duties that one host at a time performs for all: usage reports and orders for runners.
 //!
-//! The duty is a record in the store that its holder renews.
+//! The holder is elected by a lease, a record in the store that the holder renews.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,69 +15,71 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::Shared;
-use super::call::{self, WRITE};
+use super::call::{self, WRITE_TIMEOUT};
 use super::client::{Client, Outcome};
-use super::records::{Own, PREFIX, Records};
+use super::records::{KEY_PREFIX, Records, Snapshot};
 
-/// Time between looks at what is due.
-const TICK: Duration = Duration::from_millis(250);
-/// Most orders of one step, so that the lease is renewed in time.
-const ORDERS: usize = 4;
-/// A process does not seek the duty in its first seconds: its former run may
-/// have held it, and two changes of the holder within a lease are one too many.
-const SETTLED: Duration = Duration::from_secs(4);
+/// Time between steps in which due work is done.
+const STEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of orders in one step, so that the lease is renewed in time.
+const MAX_ORDERS_PER_STEP: usize = 4;
+/// Time after its start for which a process does not apply for the lease: its previous
+/// run may have held it, and the holder must not change twice within one lease term.
+const CANDIDACY_DELAY: Duration = Duration::from_secs(4);
 
-/// State of the duties.
+/// Performs the duties while this host holds the lease.
 #[derive(Debug)]
 pub struct Duty {
     shared: Arc<Shared>,
     store: Arc<Client>,
+    /// Client for the service that receives usage reports and orders.
     desk: Client,
-    began: Moment,
+    started_at: Moment,
     lease: Lease,
     reporter: Reporter,
     planner: Planner,
     records: Records,
-    holds: bool,
+    is_holder: bool,
 }
 
 impl Duty {
-    /// A host that holds nothing yet.
+    /// Creates the state of a host that does not hold the lease.
     pub fn new(shared: Arc<Shared>, store: Arc<Client>) -> Self {
         let terms = Timing::fenced(Duration::from_millis(shared.settings.load().bounds.lease_ms));
         Self {
-            began: shared.now(),
-            lease: Lease::with_timing(shared.me, format!("{PREFIX}duty"), terms),
+            started_at: shared.now(),
+            lease: Lease::with_timing(shared.incarnation, format!("{KEY_PREFIX}duty"), terms),
             records: Records::new(shared.clone(), store.clone()),
             shared,
             store,
             desk: Client::default(),
             reporter: Reporter::default(),
             planner: Planner::default(),
-            holds: false,
+            is_holder: false,
         }
     }
 
-    /// Runs until `stop` is told; then gives everything back.
-    pub async fn run(mut self, mut own: mpsc::Receiver<Own>, mut stop: oneshot::Receiver<()>) {
+    /// Runs until `stop` is signalled; then publishes the last counts and releases the lease.
+    pub async fn run(mut self, mut snapshots: mpsc::Receiver<Snapshot>, mut stop: oneshot::Receiver<()>) {
         loop {
             tokio::select! {
-                read = own.recv() => match read {
-                    Some(read) => self.take(read),
+                snapshot = snapshots.recv() => match snapshot {
+                    Some(snapshot) => self.apply(snapshot),
                     None => return,
                 },
-                () = tokio::time::sleep(TICK) => {}
+                () = tokio::time::sleep(STEP_INTERVAL) => {}
                 _ = &mut stop => break,
             }
             self.step().await;
         }
-        self.records.end().await;
-        self.hand_back().await;
+        self.records.publish_end().await;
+        self.release().await;
     }
 
+    /// Renews the lease, publishes this run's records and, as holder, does the work that is due.
     async fn step(&mut self) {
         if self.shared.is_stopping() {
-            self.hand_back().await;
+            self.release().await;
         } else {
             self.renew().await;
         }
@@ -88,32 +90,32 @@
             return;
         };
         if self.shared.settings.load().duties.usage {
-            self.records.gather().await;
-            self.report(grant).await;
+            self.records.read_counts().await;
+            self.report_usage(grant).await;
         }
         if self.shared.settings.load().duties.orders {
-            for _ in 0..ORDERS {
-                if !self.order(grant).await {
+            for _ in 0..MAX_ORDERS_PER_STEP {
+                if !self.send_order(grant).await {
                     break;
                 }
             }
         }
-        self.records.clean().await;
+        self.records.remove_forgotten().await;
     }
 
-    fn take(&mut self, own: Own) {
+    fn apply(&mut self, snapshot: Snapshot) {
         let now = self.shared.now();
-        let duty = format!("{PREFIX}duty");
-        let duty = own.entries.iter().find(|entry| entry.key == duty);
+        let duty = format!("{KEY_PREFIX}duty");
+        let duty = snapshot.entries.iter().find(|entry| entry.key == duty);
         self.lease.observe_read(now, duty);
-        let sealed: Vec<Entry> = own
+        let sealed: Vec<Entry> = snapshot
             .entries
             .iter()
             .filter(|entry| entry.key.starts_with(report::SEALED_PREFIX))
             .cloned()
             .collect();
         self.reporter.load_sealed(&sealed);
-        self.records.take(&own);
+        self.records.apply(&snapshot);
     }
 
     fn grant(&self) -> Option<Grant> {
@@ -122,52 +124,61 @@
 
     async fn renew(&mut self) {
         let now = self.shared.now();
-        let candidate = now.since(self.began) >= SETTLED;
-        let mut call = self.lease.tick(now, candidate);
-        while let Some(next) = call {
-            let answer = call::send(&self.shared, &self.store, &next, WRITE).await.answer;
-            call = self.lease.on_answer(self.shared.now(), &answer);
+        let is_candidate = now.since(self.started_at) >= CANDIDACY_DELAY;
+        let mut next_call = self.lease.tick(now, is_candidate);
+        while let Some(call) = next_call {
+            let answer = call::send(&self.shared, &self.store, &call, WRITE_TIMEOUT)
+                .await
+                .answer;
+            next_call = self.lease.on_answer(self.shared.now(), &answer);
         }
-        self.tell();
+        self.log_change();
     }
 
-    async fn hand_back(&mut self) {
+    async fn release(&mut self) {
         let now = self.shared.now();
         self.lease.release(now);
         while let Some(call) = self.lease.tick(self.shared.now(), false) {
-            let answer = call::send(&self.shared, &self.store, &call, WRITE).await.answer;
+            let answer = call::send(&self.shared, &self.store, &call, WRITE_TIMEOUT)
+                .await
+                .answer;
             self.lease.on_answer(self.shared.now(), &answer);
         }
-        self.tell();
+        self.log_change();
     }
 
-    fn tell(&mut self) {
+    /// Logs when this host gains or loses the lease.
+    fn log_change(&mut self) {
         let grant = self.grant();
-        if grant.is_some() != self.holds {
-            self.holds = grant.is_some();
+        if grant.is_some() != self.is_holder {
+            self.is_holder = grant.is_some();
             tracing::info!(
                 event = "duty",
-                held = self.holds,
+                held = self.is_holder,
                 fence = grant.map(|grant| grant.fence)
             );
         }
     }
 
-    async fn report(&mut self, grant: Grant) {
+    /// Seals the usage windows that are due, and reports them.
+    async fn report_usage(&mut self, grant: Grant) {
         let now = self.shared.now();
-        let civil = self.shared.civil(now);
+        let wall_clock_ms = self.shared.wall_clock_ms(now);
         let mut step = {
             let state = self.shared.state();
-            let plan = report::Schedule {
+            let schedule = report::Schedule {
                 length_s: state.bounds.usage_window_s,
                 due_s: state.bounds.usage_due_s,
             };
-            self.reporter.tick(now, civil, plan, grant, &state.ledger)
+            self.reporter
+                .tick(now, wall_clock_ms, schedule, grant, &state.ledger)
         };
         while let Some(next) = step {
             step = match next {
                 report::Step::Store(call) => {
-                    let answer = call::send(&self.shared, &self.store, &call, WRITE).await.answer;
+                    let answer = call::send(&self.shared, &self.store, &call, WRITE_TIMEOUT)
+                        .await
+                        .answer;
                     self.reporter.answer(self.shared.now(), &answer)
                 }
                 report::Step::Report(grant, window) => {
@@ -193,8 +204,8 @@
         status == Some(StatusCode::OK.as_u16())
     }
 
-    /// Sends one order; whether it was accepted.
-    async fn order(&mut self, grant: Grant) -> bool {
+    /// Sends one order; returns whether it was accepted.
+    async fn send_order(&mut self, grant: Grant) -> bool {
         let now = self.shared.now();
         let (order, flow) = {
             let state = self.shared.state();
@@ -228,23 +239,23 @@
         accepted
     }
 
-    /// Sends under the duty; the status, if one came.
+    /// Sends a request under the lease; returns the status, if there was a response.
     ///
-    /// The process may have been frozen since the grant was looked at: the last
-    /// look is right before the bytes leave, and the send ends with the grant.
+    /// The process may have been suspended since the grant was checked, so it is checked
+    /// again right before sending, and the send is bounded to end with the grant.
     async fn send(&mut self, grant: Grant, request: hyper::Request<bytes::Bytes>) -> Option<u16> {
         if !grant.covers(self.shared.now()) {
             return None;
         }
         let address = self.shared.settings.load().desk;
-        let asked = self.desk.send(address, request, grant.max_send).await;
-        let (outcome, status) = match asked {
+        let outcome = self.desk.send(address, request, grant.max_send).await;
+        let (label, status) = match outcome {
             Outcome::Response(status, _) if status.is_success() => ("ok", Some(status.as_u16())),
             Outcome::Response(status, _) => ("refused", Some(status.as_u16())),
             Outcome::NotSent => ("refused", None),
             Outcome::Lost { .. } => ("lost", None),
         };
-        self.shared.metrics.platform_call("duty", outcome);
+        self.shared.metrics.platform_call("duty", label);
         if status == Some(StatusCode::CONFLICT.as_u16()) {
             tracing::warn!(event = "duty-refused", fence = grant.fence);
         }
--- a/crates/entry/src/proxy/slot.rs
+++ b/crates/entry/src/proxy/slot.rs
@@ -1,4 +1,4 @@
-//! A request's place on a runner.
+//! A request's reservation on a runner.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,52 +10,61 @@
 
 use super::Shared;
 
-/// A place on a runner; dropping it gives the place back.
+/// A reservation on a runner; dropping it releases the runner's load.
 #[derive(Debug)]
 pub struct Slot {
     pub(super) shared: Arc<Shared>,
-    /// The runner.
+    /// Key of the runner in the fleet.
     pub key: Key,
-    /// Its id.
+    /// Id of the runner.
     pub id: String,
+    /// Address of the runner.
     pub(super) address: SocketAddr,
-    pub(super) work: u64,
-    pub(super) held: u64,
-    pub(super) outlook: Conditions,
-    /// When the request was sent there.
-    pub(super) sent: Option<Moment>,
-    /// Where a runner listens that has read the beginning of the prompt.
-    pub(super) source: Option<SocketAddr>,
+    /// Time to prefill the prompt, in microseconds; 0 once that has finished.
+    pub(super) prefill_us: u64,
+    /// Tokens of the runner's KV cache that the request occupies at its end.
+    pub(super) kv_tokens: u64,
+    /// Conditions on the runner when it was chosen; its first event is compared with them.
+    pub(super) conditions: Conditions,
+    /// Time at which the request was sent to the runner.
+    pub(super) sent_at: Option<Moment>,
+    /// Address of a runner whose cache holds the beginning of the prompt.
+    pub(super) cache_source: Option<SocketAddr>,
 }
 
 impl Slot {
-    /// The runner has read the prompt; its first event came.
-    pub fn read(&mut self) {
+    /// Records that prefill has finished, as the first event arrived.
+    pub fn finish_prefill(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.finish_prefill(self.key, self.work);
-        if let Some(sent) = self.sent.filter(|_| self.work > 0) {
-            state.record_first_event(self.key, &self.outlook, now.since(sent));
+        state.fleet.finish_prefill(self.key, self.prefill_us);
+        if let Some(sent_at) = self.sent_at.filter(|_| self.prefill_us > 0) {
+            state.record_first_event(self.key, &self.conditions, now.since(sent_at));
         }
-        self.work = 0;
+        self.prefill_us = 0;
     }
 
-    /// The runner has read what it had before as well as the prompt; that tells nothing of
-    /// its pace.
-    pub fn read_again(&mut self) {
-        self.shared.state().fleet.finish_prefill(self.key, self.work);
-        self.work = 0;
+    /// Records that prefill of a resumed stream has finished.
+    ///
+    /// The runner has read the earlier events as well as the prompt, so the time taken
+    /// is no measure of its speed.
+    pub fn finish_resumed_prefill(&mut self) {
+        self.shared
+            .state()
+            .fleet
+            .finish_prefill(self.key, self.prefill_us);
+        self.prefill_us = 0;
     }
 
-    /// An event came, `pause` after the one before.
-    pub fn event(&self, pause: Duration) {
+    /// Records an event that arrived `pause` after the previous one.
+    pub fn record_event(&self, pause: Duration) {
         self.shared.state().record_event(self.key, pause);
     }
 
-    /// Tells of the runner's health.
-    pub fn sign(&self, sign: Attempt) {
+    /// Records the outcome of an attempt on the runner.
+    pub fn record_attempt(&self, attempt: Attempt) {
         let now = self.shared.now();
-        self.shared.state().fleet.record_attempt(now, self.key, sign);
+        self.shared.state().fleet.record_attempt(now, self.key, attempt);
     }
 }
 
@@ -63,9 +72,11 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.finish_request(self.key, self.work, self.held);
-        if let Some(sent) = self.sent.filter(|_| self.outlook.prompt > 0) {
-            state.record_residence(self.key, now.since(sent));
+        state
+            .fleet
+            .finish_request(self.key, self.prefill_us, self.kv_tokens);
+        if let Some(sent_at) = self.sent_at.filter(|_| self.conditions.prompt > 0) {
+            state.record_residence(self.key, now.since(sent_at));
         }
     }
 }
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -1,8 +1,9 @@
-//! Streams: whole events as they come, and going on at another runner.
+//! Forwarding of event streams, with resumption on another runner.
 //!
-//! A resumable stream that breaks off goes on after the last event that was
-//! passed on, inside the same answer. The former run is closed first, by
-//! dropping its connection, so that two runners never work on one stream.
+//! Only complete events are forwarded. A resumable stream that breaks off is
+//! resumed after the last forwarded event, within the same response. The
+//! connection of the previous segment is dropped first, so that two runners
+//! never work on one stream.
 
 use std::sync::Arc;
 
@@ -16,9 +17,9 @@
 use radishstair_core::retry::Fault;
 
 use super::events::Events;
-use super::forward::{Forwarder, Halt};
-use super::job::{Job, Tries};
-use super::reply::{self, Body, Cut};
+use super::forward::{AttemptError, Forwarder};
+use super::job::{AttemptLog, Job};
+use super::reply::{self, Body, Truncated};
 use super::slot::Slot;
 use crate::flight::Flight;
 use crate::upstream::attempts::{self, Attempts};
@@ -27,17 +28,17 @@
 
 use segment::{Progress, Segment};
 
-/// Tells how a stream ended, also when its caller left.
-struct Closing {
+/// Logs the end of a stream when dropped, also if the caller disconnects.
+struct EndLog {
     forwarder: Arc<Forwarder>,
     job: Arc<Job>,
-    runs: u32,
+    segments: u32,
     events: usize,
     outcome: &'static str,
     _flight: Flight,
 }
 
-impl Drop for Closing {
+impl Drop for EndLog {
     fn drop(&mut self) {
         let shared = &self.forwarder.shared;
         let now = shared.now();
@@ -45,78 +46,78 @@
         shared.metrics.request(route, self.outcome);
         tracing::info!(
             event = "stream-ended",
-            request = self.job.head.id,
+            request = self.job.metadata.id,
             route,
             outcome = self.outcome,
-            runs = self.runs,
+            runs = self.segments,
             events = self.events,
             after_ms = now.since(self.job.arrived).as_millis() as u64
         );
     }
 }
 
-/// What a stream begins with.
-enum Begun {
-    /// Its first events.
+/// Start of a response to a stream request.
+enum StartOutcome {
+    /// A stream and its first events.
     Stream(Box<Segment>, Events),
-    /// A runner's failure, whole.
+    /// A runner's error response, complete.
     Failure(Response<Body>),
 }
 
-/// A stream that waits for its first event.
-struct Begin<'a> {
+/// Attempts at starting a stream, up to its first event.
+struct StreamStart<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
-    tries: &'a mut Tries,
-    /// A runner's own failure, passed on if no other runner does better.
+    log: &'a mut AttemptLog,
+    /// Last server error of a runner, forwarded if no other runner succeeds.
     failure: Option<Response<Body>>,
 }
 
-impl Attempts for Begin<'_> {
+impl Attempts for StreamStart<'_> {
     type Place = Slot;
-    type Answer = Begun;
+    type Answer = StartOutcome;
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
-        self.forwarder.place(self.job, self.tries)
+        self.forwarder.reserve_slot(self.job, self.log)
     }
 
-    async fn attempt(&mut self, slot: Slot) -> Result<Begun, Halt> {
-        let opened = self.forwarder.open(self.job, None, slot, self.tries).await?;
-        if !opened.parts.status.is_success() {
-            let collected = self.forwarder.collect(self.job, opened).await;
-            let (parts, body) = collected.ok_or(Halt::Failed(Fault::MayHaveRun))?;
-            let answer = reply::whole(&parts, body);
+    async fn attempt(&mut self, slot: Slot) -> Result<StartOutcome, AttemptError> {
+        let response = self.forwarder.send(self.job, None, slot, self.log).await?;
+        if !response.parts.status.is_success() {
+            let collected = self.forwarder.read_response(self.job, response).await;
+            let (parts, body) = collected.ok_or(AttemptError::Failed(Fault::MayHaveRun))?;
+            let reply = reply::from_runner(&parts, body);
             if !parts.status.is_server_error() {
-                return Ok(Begun::Failure(answer));
+                return Ok(StartOutcome::Failure(reply));
             }
-            // A runner's own failure may pass at another runner.
-            self.failure = Some(answer);
-            return Err(Halt::Failed(Fault::MayHaveRun));
+            // A request that failed with a server error may succeed on another runner.
+            self.failure = Some(reply);
+            return Err(AttemptError::Failed(Fault::MayHaveRun));
         }
-        let mut segment = Segment::new(opened, None);
+        let mut segment = Segment::new(response, None);
         match segment.next(self.job, &self.forwarder.shared).await {
-            Progress::Events(events) => Ok(Begun::Stream(Box::new(segment), events)),
-            Progress::End => Ok(Begun::Stream(Box::new(segment), Events::default())),
+            Progress::Events(events) => Ok(StartOutcome::Stream(Box::new(segment), events)),
+            Progress::Complete => Ok(StartOutcome::Stream(Box::new(segment), Events::default())),
             Progress::Broken => {
                 segment.abandon(self.job);
-                Err(Halt::Failed(Fault::MayHaveRun))
+                Err(AttemptError::Failed(Fault::MayHaveRun))
             }
-            Progress::Over => Err(Halt::Over(Kind::UpstreamTimeout.into())),
+            Progress::TimedOut => Err(AttemptError::Over(Kind::UpstreamTimeout.into())),
         }
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        self.forwarder.fail(self.job, self.tries, fault)
+        self.forwarder.record_failure(self.job, self.log, fault)
     }
 }
 
-/// A stream that goes on after the event `last`.
+/// Attempts at resuming a stream after its last event.
 struct Resume<'a> {
     forwarder: &'a Forwarder,
     job: &'a Job,
-    tries: &'a mut Tries,
-    last: u64,
+    log: &'a mut AttemptLog,
+    last_event: u64,
 }
 
 impl Attempts for Resume<'_> {
@@ -125,142 +126,151 @@
     type End = Refusal;
 
     async fn place(&mut self) -> Result<Slot, Refusal> {
-        self.forwarder.place(self.job, self.tries)
+        self.forwarder.reserve_slot(self.job, self.log)
     }
 
-    async fn attempt(&mut self, slot: Slot) -> Result<Segment, Halt> {
-        let after = Some(self.last);
-        let opened = self.forwarder.open(self.job, after, slot, self.tries).await?;
-        match opened.parts.status.is_success() {
-            true => Ok(Segment::new(opened, after)),
-            false => Err(Halt::Failed(Fault::MayHaveRun)),
+    async fn attempt(&mut self, slot: Slot) -> Result<Segment, AttemptError> {
+        let after = Some(self.last_event);
+        let response = self.forwarder.send(self.job, after, slot, self.log).await?;
+        match response.parts.status.is_success() {
+            true => Ok(Segment::new(response, after)),
+            false => Err(AttemptError::Failed(Fault::MayHaveRun)),
         }
     }
 
     fn fail(&mut self, fault: Fault) -> Option<Refusal> {
-        self.forwarder.fail(self.job, self.tries, fault)
+        self.forwarder.record_failure(self.job, self.log, fault)
     }
 }
 
 impl Forwarder {
-    /// Has a stream run; the answer's body goes on as long as the runner does.
+    /// Forwards a stream request; the response's body lasts as long as the stream.
     ///
     /// # Errors
     ///
-    /// The refusal that the caller gets, if no runner came to its first event.
+    /// The refusal for the caller, if no runner has sent a first event.
     pub async fn forward_stream(
         self: Arc<Self>,
         job: Arc<Job>,
-        tries: &mut Tries,
+        log: &mut AttemptLog,
         flight: Flight,
     ) -> Result<Response<Body>, Refusal> {
-        let mut begin = Begin {
+        let mut start = StreamStart {
             forwarder: &self,
             job: &job,
-            tries,
+            log,
             failure: None,
         };
-        let begun = match attempts::run(&mut begin).await {
-            Ok(begun) => begun,
-            Err(refusal) => return begin.failure.ok_or(refusal),
+        let outcome = match attempts::run(&mut start).await {
+            Ok(outcome) => outcome,
+            Err(refusal) => return start.failure.ok_or(refusal),
         };
-        let (mut segment, events) = match begun {
-            Begun::Stream(segment, events) => (*segment, events),
-            Begun::Failure(answer) => return Ok(answer),
+        let (mut segment, events) = match outcome {
+            StartOutcome::Stream(segment, events) => (*segment, events),
+            StartOutcome::Failure(reply) => return Ok(reply),
         };
-        self.started(&job, &mut segment);
-        let parts = segment.opened.parts.clone();
-        let closing = Closing {
+        self.record_start(&job, &mut segment);
+        let parts = segment.response.parts.clone();
+        let end_log = EndLog {
             forwarder: self.clone(),
             job,
-            runs: 1,
+            segments: 1,
             events: 0,
             outcome: "left",
             _flight: flight,
         };
-        let tries = tries.clone();
-        Ok(answer(&parts, self.body(closing, segment, events, tries)))
+        let log = log.clone();
+        Ok(with_stream(
+            &parts,
+            self.response_body(end_log, segment, events, log),
+        ))
     }
 
-    fn started(&self, job: &Job, segment: &mut Segment) {
-        segment.opened.slot.read();
-        self.shared.count_start(job.admission.customer.as_deref());
+    fn record_start(&self, job: &Job, segment: &mut Segment) {
+        segment.response.slot.finish_prefill();
+        self.shared.count_usage(job.admission.customer.as_deref());
         let waited = self.shared.now().since(job.arrived);
         self.shared.metrics.first_after(&job.admission.route.name, waited);
     }
 
-    fn body(self: Arc<Self>, closing: Closing, segment: Segment, first: Events, mut tries: Tries) -> Body {
-        let pieces = stream! {
-            // Whole, so that it is dropped (and logged) with the stream.
-            let mut closing = closing;
-            let job = closing.job.clone();
+    fn response_body(
+        self: Arc<Self>,
+        end_log: EndLog,
+        segment: Segment,
+        first: Events,
+        mut log: AttemptLog,
+    ) -> Body {
+        let frames = stream! {
+            // Moved into the stream, so that it is dropped (and logged) with it.
+            let mut end_log = end_log;
+            let job = end_log.job.clone();
             let mut segment = segment;
-            closing.events += first.ids.len();
+            end_log.events += first.ids.len();
             if !first.bytes.is_empty() {
                 yield Ok(Frame::data(first.bytes));
             }
-            segment.rest(self.shared.now());
+            segment.start_timing(self.shared.now());
             loop {
                 match segment.next(&job, &self.shared).await {
                     Progress::Events(events) => {
-                        closing.events += events.ids.len();
-                        segment.tell(self.shared.now(), &events);
+                        end_log.events += events.ids.len();
+                        segment.record_pause(self.shared.now(), &events);
                         yield Ok(Frame::data(events.bytes));
                     }
-                    Progress::End => {
-                        closing.outcome = "ok";
+                    Progress::Complete => {
+                        end_log.outcome = "ok";
                         segment.finish(&self);
                         return;
                     }
                     Progress::Broken => {
-                        let last = segment.abandon(&job);
-                        match self.resume(&job, last, &mut tries).await {
+                        let last_event = segment.abandon(&job);
+                        match self.resume(&job, last_event, &mut log).await {
                             Some(next) => segment = next,
                             None => {
-                                closing.outcome = "broken";
-                                yield Err(Cut);
+                                end_log.outcome = "broken";
+                                yield Err(Truncated);
                                 return;
                             }
                         }
-                        closing.runs += 1;
+                        end_log.segments += 1;
                     }
-                    Progress::Over => {
-                        closing.outcome = "over";
-                        yield Err(Cut);
+                    Progress::TimedOut => {
+                        end_log.outcome = "over";
+                        yield Err(Truncated);
                         return;
                     }
                 }
             }
         };
-        BodyExt::boxed_unsync(StreamBody::new(pieces))
+        BodyExt::boxed_unsync(StreamBody::new(frames))
     }
 
-    /// Another runner that goes on after `last`; none if the stream may not go on.
-    async fn resume(&self, job: &Job, last: Option<u64>, tries: &mut Tries) -> Option<Segment> {
-        let last = last?;
-        if self.fail(job, tries, Fault::MayHaveRun).is_some() {
+    /// Resumes the stream on another runner; `None` if it cannot be resumed.
+    async fn resume(&self, job: &Job, last_event: Option<u64>, log: &mut AttemptLog) -> Option<Segment> {
+        let last_event = last_event?;
+        if self.record_failure(job, log, Fault::MayHaveRun).is_some() {
             return None;
         }
         let mut resume = Resume {
             forwarder: self,
             job,
-            tries,
-            last,
+            log,
+            last_event,
         };
         let mut segment = attempts::run(&mut resume).await.ok()?;
         tracing::info!(
             event = "stream-resumed",
-            request = job.head.id,
-            runner = segment.opened.slot.id,
-            last
+            request = job.metadata.id,
+            runner = segment.response.slot.id,
+            last = last_event
         );
-        segment.opened.slot.read_again();
+        segment.response.slot.finish_resumed_prefill();
         Some(segment)
     }
 }
 
-fn answer(parts: &response::Parts, body: Body) -> Response<Body> {
-    let mut answer = reply::whole(parts, Bytes::new());
-    *answer.body_mut() = body;
-    answer
+fn with_stream(parts: &response::Parts, body: Body) -> Response<Body> {
+    let mut response = reply::from_runner(parts, Bytes::new());
+    *response.body_mut() = body;
+    response
 }
