--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -1,8 +1,10 @@
-//! The micro-kernel: services under names, typed events in, typed actions out.
+//! Control state of one process: named services that exchange typed events.
 //!
-//! One control thread drives it. A service never touches another one; it posts
-//! an event to a name and the kernel delivers it in the same turn, in order,
-//! so the same inputs give the same outputs.
+//! One control thread passes each event to [`Kernel::handle`] and carries out
+//! the actions that it returns. Services do not call each other: a service
+//! posts an event to another one by name, and the kernel delivers it before
+//! `handle` returns, in the order of posting. The same inputs therefore give
+//! the same outputs.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -45,158 +47,160 @@
 pub const USAGE: &str = "usage";
 
 plain! {
-    /// What the members mean for this process.
+    /// Live peers, and the tasks of this process that follow from them.
     #[derive(Default)]
     pub struct Standing {
-        /// Watches the store for its zone.
+        /// Whether this process watches the store for its zone.
         pub watches_store: bool,
-        /// May seek the ordering duty.
+        /// Whether this process may apply for the ordering duty.
         pub orders_candidate: bool,
-        /// May seek the reporting duty.
+        /// Whether this process may apply for the reporting duty.
         pub usage_candidate: bool,
-        /// Zone mates that keep this process's usage.
+        /// Zone peers that store copies of this process's usage.
         pub usage_replicas: Vec<Incarnation>,
         /// Live peers and their addresses.
         pub live_peers: Vec<(Incarnation, String)>,
-        /// Addresses of the live zone mates.
+        /// Addresses of the live peers in this zone.
         pub zone_peers: Vec<String>,
-        /// Other zones, each with the addresses of its delegates.
+        /// Other zones, each with the addresses of its delegates by rank.
         pub delegates: Vec<(String, Vec<String>)>,
     }
 }
 
 plain! {
-    /// What happens to the control state.
+    /// Input of the control state.
     #[allow(missing_docs)]
     pub enum Event {
-        /// Time passes.
+        /// Periodic timer.
         Tick,
-        /// A heartbeat came.
+        /// Heartbeat from a peer.
         Heartbeat(Heartbeat),
-        /// A customer wants tickets.
+        /// A customer requests tickets.
         IssueTickets { call: CallId, customer: String, count: u32 },
-        /// A copy of an at-most-once call came.
+        /// A copy of an at-most-once call arrived.
         BeginCall { call: CallId, customer: String, idempotency_key: String, body_hash: u64 },
         /// An at-most-once call ended.
         EndCall { key: Key, end: End },
-        /// The owner of a call cannot be reached.
+        /// The owner of an at-most-once call cannot be reached.
         OwnerUnreachable { call: CallId, owner: Incarnation, key: Key },
-        /// A call seeks a runner.
+        /// A call needs a runner.
         Acquire(Seek),
-        /// A call on a runner ended.
+        /// A call ended and frees its slot at the runner.
         Release { call: CallId, outcome: Outcome },
-        /// A waiting call's caller went away.
+        /// The caller of a waiting call disconnected.
         Cancel(CallId),
-        /// A runner said, or showed, that it leaves.
+        /// A runner announced that it is draining, or refused work.
         RunnerLeaving(String),
-        /// Something to count.
+        /// Usage of one call.
         RecordUsage(Item),
-        /// The store answered.
+        /// Answer from the store.
         StoreAnswer(Token, store::Answer),
-        /// A peer asks for configuration.
+        /// A peer requests configuration.
         Pull(CallId, Pull),
-        /// A peer sent configuration.
+        /// Configuration from a peer.
         Pulled(Pulled),
-        /// The reporter asks for usage.
+        /// The holder of the reporting duty requests usage.
         Collect(CallId, Collect),
-        /// A host sent its usage.
+        /// Usage from a peer.
         Collected(Collected),
-        /// The platform's list.
+        /// The platform's current list of runners.
         RunnerList(Vec<Listed>),
-        /// The usage interface answered.
+        /// Whether the usage interface accepted the report.
         ReportAnswer(bool),
-        /// The ordering interface answered.
+        /// Whether the ordering interface accepted the order.
         OrderAnswer(bool),
-        /// An operator or test asks how things stand.
+        /// An operator or a test requests the status.
         Status(CallId),
-        /// The process is to stop.
+        /// Start of a graceful stop.
         Stop,
-        /// No call is left in this process.
+        /// The last call of this process ended, after [`Event::Stop`].
         Drained,
-        /// A new view is in force (between services).
+        /// New configuration in force (posted between services).
         View(Arc<View>),
-        /// The members changed (between services).
+        /// The members changed (posted between services).
         Membership(Standing),
-        /// Heartbeats are about to leave: live zone mates, live peers of all
-        /// zones, and this host's place among them (between services).
-        HeartbeatRound { mates: usize, peers: usize, index: usize },
-        /// Zones' words and own demand (between services).
+        /// A round of heartbeats is about to be sent: counts of live peers in
+        /// this zone and in all zones, and this host's index among all live
+        /// hosts (posted between services).
+        HeartbeatRound { zone_peers: usize, all_peers: usize, own_index: usize },
+        /// Summaries of all zones, or the demand of this zone alone (posted
+        /// between services).
         ZoneSummaries(Vec<ZoneSummary>),
     }
 }
 
 plain! {
-    /// An answer to a call that waits.
+    /// Answer to a waiting call.
     pub enum Reply {
-        /// Tickets, or why not.
+        /// Tickets, or the reason for refusing them.
         Tickets(Result<Vec<String>, Refusal>),
-        /// What the owner decided.
+        /// Decision on an at-most-once call.
         Verdict(Verdict),
-        /// Where the call starts.
+        /// Runner on which the call starts.
         Start(Start),
-        /// Why it does not.
+        /// Reason why the call does not start.
         Refused(Refusal),
-        /// Configuration for a peer.
+        /// Configuration for the requesting peer.
         Pulled(Pulled),
-        /// Usage for the reporter.
+        /// Usage for the requesting peer.
         Collected(Collected),
-        /// How things stand.
+        /// Status of this host.
         Status(Status),
     }
 }
 
 record! {
-    /// How things stand at this host.
+    /// Status of this host.
     #[derive(Default)]
     pub struct Status {
         /// Configuration version in force.
         pub version: u64,
-        /// Whether keys may be trusted, so that callers are served.
+        /// Whether the configuration is recent enough to trust API keys;
+        /// callers are served only then.
         pub trusted: bool,
         /// Age of the newest answer from the store, in milliseconds.
         pub age_ms: Option<u64>,
-        /// Live hosts, this one included.
+        /// Live hosts, including this one.
         pub hosts: usize,
-        /// Zones with the lowest version among their hosts, hosts, and the
-        /// age of that summary in milliseconds.
+        /// Last summary of each zone.
         pub zones: Vec<ZoneStatus>,
-        /// Duties held here, with fencing numbers.
+        /// Duties held by this host, with their fencing numbers.
         pub duties: Vec<(String, u64)>,
-        /// Calls that wait, by tier.
+        /// Waiting calls by tier.
         pub queue: Vec<(String, usize)>,
-        /// Runners known, and how many may take work.
+        /// Known runners, and how many of them accept calls.
         pub runners: (usize, usize),
-        /// Records of at-most-once calls: tickets and claims.
+        /// At-most-once records: tickets and claims.
         pub records: (usize, usize),
-        /// Usage chunks kept.
+        /// Usage chunks in memory.
         pub chunks: usize,
     }
 }
 
 record! {
-    /// A zone as last heard of.
+    /// Status of an availability zone by its last summary.
     pub struct ZoneStatus {
-        /// Its name.
+        /// Name of the zone.
         pub zone: String,
-        /// Lowest version in force among its hosts.
+        /// Lowest configuration version in force among its hosts.
         pub version: u64,
-        /// Hosts.
+        /// Live hosts in the zone.
         pub hosts: u32,
-        /// Age of this summary, in milliseconds.
+        /// Age of the summary, in milliseconds.
         pub age_ms: u64,
     }
 }
 
 plain! {
-    /// What the shell is to do.
+    /// I/O that the kernel requests from the program around it.
     pub enum Action {
-        /// Ask the store.
+        /// Send a request to the store.
         Store(Token, store::Call),
         /// Send a heartbeat to an address.
         Heartbeat(String, Box<Heartbeat>),
-        /// Ask an address for configuration.
+        /// Request configuration from an address.
         Pull(String, Pull),
-        /// Ask an address for usage.
+        /// Request usage from an address.
         Collect(String, Collect),
         /// Answer a call.
         Reply(CallId, Box<Reply>),
@@ -204,28 +208,28 @@
         View(Arc<View>),
         /// Publish the members to the traffic threads.
         Members(Vec<Member>),
-        /// Whether keys may be trusted, for the traffic threads.
+        /// Publish to the traffic threads whether API keys may be trusted.
         KeysTrusted(bool),
-        /// Send a report if the grant still covers the moment of sending.
+        /// Send a report if the grant still covers the time of sending.
         Report(Grant, Seal),
-        /// Send an order if the grant still covers the moment of sending.
+        /// Send an order if the grant still covers the time of sending.
         Order(Grant, Order),
-        /// Everything is handed back: the process may end.
+        /// The graceful stop is complete: the process may exit.
         Exit,
     }
 }
 
-/// Where services put what they want done.
+/// Actions and events that services produce while they handle an event.
 #[derive(Debug, Default)]
 pub struct Outbox {
     actions: Vec<Action>,
-    posts: VecDeque<(&'static str, Event)>,
-    tokens: Vec<(Token, &'static str)>,
-    next: u64,
+    events: VecDeque<(&'static str, Event)>,
+    pending_tokens: Vec<(Token, &'static str)>,
+    last_token: u64,
 }
 
 impl Outbox {
-    /// Has the shell do something.
+    /// Adds an action for the program around the kernel.
     pub fn push_action(&mut self, action: Action) {
         self.actions.push(action);
     }
@@ -235,38 +239,41 @@
         self.push_action(Action::Reply(call, Box::new(reply)));
     }
 
-    /// Posts an event to a service.
+    /// Posts an event to the service of that name.
     pub fn post(&mut self, to: &'static str, event: Event) {
-        self.posts.push_back((to, event));
+        self.events.push_back((to, event));
     }
 
-    /// A token whose answer comes back to `from`.
+    /// New token; the store's answer to it is delivered to `from`.
     pub fn new_token(&mut self, from: &'static str) -> Token {
-        self.next += 1;
-        let token = Token(self.next);
-        self.tokens.push((token, from));
+        self.last_token += 1;
+        let token = Token(self.last_token);
+        self.pending_tokens.push((token, from));
         token
     }
 
-    /// Asks the store on behalf of a service.
+    /// Sends a request to the store; the answer is delivered to `from`.
     pub fn call_store(&mut self, from: &'static str, call: store::Call) -> Token {
         let token = self.new_token(from);
         self.push_action(Action::Store(token, call));
         token
     }
 
-    /// Gives back a token that no question went out under.
+    /// Discards a token under which no request was sent.
     pub fn discard_token(&mut self, token: Token) {
         self.take_token(token);
     }
 
     fn take_token(&mut self, token: Token) -> Option<&'static str> {
-        let at = self.tokens.binary_search_by(|(have, _)| have.cmp(&token)).ok()?;
-        Some(self.tokens.remove(at).1)
+        let index = self
+            .pending_tokens
+            .binary_search_by(|(issued, _)| issued.cmp(&token))
+            .ok()?;
+        Some(self.pending_tokens.remove(index).1)
     }
 }
 
-/// The closed set of services.
+/// All services of the kernel.
 #[derive(Debug)]
 enum Service {
     Member(Box<member::Service>),
@@ -277,7 +284,7 @@
     Usage(Box<usage::Service>),
 }
 
-macro_rules! each {
+macro_rules! with_service {
     ($service:expr, $inner:ident => $body:expr) => {
         match $service {
             Service::Member($inner) => $body,
@@ -291,17 +298,17 @@
 }
 
 plain! {
-    /// What a kernel is built from.
+    /// Arguments of [`Kernel::new`].
     pub struct Setup {
-        /// This process.
+        /// Identity of this process.
         pub identity: Identity,
-        /// Addresses of some peers.
+        /// Addresses of peers to contact first.
         pub seeds: Vec<String>,
-        /// Secret of this incarnation.
+        /// Secret that signs the tickets of this incarnation.
         pub secret: Secret,
         /// Seed of all random choices.
         pub seed: u64,
-        /// How calls are ordered and placed.
+        /// Policy by which calls are ordered and assigned to runners.
         pub policy: Policy,
     }
 }
@@ -310,11 +317,11 @@
 #[derive(Debug)]
 pub struct Kernel {
     services: Vec<(&'static str, Service)>,
-    out: Outbox,
+    outbox: Outbox,
 }
 
 impl Kernel {
-    /// A process that has just started, with empty memory.
+    /// Creates the control state of a process that has just started.
     pub fn new(now: Moment, setup: Setup) -> Self {
         let me = setup.identity.incarnation;
         let zone = setup.identity.zone.clone();
@@ -341,72 +348,77 @@
         services.sort_by_key(|(name, _)| *name);
         Self {
             services,
-            out: Outbox::default(),
+            outbox: Outbox::default(),
         }
     }
 
-    /// Takes an event in and says what is to be done.
+    /// Handles an event and returns the actions that follow from it.
     pub fn handle(&mut self, now: Moment, mut event: Event) -> Vec<Action> {
-        if !self.complete(&mut event) {
+        if !self.restore_sender(&mut event) {
             return Vec::new();
         }
         match recipient(&event) {
             Recipient::All => self.deliver_all(now, &event),
             Recipient::One(name) => self.deliver(now, name, &event),
-            Recipient::Asker(token) => {
-                if let Some(name) = self.out.take_token(token) {
+            Recipient::Requester(token) => {
+                if let Some(name) = self.outbox.take_token(token) {
                     self.deliver(now, name, &event);
                 }
             }
         }
-        while let Some((name, event)) = self.out.posts.pop_front() {
+        while let Some((name, event)) = self.outbox.events.pop_front() {
             self.deliver(now, name, &event);
         }
-        self.compose(now);
-        std::mem::take(&mut self.out.actions)
+        self.fill_heartbeat(now);
+        std::mem::take(&mut self.outbox.actions)
     }
 
-    /// Fills in what a heartbeat left out because this host knows it; false
-    /// when it does not, and the sender will find that out by the digests.
-    fn complete(&mut self, event: &mut Event) -> bool {
-        let Event::Heartbeat(beat) = event else {
+    /// Restores the texts that a heartbeat leaves out for receivers that know
+    /// its sender; other events stay as they are. Returns false if this host
+    /// does not know the sender: the heartbeat is dropped, and the sender
+    /// detects the difference by the digests.
+    fn restore_sender(&mut self, event: &mut Event) -> bool {
+        let Event::Heartbeat(heartbeat) = event else {
             return true;
         };
         self.services.iter().any(|(_, service)| match service {
-            Service::Member(member) => member.complete(beat),
+            Service::Member(member) => member.restore_sender(heartbeat),
             _ => false,
         })
     }
 
     fn deliver(&mut self, now: Moment, name: &str, event: &Event) {
-        if let Ok(at) = self.services.binary_search_by(|(have, _)| (*have).cmp(name)) {
-            let out = &mut self.out;
-            each!(&mut self.services[at].1, service => service.handle(now, event, out));
+        if let Ok(index) = self
+            .services
+            .binary_search_by(|(registered, _)| (*registered).cmp(name))
+        {
+            let outbox = &mut self.outbox;
+            with_service!(&mut self.services[index].1, service => service.handle(now, event, outbox));
         }
     }
 
     fn deliver_all(&mut self, now: Moment, event: &Event) {
-        for at in 0..self.services.len() {
-            let name = self.services[at].0;
+        for index in 0..self.services.len() {
+            let name = self.services[index].0;
             self.deliver(now, name, event);
         }
         if let Event::Status(call) = event {
             let mut status = Status::default();
             for (_, service) in &self.services {
-                each!(service, service => service.describe(now, &mut status));
+                with_service!(service, service => service.add_status(now, &mut status));
             }
-            self.out.reply(*call, Reply::Status(status));
+            self.outbox.reply(*call, Reply::Status(status));
         }
     }
 
-    /// Has every service add to the heartbeats that are about to leave.
-    fn compose(&mut self, now: Moment) {
-        for action in &mut self.out.actions {
-            let Action::Heartbeat(address, beat) = action else {
+    /// Lets every service add its fields to the outgoing heartbeats.
+    fn fill_heartbeat(&mut self, now: Moment) {
+        for action in &mut self.outbox.actions {
+            let Action::Heartbeat(address, heartbeat) = action else {
                 continue;
             };
             for (_, service) in &mut self.services {
-                each!(service, service => service.compose(now, address, beat));
+                with_service!(service, service => service.fill_heartbeat(now, address, heartbeat));
             }
         }
     }
@@ -415,7 +427,7 @@
 enum Recipient {
     All,
     One(&'static str),
-    Asker(Token),
+    Requester(Token),
 }
 
 fn recipient(event: &Event) -> Recipient {
@@ -438,6 +450,6 @@
         }
         Event::Pull(..) | Event::Pulled(_) => Recipient::One(CONFIG),
         Event::OrderAnswer(_) => Recipient::One(ORDERS),
-        Event::StoreAnswer(token, _) => Recipient::Asker(*token),
+        Event::StoreAnswer(token, _) => Recipient::Requester(*token),
     }
 }
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -44,7 +44,7 @@
     }
 
     /// Takes an event in.
-    pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
+    pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
             Event::IssueTickets {
                 call,
@@ -52,36 +52,36 @@
                 count,
             } => {
                 let tickets = self.records.issue(now, customer, *count);
-                out.reply(*call, Reply::Tickets(tickets));
+                outbox.reply(*call, Reply::Tickets(tickets));
             }
             Event::BeginCall {
                 call,
                 customer,
                 idempotency_key: once,
                 body_hash: body,
-            } => self.begin(now, *call, once, (customer, *body), out),
+            } => self.begin(now, *call, once, (customer, *body), outbox),
             Event::EndCall { key, end } => {
                 for call in self.records.end(*key, end.clone()) {
                     let verdict = self.records.outcome(*key);
                     self.waiting.retain(|(have, _)| *have != call);
-                    out.reply(call, Reply::Verdict(verdict));
+                    outbox.reply(call, Reply::Verdict(verdict));
                 }
             }
             Event::OwnerUnreachable { call, owner, key } => {
                 let ask = store::Call::Get {
                     key: format!("{TOMBSTONE_PREFIX}{owner}"),
                 };
-                let token = out.call_store(CALLS, ask);
+                let token = outbox.call_store(CALLS, ask);
                 self.inquiries.push((token, *call, *key));
             }
-            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
+            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, outbox),
             Event::Stop => self.records.close(),
-            Event::Drained => self.write_tombstone(out),
+            Event::Drained => self.write_tombstone(outbox),
             _ => {}
         }
         if self.drained && self.tombstone.is_none() && !self.done {
             self.done = true;
-            out.push_action(Action::Exit);
+            outbox.push_action(Action::Exit);
         }
     }
 
@@ -91,64 +91,64 @@
         call: CallId,
         once: &str,
         (customer, body): (&str, u64),
-        out: &mut Outbox,
+        outbox: &mut Outbox,
     ) {
         if once.starts_with(ticket::PREFIX) {
             let verdict = match Ticket::parse(once) {
                 Some(ticket) => self.records.begin_ticket(now, call, &ticket, customer, body),
                 None => Verdict::Refuse(Kind::BadIdempotencyKey.into()),
             };
-            self.tell(call, verdict, out);
+            self.tell(call, verdict, outbox);
             return;
         }
         if let Err(refusal) = claim::check(now, once) {
-            self.tell(call, Verdict::Refuse(refusal), out);
+            self.tell(call, Verdict::Refuse(refusal), outbox);
             return;
         }
-        let token = out.new_token(CALLS);
+        let token = outbox.new_token(CALLS);
         match self
             .registry
             .begin(now, &mut self.records, token, (call, once), (customer, body))
         {
             Ok(verdict) => {
-                out.discard_token(token);
-                self.tell(call, verdict, out);
+                outbox.discard_token(token);
+                self.tell(call, verdict, outbox);
             }
-            Err(ask) => out.push_action(Action::Store(token, ask)),
+            Err(ask) => outbox.push_action(Action::Store(token, ask)),
         }
     }
 
-    fn stored(&mut self, now: Moment, token: Token, answer: &Answer, out: &mut Outbox) {
+    fn stored(&mut self, now: Moment, token: Token, answer: &Answer, outbox: &mut Outbox) {
         if self.tombstone == Some(token) {
             self.tombstone = None;
             return;
         }
         if let Some(at) = self.inquiries.iter().position(|(have, ..)| *have == token) {
             let (_, call, key) = self.inquiries.swap_remove(at);
-            self.tell(call, Verdict::Refuse(judge(answer, key)), out);
+            self.tell(call, Verdict::Refuse(judge(answer, key)), outbox);
             return;
         }
         // The kernel hands each token out once; a second question of one
         // claim goes out under a new one.
-        let again = out.new_token(CALLS);
+        let again = outbox.new_token(CALLS);
         let step = self.registry.answer(now, &mut self.records, token, again, answer);
         if let Some((_, Err(ask))) = step {
-            out.push_action(Action::Store(again, ask));
+            outbox.push_action(Action::Store(again, ask));
             return;
         }
-        out.discard_token(again);
+        outbox.discard_token(again);
         if let Some((call, Ok(verdict))) = step {
-            self.tell(call, verdict, out);
+            self.tell(call, verdict, outbox);
         }
     }
 
-    fn tell(&mut self, call: CallId, verdict: Verdict, out: &mut Outbox) {
+    fn tell(&mut self, call: CallId, verdict: Verdict, outbox: &mut Outbox) {
         if verdict != Verdict::Wait {
-            out.reply(call, Reply::Verdict(verdict));
+            outbox.reply(call, Reply::Verdict(verdict));
         }
     }
 
-    fn write_tombstone(&mut self, out: &mut Outbox) {
+    fn write_tombstone(&mut self, outbox: &mut Outbox) {
         if self.drained {
             return;
         }
@@ -163,14 +163,14 @@
             expect: 0,
             value,
         };
-        self.tombstone = Some(out.call_store(CALLS, call));
+        self.tombstone = Some(outbox.call_store(CALLS, call));
     }
 
     /// Adds nothing to a heartbeat.
-    pub fn compose(&mut self, _now: Moment, _address: &str, _beat: &mut Heartbeat) {}
+    pub fn fill_heartbeat(&mut self, _now: Moment, _address: &str, _beat: &mut Heartbeat) {}
 
     /// Adds to the status.
-    pub fn describe(&self, _now: Moment, status: &mut Status) {
+    pub fn add_status(&self, _now: Moment, status: &mut Status) {
         status.records = self.records.size();
     }
 }
--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -18,62 +18,62 @@
 
 impl Service {
     /// Takes an event in.
-    pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
+    pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
             Event::Tick => {
                 let call = self.inner.tick(now, self.watcher);
-                self.request.send(CONFIG, call, out);
-                self.tell_trust(now, out);
+                self.request.send(CONFIG, call, outbox);
+                self.tell_trust(now, outbox);
             }
-            Event::Membership(standing) => self.watcher = standing.watches_store,
+            Event::Membership(membership) => self.watcher = membership.watches_store,
             Event::StoreAnswer(token, answer) if self.request.accept(*token) => {
                 let (_, call) = self.inner.answer(now, answer);
-                self.request.send(CONFIG, call, out);
-                self.publish(now, out);
+                self.request.send(CONFIG, call, outbox);
+                self.publish(now, outbox);
             }
-            Event::Heartbeat(beat) => {
-                if let Some(pull) = self.inner.hear(now, beat) {
-                    out.push_action(Action::Pull(beat.sender.address.clone(), pull));
+            Event::Heartbeat(heartbeat) => {
+                if let Some(pull) = self.inner.hear(now, heartbeat) {
+                    outbox.push_action(Action::Pull(heartbeat.sender.address.clone(), pull));
                 }
             }
-            Event::Pull(call, pull) => out.reply(*call, Reply::Pulled(self.inner.pull(pull))),
+            Event::Pull(call, pull) => outbox.reply(*call, Reply::Pulled(self.inner.pull(pull))),
             Event::Pulled(pulled) => {
                 self.inner.pulled(pulled);
-                self.publish(now, out);
+                self.publish(now, outbox);
             }
             _ => {}
         }
     }
 
-    fn publish(&mut self, now: Moment, out: &mut Outbox) {
+    fn publish(&mut self, now: Moment, outbox: &mut Outbox) {
         let view = self.inner.view().clone();
         if view.version == self.told {
             return;
         }
         self.told = view.version;
         for name in [MEMBER, DISPATCH, CALLS, ORDERS, USAGE] {
-            out.post(name, Event::View(view.clone()));
+            outbox.post(name, Event::View(view.clone()));
         }
-        out.push_action(Action::View(view));
-        self.tell_trust(now, out);
+        outbox.push_action(Action::View(view));
+        self.tell_trust(now, outbox);
     }
 
-    fn tell_trust(&mut self, now: Moment, out: &mut Outbox) {
+    fn tell_trust(&mut self, now: Moment, outbox: &mut Outbox) {
         let trusted = self.inner.trusted(now);
         if self.trusted != Some(trusted) {
             self.trusted = Some(trusted);
-            out.push_action(Action::KeysTrusted(trusted));
+            outbox.push_action(Action::KeysTrusted(trusted));
         }
     }
 
     /// Adds to a heartbeat.
-    pub fn compose(&mut self, now: Moment, _address: &str, beat: &mut Heartbeat) {
-        beat.version = self.inner.view().version;
-        beat.store_age_ms = self.inner.age(now).map_or(u64::MAX, |age| age.as_millis() as u64);
+    pub fn fill_heartbeat(&mut self, now: Moment, _address: &str, heartbeat: &mut Heartbeat) {
+        heartbeat.version = self.inner.view().version;
+        heartbeat.store_age_ms = self.inner.age(now).map_or(u64::MAX, |age| age.as_millis() as u64);
     }
 
     /// Adds to the status.
-    pub fn describe(&self, now: Moment, status: &mut Status) {
+    pub fn add_status(&self, now: Moment, status: &mut Status) {
         status.version = self.inner.view().version;
         status.trusted = self.inner.trusted(now);
         status.age_ms = self.inner.age(now).map(|age| age.as_millis() as u64);
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -38,7 +38,7 @@
     queued: Vec<Queued>,
     shares: Option<HostLoad>,
     next_shares: Moment,
-    mates: usize,
+    zone_peers: usize,
     next_summary: Moment,
 }
 
@@ -53,23 +53,27 @@
             queued: Vec::new(),
             shares: None,
             next_shares: Moment::default(),
-            mates: 0,
+            zone_peers: 0,
             next_summary: Moment::default(),
         }
     }
 
     /// Takes an event in.
-    pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
+    pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         let decisions = match event {
             Event::Tick => {
                 self.queued.retain(|queued| now.since(queued.heard) < QUEUED);
                 self.tell_waiting_mates();
-                self.summarize(now, out);
+                self.summarize(now, outbox);
                 self.inner.tick(now)
             }
-            Event::HeartbeatRound { mates, peers, index } => {
-                self.mates = *mates;
-                self.inner.set_hosts(mates + 1, peers + 1, *index);
+            Event::HeartbeatRound {
+                zone_peers,
+                all_peers,
+                own_index,
+            } => {
+                self.zone_peers = *zone_peers;
+                self.inner.set_hosts(zone_peers + 1, all_peers + 1, *own_index);
                 self.refresh_shares(now);
                 Vec::new()
             }
@@ -92,29 +96,29 @@
                 self.inner.runners.leave(now, name);
                 Vec::new()
             }
-            Event::Heartbeat(beat) => {
-                self.hear(now, beat);
+            Event::Heartbeat(heartbeat) => {
+                self.hear(now, heartbeat);
                 Vec::new()
             }
             _ => Vec::new(),
         };
         for decision in decisions {
-            self.settle(decision, out);
+            self.settle(decision, outbox);
         }
     }
 
-    fn settle(&mut self, decision: Decision, out: &mut Outbox) {
+    fn settle(&mut self, decision: Decision, outbox: &mut Outbox) {
         match decision {
             Decision::Start(start) => {
                 if let Some(seek) = self.take_seeking(start.call) {
                     let at = self.running.partition_point(|(call, ..)| *call < start.call);
                     self.running.insert(at, (start.call, seek, start.runner));
                 }
-                out.reply(start.call, Reply::Start(start));
+                outbox.reply(start.call, Reply::Start(start));
             }
             Decision::Refuse(call, refusal) => {
                 self.take_seeking(call);
-                out.reply(call, Reply::Refused(refusal));
+                outbox.reply(call, Reply::Refused(refusal));
             }
         }
     }
@@ -133,15 +137,15 @@
         }
     }
 
-    fn hear(&mut self, now: Moment, beat: &Heartbeat) {
-        if beat.sender.zone != self.zone {
+    fn hear(&mut self, now: Moment, heartbeat: &Heartbeat) {
+        if heartbeat.sender.zone != self.zone {
             return;
         }
-        let peer = Incarnation(beat.sender.incarnation);
-        for name in &beat.leaving_runners {
+        let peer = Incarnation(heartbeat.sender.incarnation);
+        for name in &heartbeat.leaving_runners {
             self.inner.runners.leave(now, name);
         }
-        if let Some(shares) = &beat.load {
+        if let Some(shares) = &heartbeat.load {
             self.inner.runners.hear(now, peer, shares);
             let queued = Queued {
                 mate: peer,
@@ -153,7 +157,7 @@
                 Err(at) => self.queued.insert(at, queued),
             }
         }
-        if beat.sender.gone {
+        if heartbeat.sender.gone {
             self.queued.retain(|queued| queued.mate != peer);
         }
         self.tell_waiting_mates();
@@ -178,7 +182,7 @@
     }
 
     /// Tells the membership service the demand of this zone, for its summary.
-    fn summarize(&mut self, now: Moment, out: &mut Outbox) {
+    fn summarize(&mut self, now: Moment, outbox: &mut Outbox) {
         if !now.reached(self.next_summary) {
             return;
         }
@@ -188,7 +192,7 @@
             demands: self.demands(now),
             ..ZoneSummary::default()
         };
-        out.post(MEMBER, Event::ZoneSummaries(vec![summary]));
+        outbox.post(MEMBER, Event::ZoneSummaries(vec![summary]));
     }
 
     fn demands(&self, now: Moment) -> Vec<Demand> {
@@ -231,7 +235,7 @@
         }
         let mut shares = self.inner.runners.shares();
         shares.waiting = self.queue_by_pool();
-        let bytes = shares.encoded_len() * self.mates.max(1);
+        let bytes = shares.encoded_len() * self.zone_peers.max(1);
         let seconds = (bytes as f64 / SHARES_BYTES).clamp(1.0, SHARES_SELDOM);
         // Half a beat less, so that the round at that time still carries them.
         self.next_shares = now + Duration::from_secs_f64(seconds - 0.5);
@@ -239,13 +243,13 @@
     }
 
     /// Adds to a heartbeat.
-    pub fn compose(&mut self, now: Moment, _address: &str, beat: &mut Heartbeat) {
-        beat.load = self.shares.clone();
-        beat.leaving_runners = self.inner.runners.news(now);
+    pub fn fill_heartbeat(&mut self, now: Moment, _address: &str, heartbeat: &mut Heartbeat) {
+        heartbeat.load = self.shares.clone();
+        heartbeat.leaving_runners = self.inner.runners.news(now);
     }
 
     /// Adds to the status.
-    pub fn describe(&self, now: Moment, status: &mut Status) {
+    pub fn add_status(&self, now: Moment, status: &mut Status) {
         status.queue = self
             .inner
             .queue()
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -30,10 +30,10 @@
     }
 
     /// Takes an event in.
-    pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
+    pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
-            Event::Tick => self.beat(now, out),
-            Event::Heartbeat(beat) => self.members.on_heartbeat(now, beat),
+            Event::Tick => self.heartbeat(now, outbox),
+            Event::Heartbeat(heartbeat) => self.members.on_heartbeat(now, heartbeat),
             Event::View(view) => self.members.set_config_version(view.version),
             Event::ZoneSummaries(own) => {
                 if let Some(summary) = own.first() {
@@ -43,32 +43,32 @@
             Event::Drained => self.members.announce_leave(),
             _ => {}
         }
-        self.publish(out);
+        self.publish(outbox);
     }
 
-    fn beat(&mut self, now: Moment, out: &mut Outbox) {
+    fn heartbeat(&mut self, now: Moment, outbox: &mut Outbox) {
         let due = self.members.heartbeat_targets(now);
         if due.is_empty() {
             return;
         }
         for address in due {
-            out.push_action(Action::Heartbeat(address, Box::default()));
+            outbox.push_action(Action::Heartbeat(address, Box::default()));
         }
-        let beating = Event::HeartbeatRound {
-            mates: self.members.zone_peers().count(),
-            peers: self.members.live_peers().count(),
-            index: self.members.member_index(),
+        let round = Event::HeartbeatRound {
+            zone_peers: self.members.zone_peers().count(),
+            all_peers: self.members.live_peers().count(),
+            own_index: self.members.member_index(),
         };
-        out.post(DISPATCH, beating);
-        out.post(ORDERS, Event::ZoneSummaries(self.members.summaries().to_vec()));
+        outbox.post(DISPATCH, round);
+        outbox.post(ORDERS, Event::ZoneSummaries(self.members.summaries().to_vec()));
     }
 
-    fn publish(&mut self, out: &mut Outbox) {
+    fn publish(&mut self, outbox: &mut Outbox) {
         if self.digest == self.members.digest() {
             return;
         }
         self.digest = self.members.digest();
-        let standing = Standing {
+        let membership = Standing {
             watches_store: self.members.zone_rank(CONFIG) < WATCHERS,
             orders_candidate: self.members.is_leading_delegate(ORDERS, CANDIDATES),
             usage_candidate: self.members.is_leading_delegate(USAGE, CANDIDATES),
@@ -86,23 +86,23 @@
                 .collect(),
         };
         for name in [CALLS, CONFIG, ORDERS, USAGE] {
-            out.post(name, Event::Membership(standing.clone()));
+            outbox.post(name, Event::Membership(membership.clone()));
         }
-        out.push_action(Action::Members(self.members.all_members()));
+        outbox.push_action(Action::Members(self.members.all_members()));
     }
 
     /// Fills in what a heartbeat left out.
-    pub fn complete(&self, beat: &mut Heartbeat) -> bool {
-        self.members.restore_sender(beat)
+    pub fn restore_sender(&self, heartbeat: &mut Heartbeat) -> bool {
+        self.members.restore_sender(heartbeat)
     }
 
     /// Adds to a heartbeat.
-    pub fn compose(&mut self, now: Moment, address: &str, beat: &mut Heartbeat) {
-        self.members.fill_heartbeat(now, address, beat);
+    pub fn fill_heartbeat(&mut self, now: Moment, address: &str, heartbeat: &mut Heartbeat) {
+        self.members.fill_heartbeat(now, address, heartbeat);
     }
 
     /// Adds to the status.
-    pub fn describe(&self, now: Moment, status: &mut Status) {
+    pub fn add_status(&self, now: Moment, status: &mut Status) {
         status.hosts = self.members.live_peers().count() + 1;
         status.zones = self
             .members
--- a/crates/core/src/kernel/orders.rs
+++ b/crates/core/src/kernel/orders.rs
@@ -39,20 +39,20 @@
     }
 
     /// Takes an event in.
-    pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
+    pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
             Event::Tick => {
                 let call = self.lease.tick(now, self.candidate);
-                self.lease_request.send(ORDERS, call, out);
+                self.lease_request.send(ORDERS, call, outbox);
                 let grant = self.lease.grant(now);
                 let step = self
                     .planner
                     .tick(now, grant, &self.view.document.pools, &self.summaries);
-                self.act(step, out);
+                self.act(step, outbox);
             }
-            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
+            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, outbox),
             Event::OrderAnswer(accepted) => self.planner.on_order_answer(now, *accepted),
-            Event::Membership(standing) => self.candidate = standing.orders_candidate,
+            Event::Membership(membership) => self.candidate = membership.orders_candidate,
             Event::View(view) => self.view = view.clone(),
             Event::ZoneSummaries(summaries) => self.summaries = summaries.clone(),
             Event::Stop => self.lease.release(now),
@@ -60,29 +60,29 @@
         }
     }
 
-    fn stored(&mut self, now: Moment, token: Token, answer: &Answer, out: &mut Outbox) {
+    fn stored(&mut self, now: Moment, token: Token, answer: &Answer, outbox: &mut Outbox) {
         if self.lease_request.accept(token) {
             let call = self.lease.on_answer(now, answer);
-            self.lease_request.send(ORDERS, call, out);
+            self.lease_request.send(ORDERS, call, outbox);
         } else if self.planner_request.accept(token) {
             let step = self.planner.on_store_answer(now, self.lease.grant(now), answer);
-            self.act(step, out);
+            self.act(step, outbox);
         }
     }
 
-    fn act(&mut self, step: Option<Step>, out: &mut Outbox) {
+    fn act(&mut self, step: Option<Step>, outbox: &mut Outbox) {
         match step {
-            Some(Step::Store(call)) => self.planner_request.send(ORDERS, Some(call), out),
-            Some(Step::Order(grant, order)) => out.push_action(Action::Order(grant, order)),
+            Some(Step::Store(call)) => self.planner_request.send(ORDERS, Some(call), outbox),
+            Some(Step::Order(grant, order)) => outbox.push_action(Action::Order(grant, order)),
             None => {}
         }
     }
 
     /// Adds nothing to a heartbeat.
-    pub fn compose(&mut self, _now: Moment, _address: &str, _beat: &mut Heartbeat) {}
+    pub fn fill_heartbeat(&mut self, _now: Moment, _address: &str, _beat: &mut Heartbeat) {}
 
     /// Adds to the status.
-    pub fn describe(&self, now: Moment, status: &mut Status) {
+    pub fn add_status(&self, now: Moment, status: &mut Status) {
         if let Some(grant) = self.lease.grant(now) {
             status.duties.push((ORDERS.into(), grant.fence));
         }
--- a/crates/core/src/kernel/pending.rs
+++ b/crates/core/src/kernel/pending.rs
@@ -13,9 +13,9 @@
 
 impl Pending {
     /// Asks, if there is something to ask.
-    pub fn send(&mut self, from: &'static str, call: Option<Call>, out: &mut Outbox) {
+    pub fn send(&mut self, from: &'static str, call: Option<Call>, outbox: &mut Outbox) {
         if let Some(call) = call {
-            self.0 = Some(out.call_store(from, call));
+            self.0 = Some(outbox.call_store(from, call));
         }
     }
 
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -23,7 +23,7 @@
     meter: Meter,
     lease: Lease,
     reporter: Reporter,
-    standing: Standing,
+    membership: Standing,
     length: Duration,
     grace: Duration,
     lease_request: Pending,
@@ -42,7 +42,7 @@
             meter: Meter::new(me, now, settings.usage_window),
             lease: Lease::new(me, USAGE),
             reporter: Reporter::default(),
-            standing: Standing::default(),
+            membership: Standing::default(),
             length: settings.usage_window,
             grace: settings.usage_grace,
             lease_request: Pending::default(),
@@ -55,26 +55,26 @@
     }
 
     /// Takes an event in.
-    pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
+    pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
-            Event::Tick => self.tick(now, out),
+            Event::Tick => self.tick(now, outbox),
             Event::RecordUsage(item) => self.meter.count(now, item),
-            Event::Heartbeat(beat) => self.hear(beat),
-            Event::Collect(call, ask) if ask.zone => self.gather(now, Some(*call), ask, out),
+            Event::Heartbeat(heartbeat) => self.hear(heartbeat),
+            Event::Collect(call, ask) if ask.zone => self.gather(now, Some(*call), ask, outbox),
             Event::Collect(call, ask) => {
                 let answer = self.sum_up(now, ask);
-                out.reply(*call, Reply::Collected(answer));
+                outbox.reply(*call, Reply::Collected(answer));
             }
             Event::Collected(answer) => self.collected(answer),
-            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
+            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, outbox),
             Event::ReportAnswer(accepted) => {
                 let call = self.reporter.reported(now, *accepted);
-                self.report_request.send(USAGE, call, out);
+                self.report_request.send(USAGE, call, outbox);
             }
-            Event::Membership(standing) => {
-                self.standing = standing.clone();
+            Event::Membership(membership) => {
+                self.membership = membership.clone();
                 self.meter
-                    .retain_keepers(|keeper| standing.live_peers.iter().any(|(live, _)| *live == keeper));
+                    .retain_keepers(|keeper| membership.live_peers.iter().any(|(live, _)| *live == keeper));
             }
             Event::View(view) => {
                 self.length = view.document.settings.usage_window;
@@ -87,65 +87,65 @@
         }
     }
 
-    fn tick(&mut self, now: Moment, out: &mut Outbox) {
+    fn tick(&mut self, now: Moment, outbox: &mut Outbox) {
         self.meter.tick(now);
-        self.finish_gathers(now, out);
-        self.ask_seconds(now, out);
-        let call = self.lease.tick(now, self.standing.usage_candidate);
-        self.lease_request.send(USAGE, call, out);
+        self.finish_gathers(now, outbox);
+        self.ask_seconds(now, outbox);
+        let call = self.lease.tick(now, self.membership.usage_candidate);
+        self.lease_request.send(USAGE, call, outbox);
         let grant = self.lease.grant(now);
         match self.reporter.tick(now, grant, self.length, self.grace) {
-            Some(Step::Store(call)) => self.report_request.send(USAGE, Some(call), out),
-            Some(Step::Collect(ask)) => self.collect(now, ask, out),
-            Some(Step::Report(grant, seal)) => out.push_action(Action::Report(grant, seal)),
+            Some(Step::Store(call)) => self.report_request.send(USAGE, Some(call), outbox),
+            Some(Step::Collect(ask)) => self.collect(now, ask, outbox),
+            Some(Step::Report(grant, seal)) => outbox.push_action(Action::Report(grant, seal)),
             None => {}
         }
     }
 
     /// Asks one delegate a zone; the second one later, as the first may be
     /// frozen or gone, and answers for the own zone as its delegates do.
-    fn collect(&mut self, now: Moment, ask: Collect, out: &mut Outbox) {
+    fn collect(&mut self, now: Moment, ask: Collect, outbox: &mut Outbox) {
         let firsts = self
-            .standing
+            .membership
             .delegates
             .iter()
             .filter_map(|(_, addresses)| addresses.first());
         for address in firsts {
-            out.push_action(Action::Collect(address.clone(), ask.clone()));
+            outbox.push_action(Action::Collect(address.clone(), ask.clone()));
         }
         self.answered.clear();
-        self.gather(now, None, &ask, out);
+        self.gather(now, None, &ask, outbox);
         self.second = Some((now + SECOND, ask));
     }
 
-    fn ask_seconds(&mut self, now: Moment, out: &mut Outbox) {
+    fn ask_seconds(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some((_, ask)) = self.second.take_if(|(due, _)| now.reached(*due)) else {
             return;
         };
         let silent = self
-            .standing
+            .membership
             .delegates
             .iter()
             .filter(|(zone, _)| !self.answered.contains(zone));
         for address in silent.filter_map(|(_, addresses)| addresses.get(1)) {
-            out.push_action(Action::Collect(address.clone(), ask.clone()));
+            outbox.push_action(Action::Collect(address.clone(), ask.clone()));
         }
     }
 
-    fn gather(&mut self, now: Moment, call: Option<CallId>, ask: &Collect, out: &mut Outbox) {
+    fn gather(&mut self, now: Moment, call: Option<CallId>, ask: &Collect, outbox: &mut Outbox) {
         let ask = Collect {
             zone: false,
             ..ask.clone()
         };
         let own = self.sum_up(now, &ask);
         self.gathers.push(Gather::new(now, call, own));
-        for address in &self.standing.zone_peers {
-            out.push_action(Action::Collect(address.clone(), ask.clone()));
+        for address in &self.membership.zone_peers {
+            outbox.push_action(Action::Collect(address.clone(), ask.clone()));
         }
     }
 
     fn sum_up(&mut self, now: Moment, ask: &Collect) -> Collected {
-        let live = &self.standing.live_peers;
+        let live = &self.membership.live_peers;
         self.meter
             .collect(now, ask, |source| live.iter().any(|(have, _)| *have == source))
     }
@@ -164,7 +164,7 @@
         }
     }
 
-    fn finish_gathers(&mut self, now: Moment, out: &mut Outbox) {
+    fn finish_gathers(&mut self, now: Moment, outbox: &mut Outbox) {
         while self.gathers.first().is_some_and(|gather| gather.is_over(now)) {
             let gather = self.gathers.remove(0);
             let call = gather.call;
@@ -176,45 +176,50 @@
                         sources: Vec::new(),
                         zone_usage: Some(bundle),
                     };
-                    out.reply(call, Reply::Collected(answer));
+                    outbox.reply(call, Reply::Collected(answer));
                 }
             }
         }
     }
 
-    fn stored(&mut self, now: Moment, token: Token, answer: &Answer, out: &mut Outbox) {
+    fn stored(&mut self, now: Moment, token: Token, answer: &Answer, outbox: &mut Outbox) {
         if self.lease_request.accept(token) {
             let call = self.lease.on_answer(now, answer);
-            self.lease_request.send(USAGE, call, out);
+            self.lease_request.send(USAGE, call, outbox);
         } else if self.report_request.accept(token) {
             let call = self.reporter.answer(now, answer);
-            self.report_request.send(USAGE, call, out);
+            self.report_request.send(USAGE, call, outbox);
         }
     }
 
-    fn hear(&mut self, beat: &Heartbeat) {
-        for chunk in &beat.usage_chunks {
+    fn hear(&mut self, heartbeat: &Heartbeat) {
+        for chunk in &heartbeat.usage_chunks {
             self.meter.keep(chunk.clone());
         }
-        if beat.acked_chunk > 0 {
+        if heartbeat.acked_chunk > 0 {
             self.meter
-                .confirm(Incarnation(beat.sender.incarnation), beat.acked_chunk);
+                .confirm(Incarnation(heartbeat.sender.incarnation), heartbeat.acked_chunk);
         }
     }
 
     /// Adds to a heartbeat.
-    pub fn compose(&mut self, _now: Moment, address: &str, beat: &mut Heartbeat) {
-        let Some((peer, _)) = self.standing.live_peers.iter().find(|(_, have)| have == address) else {
+    pub fn fill_heartbeat(&mut self, _now: Moment, address: &str, heartbeat: &mut Heartbeat) {
+        let Some((peer, _)) = self
+            .membership
+            .live_peers
+            .iter()
+            .find(|(_, have)| have == address)
+        else {
             return;
         };
-        beat.acked_chunk = self.meter.kept(*peer);
-        if self.standing.usage_replicas.contains(peer) {
-            beat.usage_chunks = self.meter.offer(*peer);
+        heartbeat.acked_chunk = self.meter.kept(*peer);
+        if self.membership.usage_replicas.contains(peer) {
+            heartbeat.usage_chunks = self.meter.offer(*peer);
         }
     }
 
     /// Adds to the status.
-    pub fn describe(&self, now: Moment, status: &mut Status) {
+    pub fn add_status(&self, now: Moment, status: &mut Status) {
         status.chunks = self.meter.size();
         if let Some(grant) = self.lease.grant(now) {
             status.duties.push((USAGE.into(), grant.fence));
