--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -1,4 +1,7 @@
-//! Configuration as a service of the kernel.
+//! Configuration service of the kernel.
+//!
+//! It publishes each new version to the other services and to the traffic
+//! threads.
 
 use super::pending::Pending;
 use super::{Action, CALLS, CONFIG, DISPATCH, Event, MEMBER, ORDERS, Outbox, Reply, Status, USAGE};
@@ -6,29 +9,29 @@
 use crate::peer::Heartbeat;
 use crate::time::Moment;
 
-/// The configuration in force.
+/// Configuration in force, and what of it has been published.
 #[derive(Debug, Default)]
 pub struct Service {
     inner: service::Service,
     watcher: bool,
-    trusted: Option<bool>,
-    told: u64,
-    request: Pending,
+    published_trust: Option<bool>,
+    published_version: u64,
+    pending: Pending,
 }
 
 impl Service {
-    /// Takes an event in.
+    /// Handles an event.
     pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
             Event::Tick => {
                 let call = self.inner.tick(now, self.watcher);
-                self.request.send(CONFIG, call, outbox);
-                self.tell_trust(now, outbox);
+                self.pending.send(CONFIG, call, outbox);
+                self.publish_trust(now, outbox);
             }
             Event::Membership(membership) => self.watcher = membership.watches_store,
-            Event::StoreAnswer(token, answer) if self.request.accept(*token) => {
+            Event::StoreAnswer(token, answer) if self.pending.accept(*token) => {
                 let (_, call) = self.inner.answer(now, answer);
-                self.request.send(CONFIG, call, outbox);
+                self.pending.send(CONFIG, call, outbox);
                 self.publish(now, outbox);
             }
             Event::Heartbeat(heartbeat) => {
@@ -47,32 +50,33 @@
 
     fn publish(&mut self, now: Moment, outbox: &mut Outbox) {
         let view = self.inner.view().clone();
-        if view.version == self.told {
+        if view.version == self.published_version {
             return;
         }
-        self.told = view.version;
+        self.published_version = view.version;
         for name in [MEMBER, DISPATCH, CALLS, ORDERS, USAGE] {
             outbox.post(name, Event::View(view.clone()));
         }
         outbox.push_action(Action::View(view));
-        self.tell_trust(now, outbox);
+        self.publish_trust(now, outbox);
     }
 
-    fn tell_trust(&mut self, now: Moment, outbox: &mut Outbox) {
+    fn publish_trust(&mut self, now: Moment, outbox: &mut Outbox) {
         let trusted = self.inner.trusted(now);
-        if self.trusted != Some(trusted) {
-            self.trusted = Some(trusted);
+        if self.published_trust != Some(trusted) {
+            self.published_trust = Some(trusted);
             outbox.push_action(Action::KeysTrusted(trusted));
         }
     }
 
-    /// Adds to a heartbeat.
+    /// Adds the configuration version and the age of the store's last answer
+    /// to a heartbeat.
     pub fn fill_heartbeat(&mut self, now: Moment, _address: &str, heartbeat: &mut Heartbeat) {
         heartbeat.version = self.inner.view().version;
         heartbeat.store_age_ms = self.inner.age(now).map_or(u64::MAX, |age| age.as_millis() as u64);
     }
 
-    /// Adds to the status.
+    /// Adds version, trust and age to the status.
     pub fn add_status(&self, now: Moment, status: &mut Status) {
         status.version = self.inner.view().version;
         status.trusted = self.inner.trusted(now);
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -1,4 +1,7 @@
-//! Membership as a service of the kernel.
+//! Membership service of the kernel.
+//!
+//! It sends the heartbeats and passes a new [`Membership`] to the other
+//! services whenever the members change.
 
 use super::{Action, CALLS, CONFIG, DISPATCH, Event, ORDERS, Outbox, Standing, Status, USAGE, ZoneStatus};
 use crate::config::service::WATCHERS;
@@ -8,35 +11,35 @@
 use crate::time::Moment;
 use crate::usage::KEEPERS;
 
-/// Hosts that seek each duty.
-const CANDIDATES: usize = 3;
+/// Hosts that may apply for a duty.
+const CANDIDATES_PER_DUTY: usize = 3;
 
-/// Members, and what they mean for the other services.
+/// Members of the deployment.
 #[derive(Debug)]
 pub struct Service {
     members: Members,
     me: Incarnation,
-    digest: u64,
+    published_digest: u64,
 }
 
 impl Service {
-    /// Knows itself and some addresses.
+    /// Creates the service, with the addresses of peers to contact first.
     pub fn new(me: &Identity, seeds: Vec<String>) -> Self {
         Self {
             members: Members::new(me, seeds),
             me: me.incarnation,
-            digest: 0,
+            published_digest: 0,
         }
     }
 
-    /// Takes an event in.
+    /// Handles an event.
     pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
-            Event::Tick => self.heartbeat(now, outbox),
+            Event::Tick => self.send_heartbeats(now, outbox),
             Event::Heartbeat(heartbeat) => self.members.on_heartbeat(now, heartbeat),
             Event::View(view) => self.members.set_config_version(view.version),
-            Event::ZoneSummaries(own) => {
-                if let Some(summary) = own.first() {
+            Event::ZoneSummaries(summaries) => {
+                if let Some(summary) = summaries.first() {
                     self.members.set_demands(summary.demands.clone());
                 }
             }
@@ -46,12 +49,12 @@
         self.publish(outbox);
     }
 
-    fn heartbeat(&mut self, now: Moment, outbox: &mut Outbox) {
-        let due = self.members.heartbeat_targets(now);
-        if due.is_empty() {
+    fn send_heartbeats(&mut self, now: Moment, outbox: &mut Outbox) {
+        let addresses = self.members.heartbeat_targets(now);
+        if addresses.is_empty() {
             return;
         }
-        for address in due {
+        for address in addresses {
             outbox.push_action(Action::Heartbeat(address, Box::default()));
         }
         let round = Event::HeartbeatRound {
@@ -64,14 +67,14 @@
     }
 
     fn publish(&mut self, outbox: &mut Outbox) {
-        if self.digest == self.members.digest() {
+        if self.published_digest == self.members.digest() {
             return;
         }
-        self.digest = self.members.digest();
+        self.published_digest = self.members.digest();
         let membership = Standing {
             watches_store: self.members.zone_rank(CONFIG) < WATCHERS,
-            orders_candidate: self.members.is_leading_delegate(ORDERS, CANDIDATES),
-            usage_candidate: self.members.is_leading_delegate(USAGE, CANDIDATES),
+            orders_candidate: self.members.is_leading_delegate(ORDERS, CANDIDATES_PER_DUTY),
+            usage_candidate: self.members.is_leading_delegate(USAGE, CANDIDATES_PER_DUTY),
             usage_replicas: self.members.zone_owners(self.me.0, KEEPERS),
             zone_peers: self
                 .members
@@ -91,17 +94,18 @@
         outbox.push_action(Action::Members(self.members.all_members()));
     }
 
-    /// Fills in what a heartbeat left out.
+    /// Restores the texts that a heartbeat left out; false if its sender is
+    /// unknown.
     pub fn restore_sender(&self, heartbeat: &mut Heartbeat) -> bool {
         self.members.restore_sender(heartbeat)
     }
 
-    /// Adds to a heartbeat.
+    /// Adds the membership fields to a heartbeat.
     pub fn fill_heartbeat(&mut self, now: Moment, address: &str, heartbeat: &mut Heartbeat) {
         self.members.fill_heartbeat(now, address, heartbeat);
     }
 
-    /// Adds to the status.
+    /// Adds hosts and zones to the status.
     pub fn add_status(&self, now: Moment, status: &mut Status) {
         status.hosts = self.members.live_peers().count() + 1;
         status.zones = self
--- a/crates/core/src/kernel/pending.rs
+++ b/crates/core/src/kernel/pending.rs
@@ -1,30 +1,33 @@
-//! The outstanding request to the store: one at a time.
+//! The outstanding request of a service to the store, of which there is at
+//! most one.
 
 use super::Outbox;
 use crate::store::{Call, Token};
 
-/// Remembers the newest request.
+/// Token of the newest request.
 ///
-/// A process that was frozen finds old answers waiting. Taken for the answer
-/// to a newer question, an old "written" would make a holder of a process whose
-/// new write has not even arrived; so only the newest question's answer counts.
+/// A process that was suspended receives late answers when it resumes. If the
+/// "written" of an old request were taken for the answer to a newer one, the
+/// process would act as a lease holder although its new write has not arrived.
+/// Only the answer to the newest request is therefore accepted.
 #[derive(Debug, Default)]
 pub struct Pending(Option<Token>);
 
 impl Pending {
-    /// Asks, if there is something to ask.
+    /// Sends the request, if there is one, in place of any earlier one.
     pub fn send(&mut self, from: &'static str, call: Option<Call>, outbox: &mut Outbox) {
         if let Some(call) = call {
             self.0 = Some(outbox.call_store(from, call));
         }
     }
 
-    /// Whether this is the awaited answer; it is awaited no longer.
+    /// Whether the token is that of the newest request, which then counts as
+    /// answered.
     pub fn accept(&mut self, token: Token) -> bool {
-        let awaited = self.0 == Some(token);
-        if awaited {
+        let matches = self.0 == Some(token);
+        if matches {
             self.0 = None;
         }
-        awaited
+        matches
     }
 }
