--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -1,4 +1,7 @@
-//! Dispatch as a service of the kernel.
+//! Dispatch service of the kernel.
+//!
+//! It passes events to the dispatcher, remembers which calls wait and which
+//! run, and exchanges the load of this host with the peers of its zone.
 
 use std::time::Duration;
 
@@ -11,61 +14,63 @@
 use crate::runner::Key;
 use crate::time::Moment;
 
-/// Bytes a second that a host may spend on telling its zone mates its load.
-const SHARES_BYTES: f64 = 4_000.0;
-/// Longest time between two tellings, in seconds.
-const SHARES_SELDOM: f64 = 10.0;
-/// How long a mate's word of what waits there counts: the next one comes before.
-const QUEUED: Duration = Duration::from_secs(12);
+/// Bytes per second that a host may spend on sending its load to zone peers.
+const LOAD_BYTES_PER_S: f64 = 4_000.0;
+/// Longest time between two load messages.
+const MAX_LOAD_INTERVAL_S: f64 = 10.0;
+/// Age at which a peer's queue is discarded; longer than the largest interval
+/// between its load messages.
+const QUEUE_MAX_AGE: Duration = Duration::from_secs(12);
 
 plain! {
-    /// What waits at a zone mate.
-    struct Queued {
-        mate: Incarnation,
-        heard: Moment,
+    /// Calls that wait at a zone peer.
+    struct PeerQueue {
+        peer: Incarnation,
+        received: Moment,
         waiting: Vec<QueuedCalls>,
     }
 }
 
-/// The dispatcher, with the calls that it has started.
+/// Dispatcher, with the calls that wait and the calls that it has started.
 #[derive(Debug)]
 pub struct Service {
-    inner: Dispatch,
+    dispatcher: Dispatch,
     zone: String,
-    seeking: Vec<(CallId, Seek)>,
+    pending: Vec<(CallId, Seek)>,
     running: Vec<(CallId, Seek, Key)>,
-    /// Sorted by mate.
-    queued: Vec<Queued>,
-    shares: Option<HostLoad>,
-    next_shares: Moment,
+    /// Sorted by peer.
+    peer_queues: Vec<PeerQueue>,
+    load: Option<HostLoad>,
+    next_load: Moment,
     zone_peers: usize,
     next_summary: Moment,
 }
 
 impl Service {
-    /// Nothing to do yet.
+    /// Creates the service without calls or runners.
     pub fn new(zone: &str, seed: u64, policy: Policy) -> Self {
         Self {
-            inner: Dispatch::new(zone, seed, policy),
+            dispatcher: Dispatch::new(zone, seed, policy),
             zone: zone.to_string(),
-            seeking: Vec::new(),
+            pending: Vec::new(),
             running: Vec::new(),
-            queued: Vec::new(),
-            shares: None,
-            next_shares: Moment::default(),
+            peer_queues: Vec::new(),
+            load: None,
+            next_load: Moment::default(),
             zone_peers: 0,
             next_summary: Moment::default(),
         }
     }
 
-    /// Takes an event in.
+    /// Handles an event.
     pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         let decisions = match event {
             Event::Tick => {
-                self.queued.retain(|queued| now.since(queued.heard) < QUEUED);
-                self.tell_waiting_mates();
+                self.peer_queues
+                    .retain(|queue| now.since(queue.received) < QUEUE_MAX_AGE);
+                self.update_waiting_peers();
                 self.summarize(now, outbox);
-                self.inner.tick(now)
+                self.dispatcher.tick(now)
             }
             Event::HeartbeatRound {
                 zone_peers,
@@ -73,115 +78,124 @@
                 own_index,
             } => {
                 self.zone_peers = *zone_peers;
-                self.inner.set_hosts(zone_peers + 1, all_peers + 1, *own_index);
-                self.refresh_shares(now);
+                self.dispatcher
+                    .set_hosts(zone_peers + 1, all_peers + 1, *own_index);
+                self.refresh_load(now);
                 Vec::new()
             }
-            Event::View(view) => self.inner.set_view(view.clone()),
+            Event::View(view) => self.dispatcher.set_view(view.clone()),
             Event::RunnerList(listed) => {
-                self.inner.runners.list(listed.clone());
-                self.inner.tick(now)
+                self.dispatcher.runners.list(listed.clone());
+                self.dispatcher.tick(now)
             }
             Event::Acquire(seek) => {
-                let at = self.seeking.partition_point(|(call, _)| *call < seek.call);
-                self.seeking.insert(at, (seek.call, seek.clone()));
-                self.inner.seek(now, seek.clone())
+                let index = self.pending.partition_point(|(call, _)| *call < seek.call);
+                self.pending.insert(index, (seek.call, seek.clone()));
+                self.dispatcher.seek(now, seek.clone())
             }
             Event::Release { call, outcome } => match self.take_running(*call) {
-                Some((_, seek, runner)) => self.inner.release(now, &seek, runner, outcome),
+                Some((_, seek, runner)) => self.dispatcher.release(now, &seek, runner, outcome),
                 None => Vec::new(),
             },
-            Event::Cancel(call) => self.forget(now, *call),
+            Event::Cancel(call) => self.cancel(now, *call),
             Event::RunnerLeaving(name) => {
-                self.inner.runners.leave(now, name);
+                self.dispatcher.runners.leave(now, name);
                 Vec::new()
             }
             Event::Heartbeat(heartbeat) => {
-                self.hear(now, heartbeat);
+                self.on_heartbeat(now, heartbeat);
                 Vec::new()
             }
             _ => Vec::new(),
         };
         for decision in decisions {
-            self.settle(decision, outbox);
+            self.apply(decision, outbox);
         }
     }
 
-    fn settle(&mut self, decision: Decision, outbox: &mut Outbox) {
+    fn apply(&mut self, decision: Decision, outbox: &mut Outbox) {
         match decision {
             Decision::Start(start) => {
-                if let Some(seek) = self.take_seeking(start.call) {
-                    let at = self.running.partition_point(|(call, ..)| *call < start.call);
-                    self.running.insert(at, (start.call, seek, start.runner));
+                if let Some(seek) = self.take_pending(start.call) {
+                    let index = self.running.partition_point(|(call, ..)| *call < start.call);
+                    self.running.insert(index, (start.call, seek, start.runner));
                 }
                 outbox.reply(start.call, Reply::Start(start));
             }
             Decision::Refuse(call, refusal) => {
-                self.take_seeking(call);
+                self.take_pending(call);
                 outbox.reply(call, Reply::Refused(refusal));
             }
         }
     }
 
-    /// The caller may go away in the moment in which its call starts; the
-    /// runner's place is given back then, or it would stay taken for ever.
-    fn forget(&mut self, now: Moment, call: CallId) -> Vec<Decision> {
-        self.take_seeking(call);
-        self.inner.forget(call);
+    /// Cancels a call that waits or runs. A caller may disconnect just as its
+    /// call starts; without the release here, the runner's slot would stay
+    /// occupied for ever.
+    fn cancel(&mut self, now: Moment, call: CallId) -> Vec<Decision> {
+        self.take_pending(call);
+        self.dispatcher.forget(call);
         match self.take_running(call) {
             Some((_, seek, runner)) => {
-                self.inner
+                self.dispatcher
                     .release(now, &seek, runner, &Outcome::Dropped { tokens: 0 })
             }
             None => Vec::new(),
         }
     }
 
-    fn hear(&mut self, now: Moment, heartbeat: &Heartbeat) {
+    fn on_heartbeat(&mut self, now: Moment, heartbeat: &Heartbeat) {
         if heartbeat.sender.zone != self.zone {
             return;
         }
-        let peer = Incarnation(heartbeat.sender.incarnation);
+        let sender = Incarnation(heartbeat.sender.incarnation);
         for name in &heartbeat.leaving_runners {
-            self.inner.runners.leave(now, name);
+            self.dispatcher.runners.leave(now, name);
         }
-        if let Some(shares) = &heartbeat.load {
-            self.inner.runners.hear(now, peer, shares);
-            let queued = Queued {
-                mate: peer,
-                heard: now,
-                waiting: shares.waiting.clone(),
+        if let Some(load) = &heartbeat.load {
+            self.dispatcher.runners.hear(now, sender, load);
+            let queue = PeerQueue {
+                peer: sender,
+                received: now,
+                waiting: load.waiting.clone(),
             };
-            match self.queued.binary_search_by_key(&peer, |queued| queued.mate) {
-                Ok(at) => self.queued[at] = queued,
-                Err(at) => self.queued.insert(at, queued),
+            match self.peer_queues.binary_search_by_key(&sender, |queue| queue.peer) {
+                Ok(index) => self.peer_queues[index] = queue,
+                Err(index) => self.peer_queues.insert(index, queue),
             }
         }
         if heartbeat.sender.gone {
-            self.queued.retain(|queued| queued.mate != peer);
+            self.peer_queues.retain(|queue| queue.peer != sender);
         }
-        self.tell_waiting_mates();
+        self.update_waiting_peers();
     }
 
-    fn tell_waiting_mates(&mut self) {
-        let waiting = self.queued.iter().flat_map(|queued| &queued.waiting);
+    fn update_waiting_peers(&mut self) {
+        let waiting = self.peer_queues.iter().flat_map(|queue| &queue.waiting);
         let pools = waiting
             .filter(|waiting| waiting.count > 0)
             .map(|waiting| waiting.pool.as_str());
-        self.inner.set_waiting_mates(pools);
+        self.dispatcher.set_waiting_mates(pools);
     }
 
-    fn take_seeking(&mut self, call: CallId) -> Option<Seek> {
-        let at = self.seeking.binary_search_by(|(have, _)| have.cmp(&call)).ok()?;
-        Some(self.seeking.remove(at).1)
+    fn take_pending(&mut self, call: CallId) -> Option<Seek> {
+        let index = self
+            .pending
+            .binary_search_by(|(entry, _)| entry.cmp(&call))
+            .ok()?;
+        Some(self.pending.remove(index).1)
     }
 
     fn take_running(&mut self, call: CallId) -> Option<(CallId, Seek, Key)> {
-        let at = self.running.binary_search_by(|(have, ..)| have.cmp(&call)).ok()?;
-        Some(self.running.remove(at))
+        let index = self
+            .running
+            .binary_search_by(|(entry, ..)| entry.cmp(&call))
+            .ok()?;
+        Some(self.running.remove(index))
     }
 
-    /// Tells the membership service the demand of this zone, for its summary.
+    /// Sends the demand of this zone to the membership service, for the zone's
+    /// summary.
     fn summarize(&mut self, now: Moment, outbox: &mut Outbox) {
         if !now.reached(self.next_summary) {
             return;
@@ -197,13 +211,13 @@
 
     fn demands(&self, now: Moment) -> Vec<Demand> {
         let mut demands: Vec<Demand> = Vec::new();
-        let mine = self
-            .inner
+        let own = self
+            .dispatcher
             .runners
             .iter()
             .filter(|runner| runner.listed.zone == self.zone);
-        for runner in mine {
-            let demand = demand(&mut demands, &runner.listed.pool);
+        for runner in own {
+            let demand = demand_for(&mut demands, &runner.listed.pool);
             demand.running += runner.running + runner.others;
             if !runner.leaving(now) {
                 demand.runners += 1;
@@ -211,71 +225,72 @@
             }
         }
         let others = self
-            .queued
+            .peer_queues
             .iter()
-            .flat_map(|queued| queued.waiting.iter().cloned());
-        for waiting in others.chain(self.queue_by_pool()) {
-            demand(&mut demands, &waiting.pool).waiting += waiting.count;
+            .flat_map(|queue| queue.waiting.iter().cloned());
+        for waiting in others.chain(self.queued_calls()) {
+            demand_for(&mut demands, &waiting.pool).waiting += waiting.count;
         }
         demands
     }
 
-    fn queue_by_pool(&self) -> Vec<QueuedCalls> {
-        let waiting = self.inner.waiting_by_pool().into_iter();
+    fn queued_calls(&self) -> Vec<QueuedCalls> {
+        let waiting = self.dispatcher.waiting_by_pool().into_iter();
         waiting.map(|(pool, count)| QueuedCalls { pool, count }).collect()
     }
 
-    /// Takes the shares for this round of heartbeats, if they are due. They go
-    /// to every zone mate, so the larger they and the zone are, the more
-    /// seldom: what they may cost is fixed.
-    fn refresh_shares(&mut self, now: Moment) {
-        self.shares = None;
-        if !now.reached(self.next_shares) {
+    /// Prepares the load for this round of heartbeats, if it is due. It is
+    /// sent to every zone peer, so the interval grows with the size of the
+    /// message and of the zone, to keep the cost within [`LOAD_BYTES_PER_S`].
+    fn refresh_load(&mut self, now: Moment) {
+        self.load = None;
+        if !now.reached(self.next_load) {
             return;
         }
-        let mut shares = self.inner.runners.shares();
-        shares.waiting = self.queue_by_pool();
-        let bytes = shares.encoded_len() * self.zone_peers.max(1);
-        let seconds = (bytes as f64 / SHARES_BYTES).clamp(1.0, SHARES_SELDOM);
-        // Half a beat less, so that the round at that time still carries them.
-        self.next_shares = now + Duration::from_secs_f64(seconds - 0.5);
-        self.shares = Some(shares);
+        let mut load = self.dispatcher.runners.shares();
+        load.waiting = self.queued_calls();
+        let bytes = load.encoded_len() * self.zone_peers.max(1);
+        let seconds = (bytes as f64 / LOAD_BYTES_PER_S).clamp(1.0, MAX_LOAD_INTERVAL_S);
+        // Half a heartbeat interval less, so that the round at that time
+        // still includes the load.
+        self.next_load = now + Duration::from_secs_f64(seconds - 0.5);
+        self.load = Some(load);
     }
 
-    /// Adds to a heartbeat.
+    /// Adds the load and the leaving runners to a heartbeat.
     pub fn fill_heartbeat(&mut self, now: Moment, _address: &str, heartbeat: &mut Heartbeat) {
-        heartbeat.load = self.shares.clone();
-        heartbeat.leaving_runners = self.inner.runners.news(now);
+        heartbeat.load = self.load.clone();
+        heartbeat.leaving_runners = self.dispatcher.runners.news(now);
     }
 
-    /// Adds to the status.
+    /// Adds queue lengths and runner counts to the status.
     pub fn add_status(&self, now: Moment, status: &mut Status) {
         status.queue = self
-            .inner
+            .dispatcher
             .queue()
             .map(|(name, len)| (name.to_string(), len))
             .collect();
-        let open = self
-            .inner
+        let available = self
+            .dispatcher
             .runners
             .iter()
             .filter(|runner| runner.open(now))
             .count();
-        status.runners = (self.inner.runners.iter().count(), open);
+        status.runners = (self.dispatcher.runners.iter().count(), available);
     }
 }
 
-fn demand<'a>(demands: &'a mut Vec<Demand>, pool: &str) -> &'a mut Demand {
-    let at = match demands.binary_search_by(|have| have.pool.as_str().cmp(pool)) {
-        Ok(at) => at,
-        Err(at) => {
+fn demand_for<'a>(demands: &'a mut Vec<Demand>, pool: &str) -> &'a mut Demand {
+    let index = match demands.binary_search_by(|demand| demand.pool.as_str().cmp(pool)) {
+        Ok(index) => index,
+        Err(index) => {
             let new = Demand {
                 pool: pool.to_string(),
                 ..Demand::default()
             };
-            demands.insert(at, new);
-            at
+            demands.insert(index, new);
+            index
         }
     };
-    &mut demands[at]
+    &mut demands[index]
 }
