--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -1,4 +1,8 @@
-//! At-most-once calls as a service of the kernel.
+//! Service of the kernel that decides on at-most-once calls.
+//!
+//! A ticket is decided in memory by the process that issued it; a key that the
+//! caller chose is first claimed in the store. A graceful stop leaves a
+//! tombstone in the store, by which other hosts can answer for this process.
 
 use super::{Action, CALLS, Event, Outbox, Reply, Status};
 use crate::claim::{self, Registry};
@@ -10,40 +14,41 @@
 use crate::ticket::{self, Secret, Ticket};
 use crate::time::Moment;
 
-/// Store prefix of what graceful exits leave.
+/// Store prefix of the tombstones that graceful stops leave.
 pub const TOMBSTONE_PREFIX: &str = "tombstone/";
-/// Bytes of a tombstone; a longer one is left out and its keys stay unknown.
+/// Largest tombstone that is written; without one, the outcome of its keys
+/// stays unknown.
 const TOMBSTONE_BYTES: usize = 900_000;
 
-/// Ledger and claims of this incarnation.
+/// Records and claims of this incarnation.
 #[derive(Debug)]
 pub struct Service {
     me: Incarnation,
     records: Records,
     registry: Registry,
     waiting: Vec<(CallId, Key)>,
-    inquiries: Vec<(Token, CallId, Key)>,
+    tombstone_reads: Vec<(Token, CallId, Key)>,
     tombstone: Option<Token>,
     drained: bool,
-    done: bool,
+    exit_requested: bool,
 }
 
 impl Service {
-    /// Empty records.
+    /// Creates the service with empty records.
     pub fn new(me: Incarnation, secret: Secret, seed: u64) -> Self {
         Self {
             me,
             records: Records::new(me, secret),
             registry: Registry::new(me, seed),
             waiting: Vec::new(),
-            inquiries: Vec::new(),
+            tombstone_reads: Vec::new(),
             tombstone: None,
             drained: false,
-            done: false,
+            exit_requested: false,
         }
     }
 
-    /// Takes an event in.
+    /// Handles an event.
     pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
             Event::IssueTickets {
@@ -57,30 +62,30 @@
             Event::BeginCall {
                 call,
                 customer,
-                idempotency_key: once,
-                body_hash: body,
-            } => self.begin(now, *call, once, (customer, *body), outbox),
+                idempotency_key,
+                body_hash,
+            } => self.begin(now, *call, idempotency_key, (customer, *body_hash), outbox),
             Event::EndCall { key, end } => {
                 for call in self.records.end(*key, end.clone()) {
                     let verdict = self.records.outcome(*key);
-                    self.waiting.retain(|(have, _)| *have != call);
+                    self.waiting.retain(|(waiting, _)| *waiting != call);
                     outbox.reply(call, Reply::Verdict(verdict));
                 }
             }
             Event::OwnerUnreachable { call, owner, key } => {
-                let ask = store::Call::Get {
+                let request = store::Call::Get {
                     key: format!("{TOMBSTONE_PREFIX}{owner}"),
                 };
-                let token = outbox.call_store(CALLS, ask);
-                self.inquiries.push((token, *call, *key));
+                let token = outbox.call_store(CALLS, request);
+                self.tombstone_reads.push((token, *call, *key));
             }
-            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, outbox),
+            Event::StoreAnswer(token, answer) => self.on_store_answer(now, *token, answer, outbox),
             Event::Stop => self.records.close(),
             Event::Drained => self.write_tombstone(outbox),
             _ => {}
         }
-        if self.drained && self.tombstone.is_none() && !self.done {
-            self.done = true;
+        if self.drained && self.tombstone.is_none() && !self.exit_requested {
+            self.exit_requested = true;
             outbox.push_action(Action::Exit);
         }
     }
@@ -89,60 +94,65 @@
         &mut self,
         now: Moment,
         call: CallId,
-        once: &str,
-        (customer, body): (&str, u64),
+        idempotency_key: &str,
+        (customer, body_hash): (&str, u64),
         outbox: &mut Outbox,
     ) {
-        if once.starts_with(ticket::PREFIX) {
-            let verdict = match Ticket::parse(once) {
-                Some(ticket) => self.records.begin_ticket(now, call, &ticket, customer, body),
+        if idempotency_key.starts_with(ticket::PREFIX) {
+            let verdict = match Ticket::parse(idempotency_key) {
+                Some(ticket) => self.records.begin_ticket(now, call, &ticket, customer, body_hash),
                 None => Verdict::Refuse(Kind::BadIdempotencyKey.into()),
             };
-            self.tell(call, verdict, outbox);
+            self.reply_verdict(call, verdict, outbox);
             return;
         }
-        if let Err(refusal) = claim::check(now, once) {
-            self.tell(call, Verdict::Refuse(refusal), outbox);
+        if let Err(refusal) = claim::check(now, idempotency_key) {
+            self.reply_verdict(call, Verdict::Refuse(refusal), outbox);
             return;
         }
         let token = outbox.new_token(CALLS);
-        match self
-            .registry
-            .begin(now, &mut self.records, token, (call, once), (customer, body))
-        {
+        match self.registry.begin(
+            now,
+            &mut self.records,
+            token,
+            (call, idempotency_key),
+            (customer, body_hash),
+        ) {
             Ok(verdict) => {
                 outbox.discard_token(token);
-                self.tell(call, verdict, outbox);
+                self.reply_verdict(call, verdict, outbox);
             }
-            Err(ask) => outbox.push_action(Action::Store(token, ask)),
+            Err(request) => outbox.push_action(Action::Store(token, request)),
         }
     }
 
-    fn stored(&mut self, now: Moment, token: Token, answer: &Answer, outbox: &mut Outbox) {
+    fn on_store_answer(&mut self, now: Moment, token: Token, answer: &Answer, outbox: &mut Outbox) {
         if self.tombstone == Some(token) {
             self.tombstone = None;
             return;
         }
-        if let Some(at) = self.inquiries.iter().position(|(have, ..)| *have == token) {
-            let (_, call, key) = self.inquiries.swap_remove(at);
-            self.tell(call, Verdict::Refuse(judge(answer, key)), outbox);
+        if let Some(index) = self.tombstone_reads.iter().position(|(read, ..)| *read == token) {
+            let (_, call, key) = self.tombstone_reads.swap_remove(index);
+            self.reply_verdict(call, Verdict::Refuse(refusal_for(answer, key)), outbox);
             return;
         }
-        // The kernel hands each token out once; a second question of one
-        // claim goes out under a new one.
-        let again = outbox.new_token(CALLS);
-        let step = self.registry.answer(now, &mut self.records, token, again, answer);
-        if let Some((_, Err(ask))) = step {
-            outbox.push_action(Action::Store(again, ask));
+        // Each token is used once: a further request for the same claim needs
+        // a new one.
+        let next_token = outbox.new_token(CALLS);
+        let step = self
+            .registry
+            .answer(now, &mut self.records, token, next_token, answer);
+        if let Some((_, Err(request))) = step {
+            outbox.push_action(Action::Store(next_token, request));
             return;
         }
-        outbox.discard_token(again);
+        outbox.discard_token(next_token);
         if let Some((call, Ok(verdict))) = step {
-            self.tell(call, verdict, outbox);
+            self.reply_verdict(call, verdict, outbox);
         }
     }
 
-    fn tell(&mut self, call: CallId, verdict: Verdict, outbox: &mut Outbox) {
+    fn reply_verdict(&mut self, call: CallId, verdict: Verdict, outbox: &mut Outbox) {
         if verdict != Verdict::Wait {
             outbox.reply(call, Reply::Verdict(verdict));
         }
@@ -169,15 +179,18 @@
     /// Adds nothing to a heartbeat.
     pub fn fill_heartbeat(&mut self, _now: Moment, _address: &str, _beat: &mut Heartbeat) {}
 
-    /// Adds to the status.
+    /// Adds the record counts to the status.
     pub fn add_status(&self, _now: Moment, status: &mut Status) {
         status.records = self.records.size();
     }
 }
 
-/// Only a tombstone proves that the owner can run nothing any more; without
-/// one it may be cut off or frozen, and "not run" would be a guess.
-fn judge(answer: &Answer, key: Key) -> Refusal {
+/// Refusal of a call whose owner cannot be reached.
+///
+/// Only a tombstone proves that the owner can no longer run the call. Without
+/// one, the owner may be partitioned or suspended, and "not run" would be a
+/// guess.
+fn refusal_for(answer: &Answer, key: Key) -> Refusal {
     let tombstone = match answer {
         Answer::Found(entries) => entries
             .first()
--- a/crates/core/src/kernel/orders.rs
+++ b/crates/core/src/kernel/orders.rs
@@ -1,4 +1,7 @@
-//! The ordering duty as a service of the kernel.
+//! Service of the kernel for the ordering duty.
+//!
+//! It applies for the lease of the duty and, while it holds the lease, lets
+//! the planner order runners.
 
 use std::sync::Arc;
 
@@ -12,7 +15,7 @@
 use crate::store::{Answer, Token};
 use crate::time::Moment;
 
-/// Lease and plans.
+/// Lease of the duty and planner of the orders.
 #[derive(Debug)]
 pub struct Service {
     lease: Lease,
@@ -20,12 +23,12 @@
     candidate: bool,
     view: Arc<View>,
     summaries: Vec<ZoneSummary>,
-    lease_request: Pending,
-    planner_request: Pending,
+    pending_lease: Pending,
+    pending_planner: Pending,
 }
 
 impl Service {
-    /// Not in charge.
+    /// Creates the service without the duty.
     pub fn new(me: Incarnation) -> Self {
         Self {
             lease: Lease::new(me, ORDERS),
@@ -33,24 +36,24 @@
             candidate: false,
             view: Arc::default(),
             summaries: Vec::new(),
-            lease_request: Pending::default(),
-            planner_request: Pending::default(),
+            pending_lease: Pending::default(),
+            pending_planner: Pending::default(),
         }
     }
 
-    /// Takes an event in.
+    /// Handles an event.
     pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
             Event::Tick => {
                 let call = self.lease.tick(now, self.candidate);
-                self.lease_request.send(ORDERS, call, outbox);
+                self.pending_lease.send(ORDERS, call, outbox);
                 let grant = self.lease.grant(now);
                 let step = self
                     .planner
                     .tick(now, grant, &self.view.document.pools, &self.summaries);
-                self.act(step, outbox);
+                self.apply(step, outbox);
             }
-            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, outbox),
+            Event::StoreAnswer(token, answer) => self.on_store_answer(now, *token, answer, outbox),
             Event::OrderAnswer(accepted) => self.planner.on_order_answer(now, *accepted),
             Event::Membership(membership) => self.candidate = membership.orders_candidate,
             Event::View(view) => self.view = view.clone(),
@@ -60,19 +63,19 @@
         }
     }
 
-    fn stored(&mut self, now: Moment, token: Token, answer: &Answer, outbox: &mut Outbox) {
-        if self.lease_request.accept(token) {
+    fn on_store_answer(&mut self, now: Moment, token: Token, answer: &Answer, outbox: &mut Outbox) {
+        if self.pending_lease.accept(token) {
             let call = self.lease.on_answer(now, answer);
-            self.lease_request.send(ORDERS, call, outbox);
-        } else if self.planner_request.accept(token) {
+            self.pending_lease.send(ORDERS, call, outbox);
+        } else if self.pending_planner.accept(token) {
             let step = self.planner.on_store_answer(now, self.lease.grant(now), answer);
-            self.act(step, outbox);
+            self.apply(step, outbox);
         }
     }
 
-    fn act(&mut self, step: Option<Step>, outbox: &mut Outbox) {
+    fn apply(&mut self, step: Option<Step>, outbox: &mut Outbox) {
         match step {
-            Some(Step::Store(call)) => self.planner_request.send(ORDERS, Some(call), outbox),
+            Some(Step::Store(call)) => self.pending_planner.send(ORDERS, Some(call), outbox),
             Some(Step::Order(grant, order)) => outbox.push_action(Action::Order(grant, order)),
             None => {}
         }
@@ -81,7 +84,7 @@
     /// Adds nothing to a heartbeat.
     pub fn fill_heartbeat(&mut self, _now: Moment, _address: &str, _beat: &mut Heartbeat) {}
 
-    /// Adds to the status.
+    /// Adds the duty to the status, if this process holds it.
     pub fn add_status(&self, now: Moment, status: &mut Status) {
         if let Some(grant) = self.lease.grant(now) {
             status.duties.push((ORDERS.into(), grant.fence));
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -1,4 +1,8 @@
-//! Usage as a service of the kernel.
+//! Usage service of the kernel.
+//!
+//! It counts the usage of this process, exchanges copies of it with peers, and
+//! collects and reports the usage of all zones while this process holds the
+//! reporting duty.
 
 use std::time::Duration;
 
@@ -14,28 +18,29 @@
 use crate::usage::gather::Gather;
 use crate::usage::report::{Reporter, Step};
 
-/// Wait for the first delegates before the second ones are asked.
-const SECOND: Duration = Duration::from_millis(1_800);
+/// Time that the first delegate of a zone has to answer before the second one
+/// is asked.
+const SECOND_DELEGATE_DELAY: Duration = Duration::from_millis(1_800);
 
-/// Meter, lease and reporter.
+/// Meter of this process, lease of the reporting duty, and reporter.
 #[derive(Debug)]
 pub struct Service {
     meter: Meter,
     lease: Lease,
     reporter: Reporter,
     membership: Standing,
-    length: Duration,
+    window_length: Duration,
     grace: Duration,
-    lease_request: Pending,
-    report_request: Pending,
+    pending_lease: Pending,
+    pending_report: Pending,
     gathers: Vec<Gather>,
     zone: String,
-    answered: Vec<String>,
-    second: Option<(Moment, Collect)>,
+    answered_zones: Vec<String>,
+    second_round: Option<(Moment, Collect)>,
 }
 
 impl Service {
-    /// Nothing counted, not in charge.
+    /// Creates the service with nothing counted and without the duty.
     pub fn new(me: Incarnation, zone: &str, now: Moment) -> Self {
         let settings = Settings::default();
         Self {
@@ -43,33 +48,33 @@
             lease: Lease::new(me, USAGE),
             reporter: Reporter::default(),
             membership: Standing::default(),
-            length: settings.usage_window,
+            window_length: settings.usage_window,
             grace: settings.usage_grace,
-            lease_request: Pending::default(),
-            report_request: Pending::default(),
+            pending_lease: Pending::default(),
+            pending_report: Pending::default(),
             gathers: Vec::new(),
             zone: zone.to_string(),
-            answered: Vec::new(),
-            second: None,
+            answered_zones: Vec::new(),
+            second_round: None,
         }
     }
 
-    /// Takes an event in.
+    /// Handles an event.
     pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
             Event::Tick => self.tick(now, outbox),
             Event::RecordUsage(item) => self.meter.count(now, item),
-            Event::Heartbeat(heartbeat) => self.hear(heartbeat),
-            Event::Collect(call, ask) if ask.zone => self.gather(now, Some(*call), ask, outbox),
-            Event::Collect(call, ask) => {
-                let answer = self.sum_up(now, ask);
+            Event::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat),
+            Event::Collect(call, request) if request.zone => self.gather(now, Some(*call), request, outbox),
+            Event::Collect(call, request) => {
+                let answer = self.collect_own(now, request);
                 outbox.reply(*call, Reply::Collected(answer));
             }
-            Event::Collected(answer) => self.collected(answer),
-            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, outbox),
+            Event::Collected(answer) => self.on_collected(answer),
+            Event::StoreAnswer(token, answer) => self.on_store_answer(now, *token, answer, outbox),
             Event::ReportAnswer(accepted) => {
                 let call = self.reporter.reported(now, *accepted);
-                self.report_request.send(USAGE, call, outbox);
+                self.pending_report.send(USAGE, call, outbox);
             }
             Event::Membership(membership) => {
                 self.membership = membership.clone();
@@ -77,9 +82,9 @@
                     .retain_keepers(|keeper| membership.live_peers.iter().any(|(live, _)| *live == keeper));
             }
             Event::View(view) => {
-                self.length = view.document.settings.usage_window;
+                self.window_length = view.document.settings.usage_window;
                 self.grace = view.document.settings.usage_grace;
-                self.meter.set_length(self.length);
+                self.meter.set_length(self.window_length);
             }
             Event::Stop => self.lease.release(now),
             Event::Drained => self.meter.flush(now),
@@ -90,73 +95,76 @@
     fn tick(&mut self, now: Moment, outbox: &mut Outbox) {
         self.meter.tick(now);
         self.finish_gathers(now, outbox);
-        self.ask_seconds(now, outbox);
+        self.ask_second_delegates(now, outbox);
         let call = self.lease.tick(now, self.membership.usage_candidate);
-        self.lease_request.send(USAGE, call, outbox);
+        self.pending_lease.send(USAGE, call, outbox);
         let grant = self.lease.grant(now);
-        match self.reporter.tick(now, grant, self.length, self.grace) {
-            Some(Step::Store(call)) => self.report_request.send(USAGE, Some(call), outbox),
-            Some(Step::Collect(ask)) => self.collect(now, ask, outbox),
+        match self.reporter.tick(now, grant, self.window_length, self.grace) {
+            Some(Step::Store(call)) => self.pending_report.send(USAGE, Some(call), outbox),
+            Some(Step::Collect(request)) => self.collect(now, request, outbox),
             Some(Step::Report(grant, seal)) => outbox.push_action(Action::Report(grant, seal)),
             None => {}
         }
     }
 
-    /// Asks one delegate a zone; the second one later, as the first may be
-    /// frozen or gone, and answers for the own zone as its delegates do.
-    fn collect(&mut self, now: Moment, ask: Collect, outbox: &mut Outbox) {
-        let firsts = self
+    /// Requests usage from the first delegate of each zone, and collects that
+    /// of the own zone as a delegate would. The second delegate is asked after
+    /// [`SECOND_DELEGATE_DELAY`], because the first may be suspended or gone.
+    fn collect(&mut self, now: Moment, request: Collect, outbox: &mut Outbox) {
+        let first_delegates = self
             .membership
             .delegates
             .iter()
             .filter_map(|(_, addresses)| addresses.first());
-        for address in firsts {
-            outbox.push_action(Action::Collect(address.clone(), ask.clone()));
+        for address in first_delegates {
+            outbox.push_action(Action::Collect(address.clone(), request.clone()));
         }
-        self.answered.clear();
-        self.gather(now, None, &ask, outbox);
-        self.second = Some((now + SECOND, ask));
+        self.answered_zones.clear();
+        self.gather(now, None, &request, outbox);
+        self.second_round = Some((now + SECOND_DELEGATE_DELAY, request));
     }
 
-    fn ask_seconds(&mut self, now: Moment, outbox: &mut Outbox) {
-        let Some((_, ask)) = self.second.take_if(|(due, _)| now.reached(*due)) else {
+    fn ask_second_delegates(&mut self, now: Moment, outbox: &mut Outbox) {
+        let Some((_, request)) = self.second_round.take_if(|(due, _)| now.reached(*due)) else {
             return;
         };
-        let silent = self
+        let unanswered = self
             .membership
             .delegates
             .iter()
-            .filter(|(zone, _)| !self.answered.contains(zone));
-        for address in silent.filter_map(|(_, addresses)| addresses.get(1)) {
-            outbox.push_action(Action::Collect(address.clone(), ask.clone()));
+            .filter(|(zone, _)| !self.answered_zones.contains(zone));
+        for address in unanswered.filter_map(|(_, addresses)| addresses.get(1)) {
+            outbox.push_action(Action::Collect(address.clone(), request.clone()));
         }
     }
 
-    fn gather(&mut self, now: Moment, call: Option<CallId>, ask: &Collect, outbox: &mut Outbox) {
-        let ask = Collect {
+    fn gather(&mut self, now: Moment, call: Option<CallId>, request: &Collect, outbox: &mut Outbox) {
+        let request = Collect {
             zone: false,
-            ..ask.clone()
+            ..request.clone()
         };
-        let own = self.sum_up(now, &ask);
+        let own = self.collect_own(now, &request);
         self.gathers.push(Gather::new(now, call, own));
         for address in &self.membership.zone_peers {
-            outbox.push_action(Action::Collect(address.clone(), ask.clone()));
+            outbox.push_action(Action::Collect(address.clone(), request.clone()));
         }
     }
 
-    fn sum_up(&mut self, now: Moment, ask: &Collect) -> Collected {
+    fn collect_own(&mut self, now: Moment, request: &Collect) -> Collected {
         let live = &self.membership.live_peers;
-        self.meter
-            .collect(now, ask, |source| live.iter().any(|(have, _)| *have == source))
+        self.meter.collect(now, request, |source| {
+            live.iter().any(|(peer, _)| *peer == source)
+        })
     }
 
-    fn collected(&mut self, answer: &Collected) {
+    fn on_collected(&mut self, answer: &Collected) {
         match &answer.zone_usage {
-            Some(bundle) => {
-                self.answered.push(bundle.zone.clone());
-                self.reporter.collected(bundle);
+            Some(zone_usage) => {
+                self.answered_zones.push(zone_usage.zone.clone());
+                self.reporter.collected(zone_usage);
             }
-            // Whichever collection a mate answers, a sum says what is in it.
+            // The answer names the chunks that it covers, so it can be added
+            // to every open collection, whichever one it was sent for.
             None => self
                 .gathers
                 .iter_mut()
@@ -168,13 +176,13 @@
         while self.gathers.first().is_some_and(|gather| gather.is_over(now)) {
             let gather = self.gathers.remove(0);
             let call = gather.call;
-            let bundle = gather.bundle(&self.zone);
+            let zone_usage = gather.bundle(&self.zone);
             match call {
-                None => self.reporter.collected(&bundle),
+                None => self.reporter.collected(&zone_usage),
                 Some(call) => {
                     let answer = Collected {
                         sources: Vec::new(),
-                        zone_usage: Some(bundle),
+                        zone_usage: Some(zone_usage),
                     };
                     outbox.reply(call, Reply::Collected(answer));
                 }
@@ -182,17 +190,17 @@
         }
     }
 
-    fn stored(&mut self, now: Moment, token: Token, answer: &Answer, outbox: &mut Outbox) {
-        if self.lease_request.accept(token) {
+    fn on_store_answer(&mut self, now: Moment, token: Token, answer: &Answer, outbox: &mut Outbox) {
+        if self.pending_lease.accept(token) {
             let call = self.lease.on_answer(now, answer);
-            self.lease_request.send(USAGE, call, outbox);
-        } else if self.report_request.accept(token) {
+            self.pending_lease.send(USAGE, call, outbox);
+        } else if self.pending_report.accept(token) {
             let call = self.reporter.answer(now, answer);
-            self.report_request.send(USAGE, call, outbox);
+            self.pending_report.send(USAGE, call, outbox);
         }
     }
 
-    fn hear(&mut self, heartbeat: &Heartbeat) {
+    fn on_heartbeat(&mut self, heartbeat: &Heartbeat) {
         for chunk in &heartbeat.usage_chunks {
             self.meter.keep(chunk.clone());
         }
@@ -202,13 +210,14 @@
         }
     }
 
-    /// Adds to a heartbeat.
+    /// Acknowledges the receiver's chunks that are stored here, and adds the
+    /// chunks that the receiver is to store.
     pub fn fill_heartbeat(&mut self, _now: Moment, address: &str, heartbeat: &mut Heartbeat) {
         let Some((peer, _)) = self
             .membership
             .live_peers
             .iter()
-            .find(|(_, have)| have == address)
+            .find(|(_, known)| known == address)
         else {
             return;
         };
@@ -218,7 +227,7 @@
         }
     }
 
-    /// Adds to the status.
+    /// Adds the chunk count, and the duty if it is held, to the status.
     pub fn add_status(&self, now: Moment, status: &mut Status) {
         status.chunks = self.meter.size();
         if let Some(grant) = self.lease.grant(now) {
