--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,11 +1,13 @@
-//! One process in charge of a duty, by a record in the store.
+//! Lease of a duty: at most one process acts on it at a time.
 //!
-//! The holder rewrites its record by compare-and-swap. Its right to act ends a
-//! term after it *began* the last renewal that is known to have taken effect,
-//! on its own monotonic clock. A successor may take over once it has seen the
-//! same record unchanged for the term, the longest send and a quiet time, on
-//! its own clock. No clocks are compared between hosts, and the platform need
-//! not expire anything. Each take-over raises the fencing number.
+//! The lease is a record in the store, which the holder renews by
+//! compare-and-swap. The holder may act until one lease duration after it sent
+//! the last renewal that is known to have been written, by its own monotonic
+//! clock. Another candidate may take over once it has seen the same record
+//! unchanged for the lease duration, the longest send and the quiet period
+//! together, by its own clock. No clocks are compared between hosts, and the
+//! platform does not have to expire anything. Each takeover raises the fencing
+//! number.
 
 use std::time::Duration;
 
@@ -13,22 +15,22 @@
 use crate::store::{Answer, Call, Entry};
 use crate::time::Moment;
 
-/// How often a candidate looks.
+/// Interval between two reads of the record by a candidate.
 pub const READ_INTERVAL: Duration = Duration::from_secs(2);
 
 plain! {
-    /// Spans of a lease; the same on all candidates.
+    /// Durations of a lease; they must be equal on all candidates.
     #[derive(Copy)]
     pub struct Timing {
-        /// How long a renewal carries.
+        /// Time for which a renewal is valid.
         pub duration: Duration,
-        /// How often the holder renews.
+        /// Interval between two renewals.
         pub renew_interval: Duration,
-        /// Longest time one order or report may be in the air.
+        /// Longest time that sending one order or report may take.
         pub max_send: Duration,
-        /// Kept back for receivers that ignore fencing numbers: a pause of the
-        /// holder between its last check and the bytes leaving is covered up
-        /// to this long.
+        /// Additional wait before a takeover, for receivers that ignore
+        /// fencing numbers. It covers a suspension of the holder up to this
+        /// long between its last check of the lease and the actual send.
         pub quiet_period: Duration,
     }
 }
@@ -45,8 +47,9 @@
 }
 
 impl Timing {
-    /// For receivers that check fencing numbers, with a term that the operator
-    /// sets: three renewals in a term, so that one may be lost.
+    /// Timing for receivers that check fencing numbers, by a lease duration
+    /// that the operator sets. There are three renewals per lease duration, so
+    /// that one may be lost.
     pub fn fenced(term: Duration) -> Self {
         Self {
             duration: term,
@@ -56,19 +59,20 @@
         }
     }
 }
-/// An answer that has not come by then counts as lost.
-const ANSWER: Duration = Duration::from_secs(3);
+/// Time after which an answer of the store counts as lost.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 record! {
-    /// What the store says of a duty.
+    /// Record of a duty in the store.
     pub struct Record {
-        /// Who is in charge.
+        /// Process that holds the duty.
         pub holder: Incarnation,
-        /// Raised by each take-over.
+        /// Fencing number, raised by each takeover.
         pub fence: u64,
-        /// Raised by each renewal.
+        /// Number of the renewal, raised by each write.
         pub renewal: u64,
-        /// The holder gave it back; nobody need wait.
+        /// Whether the holder released the duty, so that no candidate has to
+        /// wait.
         #[serde(default)]
         pub released: bool,
     }
@@ -79,15 +83,15 @@
         Idle,
         Reading { sent: Moment },
         Writing { sent: Moment, record: Record },
-        Settling { began: Moment, sent: Moment, record: Record },
+        ReadingBack { write_sent: Moment, sent: Moment, record: Record },
     }
 }
 
 plain! {
-    /// Leave to act, as of one moment.
+    /// Right of the holder to act, until it expires.
     #[derive(Copy)]
     pub struct Grant {
-        /// Fencing number to send along.
+        /// Fencing number to include in each message.
         pub fence: u64,
         /// End of the right to act.
         pub until: Moment,
@@ -97,62 +101,63 @@
 }
 
 impl Grant {
-    /// Whether a send begun now ends inside the right to act.
+    /// Whether a send that starts now ends before the grant expires.
     ///
-    /// Asked last thing before each send: a holder that was paused since its
-    /// last look finds its time gone here.
+    /// Check this directly before each send: for a holder that was suspended
+    /// since its previous check, the grant may have expired.
     pub fn covers(&self, now: Moment) -> bool {
         !(now + self.max_send).reached(self.until)
     }
 }
 
-/// One candidate's view of one duty.
+/// State of one duty at one candidate.
 #[derive(Debug)]
 pub struct Lease {
     me: Incarnation,
     key: String,
     step: Step,
     version: u64,
-    seen: Option<(Record, Moment)>,
+    observed: Option<(Record, Moment)>,
     held: Option<Grant>,
-    next: Moment,
+    next_step_at: Moment,
     stopping: bool,
-    terms: Timing,
-    shown: bool,
+    timing: Timing,
+    read_externally: bool,
 }
 
 impl Lease {
-    /// A candidate that knows nothing yet, on the usual terms.
+    /// Candidate for a duty with the default timing.
     pub fn new(me: Incarnation, duty: &str) -> Self {
         Self::with_timing(me, format!("duty/{duty}"), Timing::default())
     }
 
-    /// A candidate for the record under `key`.
-    pub fn with_timing(me: Incarnation, key: String, terms: Timing) -> Self {
+    /// Candidate for the record under the store key `key`.
+    pub fn with_timing(me: Incarnation, key: String, timing: Timing) -> Self {
         Self {
             me,
             key,
-            terms,
-            shown: false,
+            timing,
+            read_externally: false,
             step: Step::Idle,
             version: 0,
-            seen: None,
+            observed: None,
             held: None,
-            next: Moment::default(),
+            next_step_at: Moment::default(),
             stopping: false,
         }
     }
 
-    /// The right to act, if this process has it now.
+    /// The right to act, if this process holds it now.
     pub fn grant(&self, now: Moment) -> Option<Grant> {
         self.held.filter(|grant| grant.covers(now) && !self.stopping)
     }
 
-    /// Moves on; `candidate` tells whether to seek the duty at all.
+    /// Next request to the store, if one is due. The duty is applied for only
+    /// if `candidate` is set; a held duty is renewed in any case.
     pub fn tick(&mut self, now: Moment, candidate: bool) -> Option<Call> {
-        self.expire(now);
-        self.give_up_waiting(now);
-        if self.step != Step::Idle || !now.reached(self.next) {
+        self.expire_grant(now);
+        self.abandon_stale_step(now);
+        if self.step != Step::Idle || !now.reached(self.next_step_at) {
             return None;
         }
         if self.held.is_some() {
@@ -161,59 +166,68 @@
         if !candidate || self.stopping {
             return None;
         }
-        if self.may_take(now) {
+        if self.may_take_over(now) {
             return self.write(now, false);
         }
-        if self.shown {
+        if self.read_externally {
             return None;
         }
         self.step = Step::Reading { sent: now };
-        self.next = now + READ_INTERVAL;
+        self.next_step_at = now + READ_INTERVAL;
         Some(Call::Get {
             key: self.key.clone(),
         })
     }
 
-    /// Takes the record from a read that was made for other reasons; a
-    /// candidate that is shown it need not look for itself.
+    /// Observes the record in a read that was made for another purpose. From
+    /// then on this candidate makes no reads of its own.
     ///
-    /// The holder's own writes tell it more: a read that left before one of
-    /// them would show it an older record.
+    /// The holder ignores such reads: its own writes are more recent, and a
+    /// read sent before one of them would return an older record.
     pub fn observe_read(&mut self, now: Moment, entry: Option<&Entry>) {
         if self.held.is_some() || self.step != Step::Idle {
             return;
         }
-        self.shown = true;
-        self.observe(now, entry);
+        self.read_externally = true;
+        self.update_observed(now, entry);
     }
 
-    /// Takes the store's answer.
+    /// Handles the store's answer to the last request, and returns the next
+    /// one if it follows at once.
     pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> Option<Call> {
         match std::mem::replace(&mut self.step, Step::Idle) {
             Step::Idle => None,
             Step::Reading { .. } => {
                 if let Answer::Found(entries) = answer {
-                    self.observe(now, entries.first());
+                    self.update_observed(now, entries.first());
                 }
                 None
             }
-            Step::Writing { sent, record } => self.written(now, sent, record, answer),
-            Step::Settling { began, record, .. } => self.settled(now, began, record, answer),
+            Step::Writing { sent, record } => self.on_write_answer(now, sent, record, answer),
+            Step::ReadingBack {
+                write_sent, record, ..
+            } => self.on_read_back(now, write_sent, record, answer),
         }
     }
 
-    /// Gives the duty back at the next tick.
+    /// Releases the duty at the next tick.
     pub fn release(&mut self, now: Moment) {
         self.stopping = true;
-        self.next = now;
+        self.next_step_at = now;
     }
 
-    /// Whether nothing is held or in the air any more.
+    /// Whether the duty is not held and no request is outstanding.
     pub fn is_idle(&self) -> bool {
         self.held.is_none() && self.step == Step::Idle
     }
 
-    fn written(&mut self, now: Moment, sent: Moment, record: Record, answer: &Answer) -> Option<Call> {
+    fn on_write_answer(
+        &mut self,
+        now: Moment,
+        sent: Moment,
+        record: Record,
+        answer: &Answer,
+    ) -> Option<Call> {
         match answer {
             Answer::Written(version) => {
                 self.version = *version;
@@ -222,16 +236,16 @@
             }
             Answer::Conflict(entry) => {
                 self.held = None;
-                self.observe(now, Some(entry));
+                self.update_observed(now, Some(entry));
                 None
             }
             Answer::Refused | Answer::Found(_) | Answer::Same => None,
-            // The write may stand: read back. Taking it for failed would
-            // leave a record of ours that we do not honour; taking it for
-            // done could make two holders.
+            // The write may have taken effect, so the record is read back. To
+            // assume that it failed could leave a record of this process that
+            // it does not act on; to assume success could make two holders.
             Answer::Lost => {
-                self.step = Step::Settling {
-                    began: sent,
+                self.step = Step::ReadingBack {
+                    write_sent: sent,
                     sent: now,
                     record,
                 };
@@ -242,68 +256,74 @@
         }
     }
 
-    fn settled(&mut self, now: Moment, began: Moment, record: Record, answer: &Answer) -> Option<Call> {
+    fn on_read_back(
+        &mut self,
+        now: Moment,
+        write_sent: Moment,
+        record: Record,
+        answer: &Answer,
+    ) -> Option<Call> {
         let Answer::Found(entries) = answer else {
             return None;
         };
         let entry = entries.first();
-        let stands = entry.and_then(|entry| read(entry).map(|have| (entry.version, have)));
-        match stands {
-            Some((version, have)) if have == record => {
+        let current = entry.and_then(|entry| parse_record(entry).map(|stored| (entry.version, stored)));
+        match current {
+            Some((version, stored)) if stored == record => {
                 self.version = version;
-                self.confirm(began, record);
+                self.confirm(write_sent, record);
             }
-            Some((_, have)) if have.holder != self.me => {
+            Some((_, stored)) if stored.holder != self.me => {
                 self.held = None;
-                self.observe(now, entry);
+                self.update_observed(now, entry);
             }
-            _ => self.observe(now, entry),
+            _ => self.update_observed(now, entry),
         }
         None
     }
 
     fn confirm(&mut self, sent: Moment, record: Record) {
-        self.next = sent + self.terms.renew_interval;
-        self.seen = Some((record.clone(), sent));
+        self.next_step_at = sent + self.timing.renew_interval;
+        self.observed = Some((record.clone(), sent));
         self.held = (!record.released).then_some(Grant {
             fence: record.fence,
-            until: sent + self.terms.duration,
-            max_send: self.terms.max_send,
+            until: sent + self.timing.duration,
+            max_send: self.timing.max_send,
         });
     }
 
-    fn observe(&mut self, now: Moment, entry: Option<&Entry>) {
+    fn update_observed(&mut self, now: Moment, entry: Option<&Entry>) {
         let Some(entry) = entry.filter(|entry| entry.version > 0) else {
             self.version = 0;
-            self.seen = None;
+            self.observed = None;
             return;
         };
-        // A stale read must not restart the wait, nor count as news.
-        if entry.version <= self.version && self.seen.is_some() {
+        // A stale read must neither restart the wait nor replace the record.
+        if entry.version <= self.version && self.observed.is_some() {
             return;
         }
-        if let Some(record) = read(entry) {
+        if let Some(record) = parse_record(entry) {
             self.version = entry.version;
-            self.seen = Some((record, now));
+            self.observed = Some((record, now));
         }
     }
 
-    fn may_take(&self, now: Moment) -> bool {
-        match &self.seen {
-            None => self.shown || self.next > Moment::default(),
+    fn may_take_over(&self, now: Moment) -> bool {
+        match &self.observed {
+            None => self.read_externally || self.next_step_at > Moment::default(),
             Some((record, _)) if record.released => true,
             Some((record, _)) if record.holder == self.me => true,
-            Some((_, since)) => now.since(*since) >= self.wait(),
+            Some((_, since)) => now.since(*since) >= self.takeover_wait(),
         }
     }
 
-    /// Time for which an unchanged record must be respected.
-    fn wait(&self) -> Duration {
-        self.terms.duration + self.terms.max_send + self.terms.quiet_period
+    /// Time for which a record must be unchanged before a takeover.
+    fn takeover_wait(&self) -> Duration {
+        self.timing.duration + self.timing.max_send + self.timing.quiet_period
     }
 
     fn write(&mut self, now: Moment, released: bool) -> Option<Call> {
-        let (fence, renewal) = match &self.seen {
+        let (fence, renewal) = match &self.observed {
             Some((record, _)) if self.held.is_some() => (record.fence, record.renewal + 1),
             Some((record, _)) => (record.fence + 1, record.renewal + 1),
             None => (1, 1),
@@ -317,7 +337,7 @@
         if released {
             self.held = None;
         }
-        self.next = now + self.terms.renew_interval;
+        self.next_step_at = now + self.timing.renew_interval;
         let value = serde_json::to_string(&record).ok()?;
         self.step = Step::Writing { sent: now, record };
         Some(Call::CompareAndSwap {
@@ -327,24 +347,25 @@
         })
     }
 
-    fn expire(&mut self, now: Moment) {
+    fn expire_grant(&mut self, now: Moment) {
         if self.held.is_some_and(|grant| now.reached(grant.until)) {
             self.held = None;
         }
     }
 
-    /// The shell answers each call in time; this covers one that it lost.
-    fn give_up_waiting(&mut self, now: Moment) {
+    /// Gives up a request that was never answered, which happens only if the
+    /// program around the core lost it.
+    fn abandon_stale_step(&mut self, now: Moment) {
         let sent = match &self.step {
             Step::Idle => return,
-            Step::Reading { sent } | Step::Writing { sent, .. } | Step::Settling { sent, .. } => *sent,
+            Step::Reading { sent } | Step::Writing { sent, .. } | Step::ReadingBack { sent, .. } => *sent,
         };
-        if now.since(sent) > ANSWER + ANSWER {
+        if now.since(sent) > ANSWER_TIMEOUT + ANSWER_TIMEOUT {
             self.step = Step::Idle;
         }
     }
 }
 
-fn read(entry: &Entry) -> Option<Record> {
+fn parse_record(entry: &Entry) -> Option<Record> {
     serde_json::from_str(&entry.value).ok()
 }
