--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -1,9 +1,9 @@
-//! How many runners each zone should have, and the orders that say so.
+//! Orders for runners: the target count for each pool and zone.
 //!
-//! An order is a target count, not an increment, so one that is repeated or
-//! arrives late does no more than restate it. The intent is written to the
-//! store before the order is sent; a successor finds there what may be in the
-//! air.
+//! An order states a target count, not an increment, so a repeated or late
+//! order changes nothing further. Before an order is sent, it is written to
+//! the store as an intent, from which the next holder of the duty learns which
+//! orders may have been sent.
 
 use std::time::Duration;
 
@@ -16,34 +16,34 @@
 
 /// Store prefix of intents.
 pub const PREFIX: &str = "order/";
-/// Part of the slots that should be busy, in percent.
-const FILL: u32 = 70;
-/// How long less must be wanted before runners are released.
-const RELEASE: Duration = Duration::from_secs(60);
-/// Age past which a zone's summary says nothing.
-const SUMMARY_AGE: u64 = 15_000;
-/// Pause after a failed step, and between restatements of one target.
-const PAUSE: Duration = Duration::from_secs(5);
-/// Wait for an answer before starting over.
-const PATIENCE: Duration = Duration::from_secs(8);
+/// Part of the slots that should be in use.
+const TARGET_UTILIZATION_PERCENT: u32 = 70;
+/// Time for which the target must be lower before runners are released.
+const SCALE_DOWN_DELAY: Duration = Duration::from_secs(60);
+/// Age above which a zone's summary is ignored.
+const MAX_SUMMARY_AGE_MS: u64 = 15_000;
+/// Wait after a failed step before the intents are read again.
+const RETRY_DELAY: Duration = Duration::from_secs(5);
+/// Time after which a missing answer counts as lost and planning restarts.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
 record! {
     /// A target for one pool in one zone.
     pub struct Order {
-        /// Pool.
+        /// Pool of the runners.
         pub pool: String,
         /// Availability zone.
         pub zone: String,
-        /// Runners wanted.
+        /// Target count of runners.
         pub count: u32,
-        /// Fencing number of whoever orders.
+        /// Fencing number of the sender's lease.
         pub fence: u64,
     }
 }
 
 impl Order {
-    fn place(&self) -> Place {
-        Place {
+    fn pool_zone(&self) -> PoolZone {
+        PoolZone {
             pool: self.pool.clone(),
             zone: self.zone.clone(),
         }
@@ -51,21 +51,21 @@
 }
 
 plain! {
-    /// What an order is for.
+    /// Key of a target.
     #[derive(Eq, PartialOrd, Ord)]
-    struct Place {
+    struct PoolZone {
         pool: String,
         zone: String,
     }
 }
 
 plain! {
-    /// What is kept of a target besides its numbers.
+    /// State of a target besides its counts.
     #[derive(Default)]
-    struct Kept {
-        /// Version of its intent in the store.
+    struct IntentState {
+        /// Version of the intent in the store; 0 if there is none.
         version: u64,
-        /// Since when fewer runners would do.
+        /// Time since which fewer runners would suffice.
         lower_since: Option<Moment>,
     }
 }
@@ -75,27 +75,28 @@
         Idle,
         Reading { since: Moment },
         Ready,
-        Intending { since: Moment, order: Order },
+        WritingIntent { since: Moment, order: Order },
         Sending { since: Moment, order: Order },
     }
 }
 
 plain! {
-    /// What the shell is to do.
+    /// I/O that the planner requests.
     pub enum Step {
-        /// Ask the store.
+        /// Send a request to the store.
         Store(Call),
-        /// Send to the ordering interface while the grant covers it.
+        /// Send an order to the ordering interface if the grant still covers
+        /// the time of sending.
         Order(Grant, Order),
     }
 }
 
-/// Plans and sends orders while in charge.
+/// Plans and sends orders while this process holds the duty.
 #[derive(Debug)]
 pub struct Planner {
     state: State,
-    targets: Targets<Place, Kept>,
-    next: Moment,
+    targets: Targets<PoolZone, IntentState>,
+    next_read: Moment,
 }
 
 impl Default for Planner {
@@ -103,13 +104,13 @@
         Self {
             state: State::Idle,
             targets: Targets::default(),
-            next: Moment::default(),
+            next_read: Moment::default(),
         }
     }
 }
 
 impl Planner {
-    /// Moves on while in charge; starts afresh when not.
+    /// Next step, if one is due. Without a grant, the planner is reset.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -121,9 +122,9 @@
             *self = Self::default();
             return None;
         };
-        self.give_up(now);
+        self.abandon_stale_step(now);
         match &self.state {
-            State::Idle if now.reached(self.next) => {
+            State::Idle if now.reached(self.next_read) => {
                 self.state = State::Reading { since: now };
                 Some(Step::Store(Call::Range {
                     prefix: PREFIX.into(),
@@ -132,24 +133,24 @@
                 }))
             }
             State::Ready => {
-                self.plan(now, pools, summaries);
-                self.intend(now, grant)
+                self.update_targets(now, pools, summaries);
+                self.write_intent(now, grant)
             }
             _ => None,
         }
     }
 
-    /// The store's answer.
+    /// Handles the store's answer to the last step.
     pub fn on_store_answer(&mut self, now: Moment, grant: Option<Grant>, answer: &Answer) -> Option<Step> {
         match (std::mem::replace(&mut self.state, State::Ready), answer) {
             (State::Reading { .. }, Answer::Found(entries)) => {
-                self.recover(entries);
+                self.recover_intents(entries);
                 None
             }
-            (State::Intending { order, .. }, Answer::Written(version)) => {
-                self.targets.of(order.place()).more.version = *version;
-                // The last check before the order leaves: a holder paused
-                // while the intent was written must not send it.
+            (State::WritingIntent { order, .. }, Answer::Written(version)) => {
+                self.targets.of(order.pool_zone()).more.version = *version;
+                // Last check before the order is sent: a holder that was
+                // suspended while the intent was written must not send it.
                 let grant = grant.filter(|grant| grant.covers(now) && grant.fence == order.fence)?;
                 self.state = State::Sending {
                     since: now,
@@ -157,61 +158,68 @@
                 };
                 Some(Step::Order(grant, order))
             }
-            // Somebody else's intent, a lost answer, an outage: read again.
+            // After a conflicting intent, a lost answer or an outage of the
+            // store, the intents are read again.
             _ => {
                 *self = Self::default();
-                self.next = now + PAUSE;
+                self.next_read = now + RETRY_DELAY;
                 None
             }
         }
     }
 
-    /// The ordering interface's answer.
+    /// Handles the ordering interface's answer to the last order.
     pub fn on_order_answer(&mut self, now: Moment, accepted: bool) {
         let State::Sending { order, .. } = std::mem::replace(&mut self.state, State::Ready) else {
             return;
         };
         if accepted {
-            self.targets.of(order.place()).accept(now, order.count);
+            self.targets.of(order.pool_zone()).accept(now, order.count);
         } else {
             *self = Self::default();
-            self.next = now + PAUSE;
+            self.next_read = now + RETRY_DELAY;
         }
     }
 
-    fn plan(&mut self, now: Moment, pools: &[Pool], summaries: &[ZoneSummary]) {
+    fn update_targets(&mut self, now: Moment, pools: &[Pool], summaries: &[ZoneSummary]) {
         for pool in pools.iter().filter(|pool| pool.most > 0) {
             for summary in summaries
                 .iter()
-                .filter(|summary| summary.timestamp_ms + SUMMARY_AGE >= now.wall_ms)
+                .filter(|summary| summary.timestamp_ms + MAX_SUMMARY_AGE_MS >= now.wall_ms)
             {
                 let demand = summary.demands.iter().find(|demand| demand.pool == pool.name);
-                let want = demand.map_or(pool.least, |demand| want(pool, demand));
-                self.set(now, pool, &summary.zone, want.clamp(pool.least, pool.most));
+                let required_runners = demand.map_or(pool.least, |demand| required_runners(pool, demand));
+                self.set_target(
+                    now,
+                    pool,
+                    &summary.zone,
+                    required_runners.clamp(pool.least, pool.most),
+                );
             }
         }
     }
 
-    fn set(&mut self, now: Moment, pool: &Pool, zone: &str, want: u32) {
-        let target = self.targets.of(Place {
+    fn set_target(&mut self, now: Moment, pool: &Pool, zone: &str, required_runners: u32) {
+        let target = self.targets.of(PoolZone {
             pool: pool.name.clone(),
             zone: zone.to_string(),
         });
-        let have = target.accepted.unwrap_or(0);
-        if target.accepted.is_none() || want >= have {
-            target.want(want);
+        let accepted = target.accepted.unwrap_or(0);
+        if target.accepted.is_none() || required_runners >= accepted {
+            target.want(required_runners);
             target.more.lower_since = None;
             return;
         }
-        // Runners take long to start: release only after steady low demand.
+        // Runners take long to start, so they are released only after the
+        // demand has been low for some time.
         let since = *target.more.lower_since.get_or_insert(now);
-        if now.since(since) >= RELEASE {
-            target.want(want);
+        if now.since(since) >= SCALE_DOWN_DELAY {
+            target.want(required_runners);
             target.more.lower_since = None;
         }
     }
 
-    fn intend(&mut self, now: Moment, grant: Grant) -> Option<Step> {
+    fn write_intent(&mut self, now: Moment, grant: Grant) -> Option<Step> {
         let target = self.targets.due(now, None)?;
         let order = Order {
             pool: target.key.pool.clone(),
@@ -224,40 +232,40 @@
             expect: target.more.version,
             value: serde_json::to_string(&order).ok()?,
         };
-        self.state = State::Intending { since: now, order };
+        self.state = State::WritingIntent { since: now, order };
         Some(Step::Store(call))
     }
 
-    fn recover(&mut self, entries: &[Entry]) {
+    fn recover_intents(&mut self, entries: &[Entry]) {
         self.targets = Targets::default();
         for entry in entries {
             if let Ok(order) = serde_json::from_str::<Order>(&entry.value) {
-                let target = self.targets.of(order.place());
-                // Not known whether it was sent: it will be stated once more.
+                let target = self.targets.of(order.pool_zone());
+                // The order may not have been sent, so it is sent again.
                 target.more.version = entry.version;
                 target.want(order.count);
             }
         }
     }
 
-    fn give_up(&mut self, now: Moment) {
+    fn abandon_stale_step(&mut self, now: Moment) {
         let since = match &self.state {
             State::Idle | State::Ready => return,
-            State::Reading { since } | State::Intending { since, .. } | State::Sending { since, .. } => {
+            State::Reading { since } | State::WritingIntent { since, .. } | State::Sending { since, .. } => {
                 *since
             }
         };
-        if now.since(since) >= PATIENCE {
+        if now.since(since) >= ANSWER_TIMEOUT {
             *self = Self::default();
         }
     }
 }
 
-fn want(pool: &Pool, demand: &Demand) -> u32 {
-    let each = match demand.runners {
+fn required_runners(pool: &Pool, demand: &Demand) -> u32 {
+    let slots_per_runner = match demand.runners {
         0 => return pool.least.max(1),
         runners => (demand.slots / runners).max(1),
     };
     let calls = demand.running + demand.waiting;
-    (calls * 100).div_ceil(each * FILL)
+    (calls * 100).div_ceil(slots_per_runner * TARGET_UTILIZATION_PERCENT)
 }
