--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers of processes and calls.
+//! Identifiers of processes and calls, and the hashes on them.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use crate::units::Hex64;
 
-/// One run of a process: a restart gets a new one.
+/// Identifier of one run of a process; each restart has a new one.
 #[serde_as]
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
@@ -29,17 +29,19 @@
 }
 
 key! {
-    /// One call in this process, new for each attempt at a decision.
+    /// Identifier of a call in this process; each attempt at a decision has a
+    /// new one.
     CallId(u64)
 }
 
-/// Weight of `node` for `item`: the highest weights own the item
-/// (rendezvous hashing, so a lost node moves only its own items).
+/// Weight of `node` for `item` in rendezvous hashing. The nodes with the
+/// highest weights own the item, so the loss of a node moves its own items
+/// only.
 pub fn rendezvous_weight(item: u64, node: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(&item.to_le_bytes(), node)
 }
 
-/// Stable 64-bit hash of bytes, the same on every host.
+/// 64-bit hash of bytes that is the same on all hosts and in all runs.
 pub fn digest(bytes: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64(bytes)
 }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -1,9 +1,10 @@
 //! Messages between entry hosts.
 //!
-//! Protocol buffers by `prost`; the services that carry them are generated in
-//! the wire crate. Any of them may come late, twice or never.
+//! They are Protocol Buffers messages by `prost`; the service that transports
+//! them is generated in the wire crate. Any message may be late, duplicated or
+//! lost.
 
-/// Most bytes of one message.
+/// Largest encoded message.
 pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 macro_rules! message {
@@ -15,10 +16,10 @@
 }
 
 message! {
-    /// Who a process is; a higher epoch replaces a lower one. A heartbeat to a
-    /// peer that knows the sender leaves the texts out.
+    /// Membership record of a process; a higher epoch replaces a lower one. A
+    /// heartbeat to a peer that already has the record leaves the texts empty.
     pub struct Member {
-        /// Incarnation.
+        /// Incarnation of the process.
         #[prost(fixed64, tag = "1")]
         pub incarnation: u64,
         /// Host name.
@@ -27,31 +28,31 @@
         /// Availability zone.
         #[prost(string, tag = "3")]
         pub zone: String,
-        /// Address for peers.
+        /// Address at which peers reach the process.
         #[prost(string, tag = "4")]
         pub address: String,
-        /// Raised by the process itself to refute its own death.
+        /// Raised by the process itself to refute a record of its failure.
         #[prost(uint64, tag = "5")]
         pub epoch: u64,
-        /// Left or believed dead.
+        /// Whether the process left or is suspected to have failed.
         #[prost(bool, tag = "6")]
         pub gone: bool,
     }
 }
 
 message! {
-    /// What a zone has in force.
+    /// Summary of a zone: configuration, hosts and demand.
     pub struct ZoneSummary {
         /// Availability zone.
         #[prost(string, tag = "1")]
         pub zone: String,
-        /// Lowest configuration version among its live hosts.
+        /// Lowest configuration version in force among its live hosts.
         #[prost(uint64, tag = "2")]
         pub version: u64,
-        /// Live hosts.
+        /// Number of live hosts.
         #[prost(uint32, tag = "3")]
         pub hosts: u32,
-        /// When it was said, in milliseconds since the Unix epoch.
+        /// Time of the summary, in milliseconds since the Unix epoch.
         #[prost(uint64, tag = "4")]
         pub timestamp_ms: u64,
         /// Demand for the zone's own runners.
@@ -63,34 +64,34 @@
 message! {
     /// Demand for one pool in one zone.
     pub struct Demand {
-        /// Pool.
+        /// Name of the pool.
         #[prost(string, tag = "1")]
         pub pool: String,
-        /// Calls that run.
+        /// Running calls.
         #[prost(uint32, tag = "2")]
         pub running: u32,
-        /// Calls that wait.
+        /// Waiting calls.
         #[prost(uint32, tag = "3")]
         pub waiting: u32,
-        /// Runners listed and not leaving.
+        /// Listed runners that are not leaving.
         #[prost(uint32, tag = "4")]
         pub runners: u32,
-        /// Their slots together.
+        /// Total slots of these runners.
         #[prost(uint32, tag = "5")]
         pub slots: u32,
     }
 }
 
 message! {
-    /// Calls that one host has running, by runner; five bytes a runner.
+    /// Calls of one host, running and waiting; five bytes per runner.
     pub struct HostLoad {
         /// Hashes of the runners' names.
         #[prost(fixed32, repeated, tag = "1")]
         pub runners: Vec<u32>,
-        /// Calls in flight on each.
+        /// Calls in flight on each runner, in the order of `runners`.
         #[prost(uint32, repeated, tag = "2")]
         pub running: Vec<u32>,
-        /// Calls that wait, by pool.
+        /// Waiting calls by pool.
         #[prost(message, repeated, tag = "3")]
         pub waiting: Vec<QueuedCalls>,
     }
@@ -99,47 +100,48 @@
 message! {
     /// Calls of one host that wait for a pool.
     pub struct QueuedCalls {
-        /// Pool.
+        /// Name of the pool.
         #[prost(string, tag = "1")]
         pub pool: String,
-        /// How many.
+        /// Number of calls.
         #[prost(uint32, tag = "2")]
         pub count: u32,
     }
 }
 
 message! {
-    /// Heartbeat.
+    /// Periodic message to a peer.
     pub struct Heartbeat {
-        /// The sender.
+        /// Record of the sender.
         #[prost(message, required, tag = "1")]
         pub sender: Member,
         /// Configuration version in force at the sender.
         #[prost(uint64, tag = "2")]
         pub version: u64,
         /// Age of the sender's newest answer from the store, in milliseconds;
-        /// the largest number when it never had one.
+        /// `u64::MAX` if it never received one.
         #[prost(uint64, tag = "3")]
         pub store_age_ms: u64,
-        /// Hash of all cards that the sender knows.
+        /// Hash of all member records at the sender.
         #[prost(fixed64, tag = "4")]
         pub member_digest: u64,
-        /// Cards that the receiver seems to lack.
+        /// Member records that the receiver probably lacks.
         #[prost(message, repeated, tag = "5")]
         pub members: Vec<Member>,
-        /// What the zones have in force.
+        /// Summaries of zones.
         #[prost(message, repeated, tag = "6")]
         pub summaries: Vec<ZoneSummary>,
-        /// The sender's calls on shared runners, in the beats that carry them.
+        /// The sender's calls on shared runners; not in every heartbeat.
         #[prost(message, optional, tag = "7")]
         pub load: Option<HostLoad>,
-        /// Runners that the sender saw leaving or refusing.
+        /// Runners that announced to the sender that they leave, or refused
+        /// its calls.
         #[prost(string, repeated, tag = "8")]
         pub leaving_runners: Vec<String>,
-        /// Usage chunks for safe keeping.
+        /// The sender's usage chunks, for the receiver to store.
         #[prost(message, repeated, tag = "9")]
         pub usage_chunks: Vec<UsageChunk>,
-        /// Highest chunk of the receiver that the sender keeps.
+        /// Number of the receiver's last usage chunk that the sender stores.
         #[prost(uint64, tag = "10")]
         pub acked_chunk: u64,
 
@@ -147,65 +149,66 @@
 }
 
 message! {
-    /// A message has arrived.
+    /// Acknowledgement that a message has arrived.
     pub struct Ack {}
 }
 
 message! {
     /// Usage of one customer and class.
     pub struct UsageRow {
-        /// Customer.
+        /// Name of the customer.
         #[prost(string, tag = "1")]
         pub customer: String,
         /// Request class.
         #[prost(string, tag = "2")]
         pub class: String,
-        /// Whole answers.
+        /// Number of complete answers.
         #[prost(uint64, tag = "3")]
         pub calls: u64,
         /// Prompt tokens.
         #[prost(uint64, tag = "4")]
         pub prompt_tokens: u64,
-        /// Generated tokens that went to the caller.
+        /// Generated tokens that were sent to the caller.
         #[prost(uint64, tag = "5")]
         pub tokens: u64,
-        /// Answers that broke.
+        /// Number of answers that broke off.
         #[prost(uint64, tag = "6")]
         pub broken: u64,
     }
 }
 
 message! {
-    /// What one process counted in a few seconds of one window; never changes.
+    /// Usage that one process counted in a few seconds of one window. A chunk
+    /// is immutable.
     pub struct UsageChunk {
         /// Incarnation that counted.
         #[prost(fixed64, tag = "1")]
         pub source: u64,
-        /// From 1, without gaps.
+        /// Number of the chunk, from 1 without gaps.
         #[prost(uint64, tag = "2")]
         pub number: u64,
         /// Start of the window, in milliseconds since the Unix epoch.
         #[prost(uint64, tag = "3")]
         pub window: u64,
-        /// Figures.
+        /// Usage by customer and class.
         #[prost(message, repeated, tag = "4")]
         pub rows: Vec<UsageRow>,
     }
 }
 
 message! {
-    /// Asks for configuration after a version.
+    /// Request for the configuration after a version.
     pub struct Pull {
-        /// Version in force at the asker.
+        /// Version in force at the sender.
         #[prost(uint64, tag = "1")]
         pub version: u64,
     }
 }
 
 message! {
-    /// Configuration: a snapshot, entries after it, or neither.
+    /// Answer to [`Pull`]: a snapshot, entries that follow, or neither.
     pub struct Pulled {
-        /// A snapshot as JSON; empty when entries suffice.
+        /// Snapshot as JSON; empty if entries suffice.
         #[prost(string, tag = "1")]
         pub snapshot: String,
         /// Entries as JSON, in order.
@@ -215,27 +218,29 @@
 }
 
 message! {
-    /// How far a source's usage is sealed.
+    /// Position up to which the usage of a source is sealed.
     pub struct Cursor {
         /// Incarnation that counted.
         #[prost(fixed64, tag = "1")]
         pub source: u64,
-        /// Highest chunk that is sealed.
+        /// Number of the last sealed chunk.
         #[prost(uint64, tag = "2")]
         pub number: u64,
     }
 }
 
 message! {
-    /// Asks for usage past the sealed chunks.
+    /// Request for the usage after the sealed chunks.
     pub struct Collect {
-        /// What is sealed; may be dropped by the receiver.
+        /// Sealed chunks by source, which the receiver may drop.
         #[prost(message, repeated, tag = "1")]
         pub cursors: Vec<Cursor>,
-        /// Window to be sealed; younger chunks stay.
+        /// Window to be sealed, in milliseconds since the Unix epoch; chunks
+        /// of later windows are not included.
         #[prost(uint64, tag = "2")]
         pub window: u64,
-        /// Ask the zone mates, too, and answer for the whole zone.
+        /// Whether the receiver also asks its zone peers and answers for the
+        /// whole zone.
         #[prost(bool, tag = "3")]
         pub zone: bool,
     }
@@ -244,43 +249,44 @@
 message! {
     /// Usage of one source in one window.
     pub struct WindowUsage {
-        /// Window in which it was counted.
+        /// Start of the window, in milliseconds since the Unix epoch.
         #[prost(uint64, tag = "1")]
         pub window: u64,
-        /// Figures.
+        /// Usage by customer and class.
         #[prost(message, repeated, tag = "2")]
         pub rows: Vec<UsageRow>,
     }
 }
 
 message! {
-    /// What a host knows of one source.
+    /// Usage of one source, as far as a host stores it.
     pub struct SourceUsage {
         /// Incarnation that counted.
         #[prost(fixed64, tag = "1")]
         pub source: u64,
-        /// Last chunk that is in the parts; without gaps from the cursor on.
+        /// Number of the last included chunk; there are no gaps after the
+        /// cursor.
         #[prost(uint64, tag = "2")]
         pub number: u64,
-        /// Figures by window.
+        /// Usage by window.
         #[prost(message, repeated, tag = "3")]
         pub windows: Vec<WindowUsage>,
-        /// Last chunk that is not in the parts, as it was sealed before.
+        /// Number of the last chunk that is not included because it is sealed.
         #[prost(uint64, tag = "4")]
         pub after_chunk: u64,
     }
 }
 
 message! {
-    /// Which chunks of a source are in a bundle.
+    /// Range of the chunks of a source in the usage of a zone.
     pub struct ChunkRange {
         /// Incarnation that counted.
         #[prost(fixed64, tag = "1")]
         pub source: u64,
-        /// Last chunk before the bundle's.
+        /// Number of the last chunk before the range.
         #[prost(uint64, tag = "2")]
         pub after_chunk: u64,
-        /// Last chunk in the bundle.
+        /// Number of the last chunk in the range.
         #[prost(uint64, tag = "3")]
         pub number: u64,
     }
@@ -289,10 +295,10 @@
 message! {
     /// Usage of a whole zone, summed over its sources.
     pub struct ZoneUsage {
-        /// Chunks that are in it, by source.
+        /// Included chunks by source.
         #[prost(message, repeated, tag = "1")]
         pub chunk_ranges: Vec<ChunkRange>,
-        /// Figures by window.
+        /// Usage by window.
         #[prost(message, repeated, tag = "2")]
         pub windows: Vec<WindowUsage>,
         /// Availability zone.
@@ -304,34 +310,34 @@
 message! {
     /// Answer to [`Collect`].
     pub struct Collected {
-        /// One host's knowledge, by source.
+        /// Usage that the answering host stores, by source.
         #[prost(message, repeated, tag = "1")]
         pub sources: Vec<SourceUsage>,
-        /// A zone's, when that was asked for.
+        /// Usage of the whole zone, if that was requested.
         #[prost(message, optional, tag = "2")]
         pub zone_usage: Option<ZoneUsage>,
     }
 }
 
 message! {
-    /// A call passed on to the process that alone may run it.
+    /// At-most-once call, forwarded to the only process that may run it.
     pub struct Forward {
-        /// Customer whose key came with the call.
+        /// Customer to whom the API key of the call belongs.
         #[prost(string, tag = "1")]
         pub customer: String,
-        /// Public name of the key.
+        /// Public name of the API key.
         #[prost(string, tag = "2")]
         pub key: String,
         /// Class of the call.
         #[prost(string, tag = "3")]
         pub class: String,
-        /// Idempotency key.
+        /// Idempotency key of the call.
         #[prost(string, tag = "4")]
         pub idempotency_key: String,
-        /// Body.
+        /// Request body.
         #[prost(bytes = "vec", tag = "5")]
         pub body: Vec<u8>,
-        /// Version by which the sender admitted it.
+        /// Configuration version by which the sender admitted the call.
         #[prost(uint64, tag = "6")]
         pub version: u64,
     }
@@ -340,13 +346,13 @@
 message! {
     /// Answer to [`Forward`].
     pub struct Forwarded {
-        /// HTTP status.
+        /// HTTP status code.
         #[prost(uint32, tag = "1")]
         pub status: u32,
-        /// Body.
+        /// Response body.
         #[prost(bytes = "vec", tag = "2")]
         pub body: Vec<u8>,
-        /// Milliseconds until the caller may come back; 0 for none.
+        /// Milliseconds after which the caller may retry; 0 if not stated.
         #[prost(uint64, tag = "3")]
         pub retry_after_ms: u64,
     }
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -1,57 +1,58 @@
-//! Calls to the platform's key-value service, as values.
+//! Requests to the platform's key-value service and its answers, as values.
 //!
-//! The service orders writes to one key by compare-and-swap on its version.
-//! An answer may be lost after the write took effect: the caller of this
-//! module then reads back and compares the nonce it wrote.
+//! Writes to a key are ordered by compare-and-swap on its version. An answer
+//! may be lost after the write took effect; the code that sent the request then
+//! reads the key back and compares it, such as by a nonce, with what it wrote.
 
 key! {
-    /// Matches an answer to its call.
+    /// Identifies the request to which an answer belongs.
     Token(u64)
 }
 
 plain! {
-    /// What to ask of the service.
+    /// Request to the service.
     #[allow(missing_docs)]
     pub enum Call {
-        /// Write if the version still is `expect`; 0 means absent.
+        /// Write if the key still has the version `expect`; 0 means absent.
         CompareAndSwap { key: String, expect: u64, value: String },
         /// Read one key.
         Get { key: String },
-        /// Read one key, possibly as it was some time ago, for less.
+        /// Read one key; the value may be stale, which costs the service less.
         GetStale { key: String },
-        /// Read one key unless its version still is `version`.
+        /// Read one key unless it still has the version `version`.
         GetIfChanged { key: String, version: u64 },
-        /// Read keys under a prefix, after `after`, in order.
+        /// Read up to `limit` keys under a prefix that sort after `after`, in
+        /// order.
         Range { prefix: String, after: String, limit: u32 },
-        /// Remove if the version still is `expect`.
+        /// Remove a key if it still has the version `expect`.
         Remove { key: String, expect: u64 },
-        /// Wait until a key under the prefix sorts behind `after`.
+        /// Wait until a key under the prefix sorts after `after`.
         Watch { prefix: String, after: String },
     }
 }
 
 plain! {
-    /// One key as read.
+    /// A key and its value, as read.
     pub struct Entry {
-        /// Its name.
+        /// Name of the key.
         pub key: String,
-        /// Counts the writes to this key; 0 when absent.
+        /// Number of writes to the key; 0 if it is absent.
         pub version: u64,
-        /// What was written.
+        /// Value of the key.
         pub value: String,
     }
 }
 
 plain! {
-    /// What came of a call.
+    /// Outcome of a request.
     pub enum Answer {
-        /// The write took effect; the new version.
+        /// The write took effect, with this new version.
         Written(u64),
-        /// Somebody else wrote first; what stands now.
+        /// The version did not match; the current entry.
         Conflict(Entry),
-        /// The keys asked for.
+        /// Entries read.
         Found(Vec<Entry>),
-        /// The key still has the version that was named.
+        /// The key still has the version in the request.
         Same,
         /// The write was not attempted, or was refused before it took effect.
         Refused,
@@ -61,7 +62,7 @@
 }
 
 impl Call {
-    /// Name for counters.
+    /// Name of the request in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Call::CompareAndSwap { .. } => "swap",
@@ -76,7 +77,7 @@
 }
 
 impl Answer {
-    /// How it came out, for counters.
+    /// Name of the outcome in metrics.
     pub fn outcome(&self) -> &'static str {
         match self {
             Answer::Written(_) | Answer::Found(_) | Answer::Same => "ok",
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,22 +1,24 @@
-//! Time as an argument.
+//! Points in time, which decisions take as an argument.
 //!
-//! A [`Moment`] pairs a monotonic reading, on which every deadline is
-//! counted, with the wall clock, which is used only to judge the age of ids
-//! that callers made elsewhere. Decisions take it as their first argument.
+//! A [`Moment`] combines a monotonic clock with the wall clock. All deadlines
+//! are computed on the monotonic clock; the wall clock serves only for usage
+//! windows and for timestamps that cross processes, such as those in ids that
+//! callers made. Code that decides takes the current moment as its first
+//! argument and reads no clock.
 
 use std::time::Duration;
 
-/// One reading of both clocks of a process.
+/// Reading of both clocks of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment {
-    /// Microseconds since the process started; never goes back.
+    /// Monotonic clock, in microseconds since the process started.
     pub mono_us: u64,
-    /// Milliseconds since the Unix epoch; may jump.
+    /// Wall clock, in milliseconds since the Unix epoch; may jump.
     pub wall_ms: u64,
 }
 
 impl Moment {
-    /// A moment `ms` milliseconds after start, with the wall clock alike.
+    /// Moment at which both clocks read `ms` milliseconds.
     pub fn at_ms(ms: u64) -> Self {
         Self {
             mono_us: ms * 1_000,
@@ -24,21 +26,21 @@
         }
     }
 
-    /// Time since `earlier`, zero if `earlier` lies ahead.
+    /// Time since `earlier`; zero if `earlier` is in the future.
     pub fn since(self, earlier: Moment) -> Duration {
         Duration::from_micros(self.mono_us.saturating_sub(earlier.mono_us))
     }
 
-    /// Time left until `later`, zero if it has passed.
+    /// Time until `later`; zero if `later` has passed.
     pub fn until(self, later: Moment) -> Duration {
         later.since(self)
     }
 
-    /// The moment `span` before; the clocks' beginning at the earliest.
-    pub fn saturating_sub(self, span: Duration) -> Moment {
+    /// Moment `duration` before this one; stops at zero on each clock.
+    pub fn saturating_sub(self, duration: Duration) -> Moment {
         Moment {
-            mono_us: self.mono_us.saturating_sub(span.as_micros() as u64),
-            wall_ms: self.wall_ms.saturating_sub(span.as_millis() as u64),
+            mono_us: self.mono_us.saturating_sub(duration.as_micros() as u64),
+            wall_ms: self.wall_ms.saturating_sub(duration.as_millis() as u64),
         }
     }
 
@@ -51,10 +53,10 @@
 impl std::ops::Add<Duration> for Moment {
     type Output = Moment;
 
-    fn add(self, span: Duration) -> Moment {
+    fn add(self, duration: Duration) -> Moment {
         Moment {
-            mono_us: self.mono_us.saturating_add(span.as_micros() as u64),
-            wall_ms: self.wall_ms.saturating_add(span.as_millis() as u64),
+            mono_us: self.mono_us.saturating_add(duration.as_micros() as u64),
+            wall_ms: self.wall_ms.saturating_add(duration.as_millis() as u64),
         }
     }
 }
