--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -49,7 +49,7 @@
 plain! {
     /// Live peers, and the tasks of this process that follow from them.
     #[derive(Default)]
-    pub struct Standing {
+    pub struct Membership {
         /// Whether this process watches the store for its zone.
         pub watches_store: bool,
         /// Whether this process may apply for the ordering duty.
@@ -118,7 +118,7 @@
         /// New configuration in force (posted between services).
         View(Arc<View>),
         /// The members changed (posted between services).
-        Membership(Standing),
+        Membership(Membership),
         /// A round of heartbeats is about to be sent: counts of live peers in
         /// this zone and in all zones, and this host's index among all live
         /// hosts (posted between services).
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -3,7 +3,7 @@
 //! It sends the heartbeats and passes a new [`Membership`] to the other
 //! services whenever the members change.
 
-use super::{Action, CALLS, CONFIG, DISPATCH, Event, ORDERS, Outbox, Standing, Status, USAGE, ZoneStatus};
+use super::{Action, CALLS, CONFIG, DISPATCH, Event, Membership, ORDERS, Outbox, Status, USAGE, ZoneStatus};
 use crate::config::service::WATCHERS;
 use crate::id::Incarnation;
 use crate::member::{Identity, Members};
@@ -71,7 +71,7 @@
             return;
         }
         self.published_digest = self.members.digest();
-        let membership = Standing {
+        let membership = Membership {
             watches_store: self.members.zone_rank(CONFIG) < WATCHERS,
             orders_candidate: self.members.is_leading_delegate(ORDERS, CANDIDATES_PER_DUTY),
             usage_candidate: self.members.is_leading_delegate(USAGE, CANDIDATES_PER_DUTY),
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::pending::Pending;
-use super::{Action, Event, Outbox, Reply, Standing, Status, USAGE};
+use super::{Action, Event, Membership, Outbox, Reply, Status, USAGE};
 use crate::config::Settings;
 use crate::id::{CallId, Incarnation};
 use crate::lease::Lease;
@@ -28,7 +28,7 @@
     meter: Meter,
     lease: Lease,
     reporter: Reporter,
-    membership: Standing,
+    membership: Membership,
     window_length: Duration,
     grace: Duration,
     pending_lease: Pending,
@@ -47,7 +47,7 @@
             meter: Meter::new(me, now, settings.usage_window),
             lease: Lease::new(me, USAGE),
             reporter: Reporter::default(),
-            membership: Standing::default(),
+            membership: Membership::default(),
             window_length: settings.usage_window,
             grace: settings.usage_grace,
             pending_lease: Pending::default(),
