--- a/tests/suite/proxy/usage.rs
+++ b/tests/suite/proxy/usage.rs
@@ -260,9 +260,9 @@
 #[test]
 fn a_jump_of_the_time_of_day_moves_no_window() {
     let mut civil = radishstair_core::proxy::civil::Civil::default();
-    let moment = |steady_ms: u64, wall_ms: u64| Moment {
+    let moment = |steady_ms: u64, time_of_day_ms: u64| Moment {
         mono_us: steady_ms * 1_000,
-        wall_ms: wall_ms,
+        wall_ms: time_of_day_ms,
     };
     assert_eq!(civil.now(moment(50, 1_000_000)), 1_000_000);
     assert_eq!(civil.now(moment(2_050, 1_006_000)), 1_002_000);
