--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -304,7 +304,7 @@
         pub identity: Identity,
         /// Addresses of peers to contact first.
         pub seeds: Vec<String>,
-        /// Secret that signs the tickets of this incarnation.
+        /// Secret of this incarnation, which authenticates its tickets.
         pub secret: Secret,
         /// Seed of all random choices.
         pub seed: u64,
@@ -369,7 +369,7 @@
         while let Some((name, event)) = self.outbox.events.pop_front() {
             self.deliver(now, name, &event);
         }
-        self.fill_heartbeat(now);
+        self.fill_heartbeats(now);
         std::mem::take(&mut self.outbox.actions)
     }
 
@@ -412,7 +412,7 @@
     }
 
     /// Lets every service add its fields to the outgoing heartbeats.
-    fn fill_heartbeat(&mut self, now: Moment) {
+    fn fill_heartbeats(&mut self, now: Moment) {
         for action in &mut self.outbox.actions {
             let Action::Heartbeat(address, heartbeat) = action else {
                 continue;
--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -12,8 +12,8 @@
 /// Configuration in force, and what of it has been published.
 #[derive(Debug, Default)]
 pub struct Service {
-    inner: service::Service,
-    watcher: bool,
+    configuration: service::Service,
+    watches_store: bool,
     published_trust: Option<bool>,
     published_version: u64,
     pending: Pending,
@@ -24,24 +24,24 @@
     pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
             Event::Tick => {
-                let call = self.inner.tick(now, self.watcher);
+                let call = self.configuration.tick(now, self.watches_store);
                 self.pending.send(CONFIG, call, outbox);
                 self.publish_trust(now, outbox);
             }
-            Event::Membership(membership) => self.watcher = membership.watches_store,
+            Event::Membership(membership) => self.watches_store = membership.watches_store,
             Event::StoreAnswer(token, answer) if self.pending.accept(*token) => {
-                let (_, call) = self.inner.answer(now, answer);
+                let (_, call) = self.configuration.answer(now, answer);
                 self.pending.send(CONFIG, call, outbox);
                 self.publish(now, outbox);
             }
             Event::Heartbeat(heartbeat) => {
-                if let Some(pull) = self.inner.hear(now, heartbeat) {
+                if let Some(pull) = self.configuration.hear(now, heartbeat) {
                     outbox.push_action(Action::Pull(heartbeat.sender.address.clone(), pull));
                 }
             }
-            Event::Pull(call, pull) => outbox.reply(*call, Reply::Pulled(self.inner.pull(pull))),
+            Event::Pull(call, pull) => outbox.reply(*call, Reply::Pulled(self.configuration.pull(pull))),
             Event::Pulled(pulled) => {
-                self.inner.pulled(pulled);
+                self.configuration.pulled(pulled);
                 self.publish(now, outbox);
             }
             _ => {}
@@ -49,7 +49,7 @@
     }
 
     fn publish(&mut self, now: Moment, outbox: &mut Outbox) {
-        let view = self.inner.view().clone();
+        let view = self.configuration.view().clone();
         if view.version == self.published_version {
             return;
         }
@@ -62,7 +62,7 @@
     }
 
     fn publish_trust(&mut self, now: Moment, outbox: &mut Outbox) {
-        let trusted = self.inner.trusted(now);
+        let trusted = self.configuration.trusted(now);
         if self.published_trust != Some(trusted) {
             self.published_trust = Some(trusted);
             outbox.push_action(Action::KeysTrusted(trusted));
@@ -72,14 +72,17 @@
     /// Adds the configuration version and the age of the store's last answer
     /// to a heartbeat.
     pub fn fill_heartbeat(&mut self, now: Moment, _address: &str, heartbeat: &mut Heartbeat) {
-        heartbeat.version = self.inner.view().version;
-        heartbeat.store_age_ms = self.inner.age(now).map_or(u64::MAX, |age| age.as_millis() as u64);
+        heartbeat.version = self.configuration.view().version;
+        heartbeat.store_age_ms = self
+            .configuration
+            .age(now)
+            .map_or(u64::MAX, |age| age.as_millis() as u64);
     }
 
     /// Adds version, trust and age to the status.
     pub fn add_status(&self, now: Moment, status: &mut Status) {
-        status.version = self.inner.view().version;
-        status.trusted = self.inner.trusted(now);
-        status.age_ms = self.inner.age(now).map(|age| age.as_millis() as u64);
+        status.version = self.configuration.view().version;
+        status.trusted = self.configuration.trusted(now);
+        status.age_ms = self.configuration.age(now).map(|age| age.as_millis() as u64);
     }
 }
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -33,7 +33,7 @@
     grace: Duration,
     pending_lease: Pending,
     pending_report: Pending,
-    gathers: Vec<Gather>,
+    collections: Vec<Gather>,
     zone: String,
     answered_zones: Vec<String>,
     second_round: Option<(Moment, Collect)>,
@@ -52,7 +52,7 @@
             grace: settings.usage_grace,
             pending_lease: Pending::default(),
             pending_report: Pending::default(),
-            gathers: Vec::new(),
+            collections: Vec::new(),
             zone: zone.to_string(),
             answered_zones: Vec::new(),
             second_round: None,
@@ -65,7 +65,9 @@
             Event::Tick => self.tick(now, outbox),
             Event::RecordUsage(item) => self.meter.count(now, item),
             Event::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat),
-            Event::Collect(call, request) if request.zone => self.gather(now, Some(*call), request, outbox),
+            Event::Collect(call, request) if request.zone => {
+                self.start_collection(now, Some(*call), request, outbox)
+            }
             Event::Collect(call, request) => {
                 let answer = self.collect_own(now, request);
                 outbox.reply(*call, Reply::Collected(answer));
@@ -94,7 +96,7 @@
 
     fn tick(&mut self, now: Moment, outbox: &mut Outbox) {
         self.meter.tick(now);
-        self.finish_gathers(now, outbox);
+        self.finish_collections(now, outbox);
         self.ask_second_delegates(now, outbox);
         let call = self.lease.tick(now, self.membership.usage_candidate);
         self.pending_lease.send(USAGE, call, outbox);
@@ -120,7 +122,7 @@
             outbox.push_action(Action::Collect(address.clone(), request.clone()));
         }
         self.answered_zones.clear();
-        self.gather(now, None, &request, outbox);
+        self.start_collection(now, None, &request, outbox);
         self.second_round = Some((now + SECOND_DELEGATE_DELAY, request));
     }
 
@@ -138,13 +140,19 @@
         }
     }
 
-    fn gather(&mut self, now: Moment, call: Option<CallId>, request: &Collect, outbox: &mut Outbox) {
+    fn start_collection(
+        &mut self,
+        now: Moment,
+        call: Option<CallId>,
+        request: &Collect,
+        outbox: &mut Outbox,
+    ) {
         let request = Collect {
             zone: false,
             ..request.clone()
         };
         let own = self.collect_own(now, &request);
-        self.gathers.push(Gather::new(now, call, own));
+        self.collections.push(Gather::new(now, call, own));
         for address in &self.membership.zone_peers {
             outbox.push_action(Action::Collect(address.clone(), request.clone()));
         }
@@ -166,17 +174,21 @@
             // The answer names the chunks that it covers, so it can be added
             // to every open collection, whichever one it was sent for.
             None => self
-                .gathers
+                .collections
                 .iter_mut()
-                .for_each(|gather| gather.add(answer.clone())),
+                .for_each(|collection| collection.add(answer.clone())),
         }
     }
 
-    fn finish_gathers(&mut self, now: Moment, outbox: &mut Outbox) {
-        while self.gathers.first().is_some_and(|gather| gather.is_over(now)) {
-            let gather = self.gathers.remove(0);
-            let call = gather.call;
-            let zone_usage = gather.bundle(&self.zone);
+    fn finish_collections(&mut self, now: Moment, outbox: &mut Outbox) {
+        while self
+            .collections
+            .first()
+            .is_some_and(|collection| collection.is_over(now))
+        {
+            let collection = self.collections.remove(0);
+            let call = collection.call;
+            let zone_usage = collection.bundle(&self.zone);
             match call {
                 None => self.reporter.collected(&zone_usage),
                 Some(call) => {
