--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -177,12 +177,12 @@
 
     /// A peer's beat: where it is ahead, its address is worth a pull.
     pub fn hear(&mut self, now: Moment, beat: &Heartbeat) -> Option<Pull> {
-        self.heard = self.heard.max(beat.version);
-        if beat.version == self.view.version && beat.version > 0 {
+        self.heard = self.heard.max(beat.config_version);
+        if beat.config_version == self.view.version && beat.config_version > 0 {
             self.freshen(now, beat.store_age_ms);
         }
         let due = self.pulled.is_none_or(|pulled| now.since(pulled) >= PULL);
-        if beat.version <= self.view.version || !due {
+        if beat.config_version <= self.view.version || !due {
             return None;
         }
         self.pulled = Some(now);
--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -72,7 +72,7 @@
     /// Adds the configuration version and the age of the store's last answer
     /// to a heartbeat.
     pub fn fill_heartbeat(&mut self, now: Moment, _address: &str, heartbeat: &mut Heartbeat) {
-        heartbeat.version = self.configuration.view().version;
+        heartbeat.config_version = self.configuration.view().version;
         heartbeat.store_age_ms = self
             .configuration
             .age(now)
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -114,7 +114,7 @@
             .iter()
             .map(|summary| ZoneStatus {
                 zone: summary.zone.clone(),
-                version: summary.version,
+                version: summary.config_version,
                 hosts: summary.hosts,
                 age_ms: now.wall_ms.saturating_sub(summary.timestamp_ms),
             })
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -48,7 +48,7 @@
         /// Its member record.
         pub member: Member,
         /// Configuration version in force there, by its last heartbeat.
-        pub version: u64,
+        pub config_version: u64,
         /// Time of its last heartbeat to this process.
         pub last_heartbeat: Option<Moment>,
         changed: Moment,
@@ -210,7 +210,7 @@
             self.schedule_unaware_peer(index);
             let peer = &mut self.peers[index];
             peer.last_heartbeat = Some(now);
-            peer.version = heartbeat.version;
+            peer.config_version = heartbeat.config_version;
             peer.digest = heartbeat.member_digest;
         }
         for summary in &heartbeat.summaries {
@@ -384,7 +384,7 @@
                 index,
                 Peer {
                     member: member.clone(),
-                    version: 0,
+                    config_version: 0,
                     last_heartbeat: Some(now),
                     changed: now,
                     digest: 0,
@@ -442,12 +442,12 @@
     fn update_own_summary(&mut self, now: Moment) {
         let lowest = self
             .zone_peers()
-            .map(|peer| peer.version)
+            .map(|peer| peer.config_version)
             .min()
             .unwrap_or(self.config_version);
         let summary = ZoneSummary {
             zone: self.local.zone.clone(),
-            version: lowest.min(self.config_version),
+            config_version: lowest.min(self.config_version),
             hosts: self.zone_peers().count() as u32 + u32::from(!self.local.gone),
             timestamp_ms: now.wall_ms,
             demands: self.demands.clone(),
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -48,7 +48,7 @@
         pub zone: String,
         /// Lowest configuration version in force among its live hosts.
         #[prost(uint64, tag = "2")]
-        pub version: u64,
+        pub config_version: u64,
         /// Number of live hosts.
         #[prost(uint32, tag = "3")]
         pub hosts: u32,
@@ -117,7 +117,7 @@
         pub sender: Member,
         /// Configuration version in force at the sender.
         #[prost(uint64, tag = "2")]
-        pub version: u64,
+        pub config_version: u64,
         /// Age of the sender's newest answer from the store, in milliseconds;
         /// `u64::MAX` if it never received one.
         #[prost(uint64, tag = "3")]
