--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -1,9 +1,10 @@
-//! A posting or offer runs at most once, and "not run" is true.
+//! A call with an idempotency key runs at most once, and an answer "not run"
+//! is true.
 //!
-//! Callers keep to the rules: the same key again after "unknown, same key" or
-//! no answer, a new key only after "not run, new key", nothing more after
-//! "never". The checker counts runs per posting, not per key, so a key that
-//! was closed untruly shows as a doubled posting.
+//! Callers follow the answers: they repeat with the same key after "unknown,
+//! same key" or no answer, with a new key only after "not run, new key", and
+//! stop after "never". The checker counts runs per posting, not per key, so a
+//! key that was closed although its call ran shows as a posting that ran twice.
 
 mod postings;
 
@@ -21,27 +22,28 @@
 use crate::schedule::{all_hold, some_fail};
 use crate::world::{Broken, Builder, Faults, World};
 
-const SECOND: u64 = 1_000;
+const SECOND_MS: u64 = 1_000;
 const POSTINGS: usize = 24;
 const CONFIGURATION: &str = r#"{ "customers": [{ "name": "coop" }] }"#;
 const CUSTOMER: &str = "coop";
 
-/// Kills, freezes, cuts and outages at random times.
-fn misfortunes(world: &mut World, now: u64) {
-    let at = world.rng.random_range(0..world.nodes.len());
+/// Injects a random fault: a crash, a suspension, a partition or an outage of
+/// the store.
+fn inject_fault(world: &mut World, now: u64) {
+    let node = world.rng.random_range(0..world.nodes.len());
     match world.rng.random_range(0..8) {
         0 => {
-            world.kill(at);
-            world.start(at);
+            world.kill(node);
+            world.start(node);
         }
         1 | 2 => {
-            let span = world.rng.random_range(500..15 * SECOND);
-            world.pause(at, span);
+            let pause_ms = world.rng.random_range(500..15 * SECOND_MS);
+            world.pause(node, pause_ms);
         }
-        3 => world.nodes[at].island = (now % 3) as u32,
+        3 => world.nodes[node].island = (now % 3) as u32,
         4 => world.nodes.iter_mut().for_each(|node| node.island = 0),
         5 => world.store_down = !world.store_down,
-        6 => world.nodes[at].cut_store = !world.nodes[at].cut_store,
+        6 => world.nodes[node].cut_store = !world.nodes[node].cut_store,
         _ => world.store_down = false,
     }
 }
@@ -50,7 +52,7 @@
     seed: u64,
     own_keys: bool,
     broken: Broken,
-    ran: &AtomicUsize,
+    run_count: &AtomicUsize,
 ) -> Result<(), String> {
     let faults = Faults {
         lose: 0.15,
@@ -61,56 +63,60 @@
         .broken(broken)
         .build(CONFIGURATION);
     let mut postings = Postings::new(world, POSTINGS, own_keys);
-    postings.run(3 * SECOND);
+    postings.run(3 * SECOND_MS);
     for posting in 0..POSTINGS as u64 {
-        let after = postings.world.rng.random_range(0..20 * SECOND);
-        postings.world.wake(after, posting);
+        let delay_ms = postings.world.rng.random_range(0..20 * SECOND_MS);
+        postings.world.wake(delay_ms, posting);
     }
     for second in 4..45 {
-        postings.run(second * SECOND);
+        postings.run(second * SECOND_MS);
         if second < 30 && postings.world.rng.random_bool(0.4) {
-            misfortunes(&mut postings.world, second);
+            inject_fault(&mut postings.world, second);
         }
         if second % 11 == 0 {
-            postings.leave();
+            postings.stop_one_host();
         }
     }
-    postings.run(90 * SECOND);
-    ran.fetch_add(postings.runs.len(), Ordering::Relaxed);
+    postings.run(90 * SECOND_MS);
+    run_count.fetch_add(postings.runs.len(), Ordering::Relaxed);
     postings.check()
 }
 
-/// The caller repeats a posting by its ticket through any host. Hosts freeze
-/// with the bytes in a socket buffer, die, are cut off; balancers deliver
-/// second copies late. Only the issuer runs a ticket, and it keeps the record.
+/// A posting with a ticket runs twice: the caller repeats it through any host,
+/// while hosts are suspended with the bytes in a socket buffer, crash or are
+/// partitioned, and load balancers deliver second copies late. Only the issuer
+/// of a ticket may run it, by its own record.
 #[test]
 fn tickets_run_at_most_once() {
-    let ran = AtomicUsize::new(0);
+    let run_count = AtomicUsize::new(0);
     all_hold(400, |seed| {
-        postings_under_failure(seed, false, Broken::None, &ran)
+        postings_under_failure(seed, false, Broken::None, &run_count)
     });
-    println!("{ran:?} of {} postings ran", 400 * POSTINGS);
+    println!("{run_count:?} of {} postings ran", 400 * POSTINGS);
     assert!(
-        ran.into_inner() > 200 * POSTINGS,
-        "most postings must run, or nothing was tried"
+        run_count.into_inner() > 200 * POSTINGS,
+        "most postings must run for the test to be meaningful"
     );
 }
 
-/// The caller chose its own key. Claims race through several hosts while the
-/// store loses answers after the write took effect, is down, or is cut off.
-/// The first claim stands for ever, and its holder alone runs the call.
+/// A posting with the caller's own key runs twice: several hosts claim the key
+/// at once, while the store loses answers to writes that took effect, is down
+/// or cannot be reached. The first claim is final, and only its holder may run
+/// the call.
 #[test]
 fn own_keys_run_at_most_once() {
-    let ran = AtomicUsize::new(0);
-    all_hold(400, |seed| postings_under_failure(seed, true, Broken::None, &ran));
-    println!("{ran:?} of {} postings ran", 400 * POSTINGS);
+    let run_count = AtomicUsize::new(0);
+    all_hold(400, |seed| {
+        postings_under_failure(seed, true, Broken::None, &run_count)
+    });
+    println!("{run_count:?} of {} postings ran", 400 * POSTINGS);
     assert!(
-        ran.into_inner() > 200 * POSTINGS,
-        "most postings must run, or nothing was tried"
+        run_count.into_inner() > 200 * POSTINGS,
+        "most postings must run for the test to be meaningful"
     );
 }
 
-/// The checker must see doubled runs when every copy of a call is run.
+/// The checker must detect doubled runs when each copy of a call is run.
 #[test]
 fn broken_without_claims() {
     some_fail(40, |seed| {
@@ -121,9 +127,9 @@
     });
 }
 
-/// The checker must see an untrue "not run" when a host refuses by itself and
-/// leaves the key open: a copy that comes late runs after the caller went on
-/// with a new key.
+/// The checker must detect a false "not run" when a host refuses a call without
+/// closing its key at the owner: a late copy then runs although the caller went
+/// on with a new key.
 #[test]
 fn broken_without_closing_keys() {
     some_fail(200, |seed| {
@@ -131,8 +137,8 @@
     });
 }
 
-/// A caller asks for nothing but random bytes as keys of other customers:
-/// a ticket of one customer is refused for another, and a forged one too.
+/// A ticket is refused for another customer than the one it was issued to, and
+/// so is a forged ticket.
 #[test]
 fn tickets_cannot_be_forged_or_lent() {
     let mut world = Builder::new(1).build(CONFIGURATION);
@@ -147,7 +153,7 @@
         Reply::Tickets(tickets) => tickets.ok()?.pop(),
         _ => None,
     });
-    let ticket = ticket.expect("a ticket is issued");
+    let ticket = ticket.expect("no ticket was issued");
     let mut forged = ticket.clone();
     let last = if forged.ends_with('0') { '1' } else { '0' };
     forged.pop();
@@ -161,17 +167,18 @@
             body_hash: 1,
         };
         world.handle(0, event);
-        let replied = world.replies.pop().expect("a verdict");
+        let replied = world.replies.pop().expect("no verdict");
         let Reply::Verdict(Verdict::Refuse(refusal)) = replied.reply else {
-            panic!("`{key}` was taken for customer {customer}");
+            panic!("`{key}` was accepted for customer {customer}");
         };
         assert_eq!(refusal.kind, Kind::BadIdempotencyKey);
     }
 }
 
-/// A caller repeats its own key an hour after the call ended, when the answer
-/// is no longer kept. The claim still stands in the store under this process,
-/// which must not take it for one that never ran.
+/// A call runs again after its answer was dropped: the caller repeats its own
+/// key an hour after the call ended, and the claim in the store still names
+/// this process as its owner. The process must not conclude that the call
+/// never ran.
 #[test]
 fn a_forgotten_answer_does_not_open_its_key() {
     let mut records = Records::new(Incarnation(1), [1; 32]);
@@ -188,12 +195,12 @@
         }),
     );
     for minutes in [20, 60, 24 * 60] {
-        let later = Moment::at_ms(minutes * 60 * SECOND);
+        let later = Moment::at_ms(minutes * 60 * SECOND_MS);
         let again = records.begin_claim(later, CallId(2), claim, CUSTOMER, 7);
         assert!(
             !matches!(again, Verdict::Run(_)),
             "ran again after {minutes} minutes"
         );
     }
-    assert_eq!(records.size(), (0, 0), "the record itself is gone");
+    assert_eq!(records.size(), (0, 0), "the record is still in memory");
 }
--- a/tests/suite/calls/postings.rs
+++ b/tests/suite/calls/postings.rs
@@ -1,5 +1,5 @@
-//! Callers, the call path between kernels, and a ledger service that runs what
-//! it gets, with the checker of the whole history.
+//! Simulated callers, the call path between kernels, a ledger service that runs
+//! each call it receives, and the checker of the history.
 
 use std::collections::BTreeMap;
 
@@ -13,24 +13,24 @@
 use todc_utils::linearizability::history::{Action, History};
 use todc_utils::specifications::Specification;
 
-use super::{CUSTOMER, SECOND};
+use super::{CUSTOMER, SECOND_MS};
 use crate::world::{Broken, World};
 
-/// Where a posting stands with its caller.
+/// State of a posting at its caller.
 #[derive(Clone, Debug, Default)]
 pub struct Posting {
     key: Option<String>,
     own_key: bool,
-    tries: u32,
-    keys: u32,
-    settled: bool,
-    said_ran: bool,
-    said_not_run: Vec<String>,
+    attempts: u32,
+    own_key_count: u32,
+    finished: bool,
+    reported_run: bool,
+    reported_not_run: Vec<String>,
 }
 
-/// What a call at a node stands for.
+/// Purpose of a call that was registered at a node.
 #[derive(Clone, Debug)]
-pub enum Stage {
+pub enum Purpose {
     Ticket {
         posting: usize,
     },
@@ -39,35 +39,34 @@
         key: String,
         origin: Option<(usize, CallId)>,
     },
-    Away {
+    OwnerUnreachable {
         posting: usize,
         key: String,
     },
 }
 
-/// Callers, the call path between kernels, and a ledger service that runs what
-/// it gets.
+/// Callers, the call path between kernels and the ledger service.
 pub struct Postings {
-    /// Hosts, store and network.
+    /// Simulated hosts, store and network.
     pub world: World,
     postings: Vec<Posting>,
-    stages: BTreeMap<u64, Stage>,
-    /// Runs at the ledger service: posting and key.
+    purposes: BTreeMap<u64, Purpose>,
+    /// Runs at the ledger service, by posting and key.
     pub runs: Vec<(usize, String)>,
     running: BTreeMap<u64, (usize, u64, Key, usize, String, CallId)>,
     history: Vec<(u64, Option<ClaimOp>, u64)>,
-    wakes: u64,
+    last_timer: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ClaimOp {
-    Open,
-    Maybe(u64),
+    Unresolved,
+    Unanswered(u64),
     Won(u64),
     Lost(u64),
 }
 
-/// A claim is a register that keeps its first owner.
+/// Specification of a claim: a register that keeps its first owner.
 pub struct ClaimSpec;
 
 impl Specification for ClaimSpec {
@@ -80,18 +79,18 @@
 
     fn apply(op: &ClaimOp, state: &Self::State) -> (bool, Self::State) {
         match (op, state) {
-            // Its answer never came: it may have claimed, or not.
-            (ClaimOp::Maybe(me), _) => (true, state.or(Some(*me))),
+            // Without an answer, the claim may have been made or not.
+            (ClaimOp::Unanswered(me), _) => (true, state.or(Some(*me))),
             (ClaimOp::Won(me), None) => (true, Some(*me)),
             (ClaimOp::Won(me), Some(owner)) => (me == owner, *state),
             (ClaimOp::Lost(other), Some(owner)) => (other == owner, *state),
-            (ClaimOp::Lost(_) | ClaimOp::Open, _) => (false, *state),
+            (ClaimOp::Lost(_) | ClaimOp::Unresolved, _) => (false, *state),
         }
     }
 }
 
 impl Postings {
-    /// Callers with postings to make.
+    /// Creates callers with `count` postings.
     pub fn new(world: World, count: usize, own_keys: bool) -> Self {
         let postings = (0..count)
             .map(|_| Posting {
@@ -102,31 +101,32 @@
         Self {
             world,
             postings,
-            stages: BTreeMap::new(),
+            purposes: BTreeMap::new(),
             runs: Vec::new(),
             running: BTreeMap::new(),
             history: Vec::new(),
-            wakes: 0,
+            last_timer: 0,
         }
     }
 
-    /// A caller acts: gets a key, or sends (again) with the one it has.
-    fn act(&mut self, posting: usize) {
-        if self.postings[posting].settled || self.postings[posting].tries > 6 {
+    /// Next step of a caller: it requests a key, or sends its posting with the
+    /// key that it has.
+    fn next_attempt(&mut self, posting: usize) {
+        if self.postings[posting].finished || self.postings[posting].attempts > 6 {
             return;
         }
-        self.postings[posting].tries += 1;
+        self.postings[posting].attempts += 1;
         let node = self.world.rng.random_range(0..self.world.nodes.len());
         match self.postings[posting].key.clone() {
             Some(key) => self.send(node, posting, key),
             None if self.postings[posting].own_key => {
-                self.postings[posting].keys += 1;
-                let key = format!("own-{posting}-{}", self.postings[posting].keys);
+                self.postings[posting].own_key_count += 1;
+                let key = format!("own-{posting}-{}", self.postings[posting].own_key_count);
                 self.postings[posting].key = Some(key.clone());
                 self.send(node, posting, key);
             }
             None => {
-                let call = self.stage(Stage::Ticket { posting });
+                let call = self.register_call(Purpose::Ticket { posting });
                 let event = Event::IssueTickets {
                     call,
                     customer: CUSTOMER.into(),
@@ -135,98 +135,98 @@
                 self.world.give(node, 1, event);
             }
         }
-        // The caller comes back by itself when it hears nothing.
-        let patience = self.world.rng.random_range(500..6 * SECOND);
-        self.world.wake(patience, posting as u64);
+        // The caller retries if there is no answer.
+        let retry_delay_ms = self.world.rng.random_range(500..6 * SECOND_MS);
+        self.world.wake(retry_delay_ms, posting as u64);
     }
 
-    /// Sends a copy; sometimes a balancer delivers a second one elsewhere, or
-    /// it stays in a socket buffer for long.
+    /// Sends a posting. Some are delayed in a socket buffer, and of some a load
+    /// balancer delivers a second copy to another host.
     fn send(&mut self, node: usize, posting: usize, key: String) {
         if self.world.broken == Broken::Void && self.world.rng.random_bool(0.3) {
-            // The host that got the copy refuses by itself, unasked owner.
-            self.begin(node, 5 * SECOND, posting, key.clone(), None);
-            self.refuse(posting, &key, &Kind::Overloaded.into());
+            // The host refuses the copy without asking the owner of its key.
+            self.begin(node, 5 * SECOND_MS, posting, key.clone(), None);
+            self.on_refusal(posting, &key, &Kind::Overloaded.into());
             return;
         }
-        let late = match self.world.rng.random_bool(0.1) {
-            true => self.world.rng.random_range(0..20 * SECOND),
+        let delay_ms = match self.world.rng.random_bool(0.1) {
+            true => self.world.rng.random_range(0..20 * SECOND_MS),
             false => self.world.rng.random_range(0..50),
         };
-        self.begin(node, late, posting, key.clone(), None);
+        self.begin(node, delay_ms, posting, key.clone(), None);
         if self.world.rng.random_bool(0.2) {
             let other = self.world.rng.random_range(0..self.world.nodes.len());
-            let late = self.world.rng.random_range(0..10 * SECOND);
-            self.begin(other, late, posting, key, None);
+            let delay_ms = self.world.rng.random_range(0..10 * SECOND_MS);
+            self.begin(other, delay_ms, posting, key, None);
         }
     }
 
     fn begin(
         &mut self,
         node: usize,
-        after: u64,
+        delay_ms: u64,
         posting: usize,
         key: String,
         origin: Option<(usize, CallId)>,
     ) {
-        let call = self.stage(Stage::Begin {
+        let call = self.register_call(Purpose::Begin {
             posting,
             key: key.clone(),
             origin,
         });
-        self.note(node, call, &key, None);
+        self.record_claim_event(node, call, &key, None);
         let event = Event::BeginCall {
             call,
             customer: CUSTOMER.into(),
             idempotency_key: key,
             body_hash: posting as u64,
         };
-        self.world.give(node, after, event);
+        self.world.give(node, delay_ms, event);
     }
 
-    fn stage(&mut self, stage: Stage) -> CallId {
+    fn register_call(&mut self, purpose: Purpose) -> CallId {
         let call = self.world.call();
-        self.stages.insert(call.0, stage);
+        self.purposes.insert(call.0, purpose);
         call
     }
 
-    /// Runs until a time.
+    /// Runs the simulation until `until`, in milliseconds.
     pub fn run(&mut self, until: u64) {
         while self.world.step(until) {
             for woken in std::mem::take(&mut self.world.woken) {
                 match self.running.remove(&woken) {
-                    Some(run) => self.finish(run),
-                    None => self.act(woken as usize),
+                    Some(run) => self.finish_run(run),
+                    None => self.next_attempt(woken as usize),
                 }
             }
             for replied in std::mem::take(&mut self.world.replies) {
-                if let Some(stage) = self.stages.remove(&replied.call.0) {
-                    self.reply(replied.node, replied.call, stage, replied.reply);
+                if let Some(purpose) = self.purposes.remove(&replied.call.0) {
+                    self.on_reply(replied.node, replied.call, purpose, replied.reply);
                 }
             }
         }
     }
 
-    fn reply(&mut self, node: usize, call: CallId, stage: Stage, reply: Reply) {
-        match (stage, reply) {
-            (Stage::Ticket { posting }, Reply::Tickets(Ok(tickets)))
+    fn on_reply(&mut self, node: usize, call: CallId, purpose: Purpose, reply: Reply) {
+        match (purpose, reply) {
+            (Purpose::Ticket { posting }, Reply::Tickets(Ok(tickets)))
                 if self.postings[posting].key.is_none() =>
             {
                 self.postings[posting].key = tickets.into_iter().next();
-                self.act(posting);
+                self.next_attempt(posting);
             }
-            (Stage::Begin { posting, key, origin }, Reply::Verdict(verdict)) => {
-                self.note(node, call, &key, Some(&verdict));
-                self.verdict(node, call, posting, key, origin, verdict);
+            (Purpose::Begin { posting, key, origin }, Reply::Verdict(verdict)) => {
+                self.record_claim_event(node, call, &key, Some(&verdict));
+                self.on_verdict(node, call, posting, key, origin, verdict);
             }
-            (Stage::Away { posting, key }, Reply::Verdict(Verdict::Refuse(refusal))) => {
-                self.refuse(posting, &key, &refusal);
+            (Purpose::OwnerUnreachable { posting, key }, Reply::Verdict(Verdict::Refuse(refusal))) => {
+                self.on_refusal(posting, &key, &refusal);
             }
             _ => {}
         }
     }
 
-    fn verdict(
+    fn on_verdict(
         &mut self,
         node: usize,
         call: CallId,
@@ -243,36 +243,40 @@
             (_, verdict) => verdict,
         };
         match verdict {
-            Verdict::Run(record) => self.start(node, call, posting, key, record),
-            Verdict::Replay(_) => self.ran(posting),
-            Verdict::Refuse(refusal) => self.refuse(posting, &key, &refusal),
-            Verdict::Elsewhere(owner) => self.pass_on(node, posting, key, owner, origin),
+            Verdict::Run(record) => self.start_run(node, call, posting, key, record),
+            Verdict::Replay(_) => self.mark_run(posting),
+            Verdict::Refuse(refusal) => self.on_refusal(posting, &key, &refusal),
+            Verdict::Elsewhere(owner) => self.forward(node, posting, key, owner, origin),
             Verdict::Wait => {}
         }
     }
 
-    /// The owner runs it: the runner takes a while, may refuse the connection,
-    /// and the answer may break off after the run.
-    fn start(&mut self, node: usize, call: CallId, posting: usize, key: String, record: Key) {
-        self.wakes += 1;
-        let wake = u64::MAX - self.wakes;
+    /// Starts a run at the owner, which ends after a random time. The runner
+    /// may refuse the connection, and the answer may be lost after the run.
+    fn start_run(&mut self, node: usize, call: CallId, posting: usize, key: String, record: Key) {
+        self.last_timer += 1;
+        let timer = u64::MAX - self.last_timer;
         let serial = self.world.nodes[node].me.0;
         self.running
-            .insert(wake, (node, serial, record, posting, key, call));
-        let delay = self.world.rng.random_range(1..2 * SECOND);
-        self.world.wake(delay, wake);
+            .insert(timer, (node, serial, record, posting, key, call));
+        let delay_ms = self.world.rng.random_range(1..2 * SECOND_MS);
+        self.world.wake(delay_ms, timer);
     }
 
-    fn finish(&mut self, (node, me, record, posting, key, call): (usize, u64, Key, usize, String, CallId)) {
+    fn finish_run(
+        &mut self,
+        (node, me, record, posting, key, call): (usize, u64, Key, usize, String, CallId),
+    ) {
         if self.world.nodes[node].me != Incarnation(me) || self.world.nodes[node].kernel.is_none() {
             return;
         }
         if !self.world.running(node) {
-            // Frozen with the bytes in its socket buffer: they leave later.
-            self.wakes += 1;
-            let wake = u64::MAX - self.wakes;
-            self.running.insert(wake, (node, me, record, posting, key, call));
-            self.world.wake(200, wake);
+            // The host is suspended with the bytes in its socket buffer, so
+            // they are sent later.
+            self.last_timer += 1;
+            let timer = u64::MAX - self.last_timer;
+            self.running.insert(timer, (node, me, record, posting, key, call));
+            self.world.wake(200, timer);
             return;
         }
         let end = match self.world.rng.random_range(0..10) {
@@ -295,13 +299,13 @@
         };
         self.world.handle(node, event);
         match end {
-            End::Ran(_) => self.ran(posting),
-            End::Unknown => self.refuse(posting, &key, &Kind::UpstreamBroken.into()),
-            End::Void => self.refuse(posting, &key, &Kind::NoRunner.into()),
+            End::Ran(_) => self.mark_run(posting),
+            End::Unknown => self.on_refusal(posting, &key, &Kind::UpstreamBroken.into()),
+            End::Void => self.on_refusal(posting, &key, &Kind::NoRunner.into()),
         }
     }
 
-    fn pass_on(
+    fn forward(
         &mut self,
         node: usize,
         posting: usize,
@@ -309,19 +313,19 @@
         owner: Incarnation,
         origin: Option<(usize, CallId)>,
     ) {
-        let to = (0..self.world.nodes.len())
-            .find(|at| self.world.nodes[*at].me == owner && self.world.nodes[*at].kernel.is_some());
-        match to.filter(|to| self.world.linked(node, *to) && origin.is_none()) {
-            Some(to) => {
-                let delay = self.world.rng.random_range(0..50);
-                self.begin(to, delay, posting, key, Some((node, CallId(0))));
+        let target = (0..self.world.nodes.len())
+            .find(|node| self.world.nodes[*node].me == owner && self.world.nodes[*node].kernel.is_some());
+        match target.filter(|target| self.world.linked(node, *target) && origin.is_none()) {
+            Some(target) => {
+                let delay_ms = self.world.rng.random_range(0..50);
+                self.begin(target, delay_ms, posting, key, Some((node, CallId(0))));
             }
             None => {
                 let record = match Ticket::parse(&key) {
                     Some(ticket) => Key::Ticket(ticket.number),
                     None => Key::Claim(radishstair_core::claim::digest(CUSTOMER, &key)),
                 };
-                let call = self.stage(Stage::Away { posting, key });
+                let call = self.register_call(Purpose::OwnerUnreachable { posting, key });
                 self.world.give(
                     node,
                     0,
@@ -335,43 +339,48 @@
         }
     }
 
-    /// A host without a call in flight stops gracefully and another starts.
-    pub fn leave(&mut self) {
-        let busy = |at: usize| self.running.values().any(|(node, ..)| *node == at);
-        let Some(at) = (0..self.world.nodes.len()).find(|at| self.world.running(*at) && !busy(*at)) else {
+    /// Stops a host that has no call in flight gracefully, and restarts it.
+    pub fn stop_one_host(&mut self) {
+        let busy = |node: usize| {
+            self.running
+                .values()
+                .any(|(running_node, ..)| *running_node == node)
+        };
+        let Some(node) = (0..self.world.nodes.len()).find(|node| self.world.running(*node) && !busy(*node))
+        else {
             return;
         };
-        self.world.handle(at, Event::Stop);
-        self.world.handle(at, Event::Drained);
-        self.world.run_until(self.world.now + SECOND);
+        self.world.handle(node, Event::Stop);
+        self.world.handle(node, Event::Drained);
+        self.world.run_until(self.world.now + SECOND_MS);
         self.world.replies.clear();
-        self.world.kill(at);
-        self.world.start(at);
+        self.world.kill(node);
+        self.world.start(node);
     }
 
-    fn ran(&mut self, posting: usize) {
-        self.postings[posting].settled = true;
-        self.postings[posting].said_ran = true;
+    fn mark_run(&mut self, posting: usize) {
+        self.postings[posting].finished = true;
+        self.postings[posting].reported_run = true;
     }
 
-    /// The caller keeps to the rules of the refusal.
-    fn refuse(&mut self, posting: usize, key: &str, refusal: &Refusal) {
-        let item = &mut self.postings[posting];
-        if item.key.as_deref() != Some(key) || item.settled {
+    /// Updates the caller's state as the refusal demands.
+    fn on_refusal(&mut self, posting: usize, key: &str, refusal: &Refusal) {
+        let state = &mut self.postings[posting];
+        if state.key.as_deref() != Some(key) || state.finished {
             return;
         }
         if refusal.ran == Ran::NotRun {
-            item.said_not_run.push(key.to_string());
+            state.reported_not_run.push(key.to_string());
         }
         match refusal.repeat {
-            Repeat::NewKey => item.key = None,
+            Repeat::NewKey => state.key = None,
             Repeat::SameKey => {}
-            Repeat::Never => item.settled = true,
+            Repeat::Never => state.finished = true,
         }
     }
 
     /// Records claims of one key for the linearizability checker.
-    fn note(&mut self, node: usize, call: CallId, key: &str, verdict: Option<&Verdict>) {
+    fn record_claim_event(&mut self, node: usize, call: CallId, key: &str, verdict: Option<&Verdict>) {
         if key != "own-0-1" {
             return;
         }
@@ -380,7 +389,7 @@
             None => None,
             Some(Verdict::Run(_)) => Some(ClaimOp::Won(me)),
             Some(Verdict::Elsewhere(owner)) => Some(ClaimOp::Lost(owner.0)),
-            // Anything else leaves open whether, and when, it claimed.
+            // Other verdicts leave open whether and when the key was claimed.
             Some(_) => return,
         };
         self.history.push((call.0, op, me));
@@ -392,11 +401,11 @@
         for (call, op, me) in &self.history {
             match op {
                 None => {
-                    actions.push((calls.len(), Action::Call(ClaimOp::Open)));
+                    actions.push((calls.len(), Action::Call(ClaimOp::Unresolved)));
                     calls.push((*call, *me));
                 }
                 Some(op) => {
-                    let process = calls.iter().position(|(have, _)| have == call);
+                    let process = calls.iter().position(|(other, _)| other == call);
                     if let Some(process) = process {
                         actions.push((process, Action::Response(*op)));
                         calls[process].0 = 0;
@@ -405,26 +414,26 @@
             }
         }
         for (process, (_, me)) in calls.iter().enumerate().filter(|(_, (call, _))| *call != 0) {
-            actions.push((process, Action::Response(ClaimOp::Maybe(*me))));
+            actions.push((process, Action::Response(ClaimOp::Unanswered(*me))));
         }
         actions.is_empty() || WGLChecker::<ClaimSpec>::is_linearizable(History::from_actions(actions))
     }
 
-    /// Judges the whole history.
+    /// Checks the whole history.
     pub fn check(&self) -> Result<(), String> {
-        for (posting, item) in self.postings.iter().enumerate() {
-            let runs = self.runs.iter().filter(|(have, _)| *have == posting).count();
+        for (posting, state) in self.postings.iter().enumerate() {
+            let runs = self.runs.iter().filter(|(other, _)| *other == posting).count();
             if runs > 1 {
-                return Err(format!("posting {posting} ran {runs} times: {item:?}"));
+                return Err(format!("posting {posting} ran {runs} times: {state:?}"));
             }
-            if item.said_ran && runs == 0 {
-                return Err(format!("posting {posting} was said to have run and did not"));
+            if state.reported_run && runs == 0 {
+                return Err(format!("posting {posting} was reported as run but did not run"));
             }
-            let untrue = item
-                .said_not_run
+            let contradicted = state
+                .reported_not_run
                 .iter()
-                .find(|key| self.runs.iter().any(|(_, ran)| ran == *key));
-            if let Some(key) = untrue {
+                .find(|key| self.runs.iter().any(|(_, ran_key)| ran_key == *key));
+            if let Some(key) = contradicted {
                 return Err(format!("posting {posting}: `{key}` ran after \"not run\""));
             }
         }
