--- a/tests/suite/duties.rs
+++ b/tests/suite/duties.rs
@@ -1,4 +1,4 @@
-//! One process in charge: orders to upstreams.
+//! The ordering duty: only one process at a time sends orders.
 
 use radishstair_core::dispatch::Seek;
 use radishstair_core::kernel::Event;
@@ -8,17 +8,17 @@
 use crate::schedule::{all_hold, some_fail};
 use crate::world::{Broken, Builder, Faults, World};
 
-const SECOND: u64 = 1_000;
+const SECOND_MS: u64 = 1_000;
 const CONFIGURATION: &str = r#"{
   "tiers": [{ "name": "t", "priority": 1, "target": "1s", "patience": "10m" }],
   "customers": [{ "name": "c" }],
   "pools": [{ "name": "p", "least": 1, "most": 40, "labels": {} }]
 }"#;
 
-/// Makes demand change, so that there is something to order.
-fn demand(world: &mut World) {
-    for at in 0..world.nodes.len() {
-        if !world.running(at) || !world.rng.random_bool(0.3) {
+/// Adds calls that need runners at random nodes, so that orders are due.
+fn add_demand(world: &mut World) {
+    for node in 0..world.nodes.len() {
+        if !world.running(node) || !world.rng.random_bool(0.3) {
             continue;
         }
         let call = world.call();
@@ -34,11 +34,11 @@
             avoid: Vec::new(),
             promised: false,
         };
-        world.handle(at, Event::Acquire(seek));
+        world.handle(node, Event::Acquire(seek));
     }
 }
 
-fn list(world: &mut World, at: usize) {
+fn list_runners(world: &mut World, node: usize) {
     let runners = ["a", "b"].map(|zone| Listed {
         name: format!("r-{zone}"),
         pool: "p".into(),
@@ -47,57 +47,62 @@
         slots: 4,
         leaving: false,
     });
-    world.give(at, 0, Event::RunnerList(runners.to_vec()));
+    world.give(node, 0, Event::RunnerList(runners.to_vec()));
 }
 
-/// Kills, freezes, cuts and outages, mostly of whoever is in charge.
-fn misfortune(world: &mut World) {
-    let holder =
-        (0..world.nodes.len()).find(|at| world.status(*at).is_some_and(|status| !status.duties.is_empty()));
-    let any = world.rng.random_range(0..world.nodes.len());
-    let at = if world.rng.random_bool(0.7) {
-        holder.unwrap_or(any)
+/// Injects a random fault, mostly at the holder of a duty: a crash, a
+/// suspension, a partition or an outage of the store.
+fn inject_fault(world: &mut World) {
+    let holder = (0..world.nodes.len()).find(|node| {
+        world
+            .status(*node)
+            .is_some_and(|status| !status.duties.is_empty())
+    });
+    let random_node = world.rng.random_range(0..world.nodes.len());
+    let node = if world.rng.random_bool(0.7) {
+        holder.unwrap_or(random_node)
     } else {
-        any
+        random_node
     };
     match world.rng.random_range(0..8) {
         0 => {
-            world.kill(at);
-            world.start(at);
-            list(world, at);
+            world.kill(node);
+            world.start(node);
+            list_runners(world, node);
         }
-        // Around the term of a lease: the holder wakes just before, at and
-        // after its end.
+        // Around the duration of a lease, so that the holder resumes shortly
+        // before, at and after its end.
         1..=3 => {
-            let span = world.rng.random_range(2 * SECOND..25 * SECOND);
-            world.pause(at, span);
+            let pause_ms = world.rng.random_range(2 * SECOND_MS..25 * SECOND_MS);
+            world.pause(node, pause_ms);
         }
-        4 => world.nodes[at].cut_store = true,
+        4 => world.nodes[node].cut_store = true,
         5 => world.nodes.iter_mut().for_each(|node| node.cut_store = false),
         6 => world.store_down = !world.store_down,
-        _ => world.nodes[at].island ^= 1,
+        _ => world.nodes[node].island ^= 1,
     }
 }
 
-/// Two nodes that run must not both believe that they hold a duty.
-fn one_believes(world: &mut World) -> Result<(), String> {
+/// Checks that no two running nodes hold the same duty.
+fn check_single_holder(world: &mut World) -> Result<(), String> {
     let mut holders: Vec<(String, usize)> = Vec::new();
-    for at in 0..world.nodes.len() {
-        for (duty, _) in world.status(at).map_or(Vec::new(), |status| status.duties) {
-            if let Some((_, other)) = holders.iter().find(|(have, _)| *have == duty) {
+    for node in 0..world.nodes.len() {
+        for (duty, _) in world.status(node).map_or(Vec::new(), |status| status.duties) {
+            if let Some((_, other)) = holders.iter().find(|(held_duty, _)| *held_duty == duty) {
                 return Err(format!(
-                    "at {} ms nodes {other} and {at} both hold `{duty}`",
+                    "at {} ms nodes {other} and {node} both hold `{duty}`",
                     world.now
                 ));
             }
-            holders.push((duty, at));
+            holders.push((duty, node));
         }
     }
     Ok(())
 }
 
-/// An upstream that ignores fencing numbers must see them rise only.
-fn fences_rise(world: &World) -> Result<(), String> {
+/// Checks that the fencing numbers of the orders never decrease, for upstreams
+/// that ignore these numbers.
+fn check_fences_rise(world: &World) -> Result<(), String> {
     for pair in world.seen.orders.windows(2) {
         if pair[1].2.fence < pair[0].2.fence {
             return Err(format!(
@@ -118,17 +123,17 @@
         .faults(faults)
         .broken(broken)
         .build(CONFIGURATION);
-    for at in 0..world.nodes.len() {
-        list(&mut world, at);
+    for node in 0..world.nodes.len() {
+        list_runners(&mut world, node);
     }
     for step in 0..1_200 {
         world.run_until(step * 100);
-        one_believes(&mut world)?;
+        check_single_holder(&mut world)?;
         if step % 10 == 0 {
-            demand(&mut world);
+            add_demand(&mut world);
         }
         if step % 15 == 0 && step < 800 && world.rng.random_bool(0.5) {
-            misfortune(&mut world);
+            inject_fault(&mut world);
         }
         if step == 800 {
             world.store_down = false;
@@ -139,32 +144,33 @@
             }
         }
     }
-    fences_rise(&world)?;
-    let held =
-        (0..world.nodes.len()).any(|at| world.status(at).is_some_and(|status| !status.duties.is_empty()));
-    match held && !world.seen.orders.is_empty() {
+    check_fences_rise(&world)?;
+    let duty_held =
+        (0..world.nodes.len()).any(|node| world.status(node).is_some_and(|status| !status.duties.is_empty()));
+    match duty_held && !world.seen.orders.is_empty() {
         true => Ok(()),
-        false => Err("nobody is in charge long after everything healed".into()),
+        false => Err("no node holds a duty long after all faults ended".into()),
     }
 }
 
-/// The platform gets orders from one process at a time. Holders are frozen
-/// past their lease between the check and the send, killed, cut off; answers
-/// to their renewals are lost after the write. The check is made last thing
-/// before a send, and a successor waits out term, send and quiet time.
+/// The platform receives orders from two processes: a holder is suspended past
+/// the end of its lease between check and send, crashes or is partitioned, or
+/// the answer to a renewal is lost after the write. The lease is checked
+/// directly before each send, and a successor waits for the lease duration, the
+/// longest send and the quiet period.
 #[test]
 fn orders_come_from_one_process() {
     all_hold(300, |seed| orders_under_failure(seed, Broken::None));
 }
 
-/// The checker must see an order of a former holder when the last look at the
-/// lease is left out.
+/// The checker must detect an order of a former holder when the last check of
+/// the lease is left out.
 #[test]
 fn broken_without_the_last_look() {
     some_fail(300, |seed| orders_under_failure(seed, Broken::Grant));
 }
 
-/// The checker must see two holders when the store lets any write pass.
+/// The checker must detect two holders when the store accepts every write.
 #[test]
 fn broken_without_compare_and_swap() {
     some_fail(60, |seed| orders_under_failure(seed, Broken::Swap));
