--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -94,7 +94,7 @@
         /// Fencing number to include in each message.
         pub fence: u64,
         /// End of the right to act.
-        pub until: Moment,
+        pub expires_at: Moment,
         /// Longest time that a send may take.
         pub max_send: Duration,
     }
@@ -106,7 +106,7 @@
     /// Check this directly before each send: for a holder that was suspended
     /// since its previous check, the grant may have expired.
     pub fn covers(&self, now: Moment) -> bool {
-        !(now + self.max_send).reached(self.until)
+        !(now + self.max_send).reached(self.expires_at)
     }
 }
 
@@ -287,7 +287,7 @@
         self.observed = Some((record.clone(), sent));
         self.held = (!record.released).then_some(Grant {
             fence: record.fence,
-            until: sent + self.timing.duration,
+            expires_at: sent + self.timing.duration,
             max_send: self.timing.max_send,
         });
     }
@@ -348,7 +348,7 @@
     }
 
     fn expire_grant(&mut self, now: Moment) {
-        if self.held.is_some_and(|grant| now.reached(grant.until)) {
+        if self.held.is_some_and(|grant| now.reached(grant.expires_at)) {
             self.held = None;
         }
     }
--- a/tests/suite/proxy/usage.rs
+++ b/tests/suite/proxy/usage.rs
@@ -23,7 +23,7 @@
 fn grant(now: Moment) -> Grant {
     Grant {
         fence: 7,
-        until: now + Duration::from_secs(3),
+        expires_at: now + Duration::from_secs(3),
         max_send: Duration::from_millis(750),
     }
 }
