--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -50,11 +50,11 @@
     /// Timing for receivers that check fencing numbers, by a lease duration
     /// that the operator sets. There are three renewals per lease duration, so
     /// that one may be lost.
-    pub fn fenced(term: Duration) -> Self {
+    pub fn fenced(lease_duration: Duration) -> Self {
         Self {
-            duration: term,
-            renew_interval: term / 3,
-            max_send: term / 4,
+            duration: lease_duration,
+            renew_interval: lease_duration / 3,
+            max_send: lease_duration / 4,
             quiet_period: Duration::ZERO,
         }
     }
@@ -120,7 +120,7 @@
     observed: Option<(Record, Moment)>,
     held: Option<Grant>,
     next_step_at: Moment,
-    stopping: bool,
+    releasing: bool,
     timing: Timing,
     read_externally: bool,
 }
@@ -143,13 +143,13 @@
             observed: None,
             held: None,
             next_step_at: Moment::default(),
-            stopping: false,
+            releasing: false,
         }
     }
 
     /// The right to act, if this process holds it now.
     pub fn grant(&self, now: Moment) -> Option<Grant> {
-        self.held.filter(|grant| grant.covers(now) && !self.stopping)
+        self.held.filter(|grant| grant.covers(now) && !self.releasing)
     }
 
     /// Next request to the store, if one is due. The duty is applied for only
@@ -161,9 +161,9 @@
             return None;
         }
         if self.held.is_some() {
-            return self.write(now, self.stopping);
+            return self.write(now, self.releasing);
         }
-        if !candidate || self.stopping {
+        if !candidate || self.releasing {
             return None;
         }
         if self.may_take_over(now) {
@@ -212,7 +212,7 @@
 
     /// Releases the duty at the next tick.
     pub fn release(&mut self, now: Moment) {
-        self.stopping = true;
+        self.releasing = true;
         self.next_step_at = now;
     }
 
