--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -3,7 +3,7 @@
 //! Once a byte of a request may have left, only the runner's own statement that
 //! it did not run allows a second runner or a refusal that says "not run".
 //! Everything else may have run: a reset, a closed connection, silence.
-//! Plain requests and streams go from runner to runner as [`plain`](super::plain)
+//! Plain requests and streams go from runner to runner as [`buffered`](super::buffered)
 //! and [`stream`](super::stream) say.
 
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 use tokio::time::timeout;
 
 use super::Shared;
-use super::dialect::{Mark, Pass};
+use super::adapter::{Forwarding, Provenance};
 use super::job::{Job, Tries};
 use super::reply::come_back;
 use super::slot::Slot;
@@ -258,8 +258,8 @@
         self.shared.state().fleet.hear(now, slot.key);
         let (response, kept) = exchange.split();
         let (parts, body) = response.into_parts();
-        let mark = self.shared.dialect.mark(&parts);
-        if mark.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
+        let provenance = self.shared.adapter.parse_response(&parts);
+        if provenance.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
             let sign = match parts.status {
                 StatusCode::MISDIRECTED_REQUEST => Sign::Replaced,
                 _ => Sign::Full,
@@ -277,15 +277,15 @@
             }
             return Err(Halt::Failed(Fault::NotRun));
         }
-        if !is_own(job, &parts, &mark) {
+        if !is_own(job, &parts, &provenance) {
             slot.sign(Sign::Broken);
             tracing::warn!(
                 event = "answer-not-own",
                 request = job.head.id,
                 runner = slot.id,
                 status = parts.status.as_u16(),
-                answers = mark.id,
-                signed = mark.signed
+                answers = provenance.request_id,
+                signed = provenance.signed
             );
             return Err(Halt::Failed(Fault::Broken));
         }
@@ -344,18 +344,18 @@
     }
 
     fn request(&self, now: Moment, job: &Job, after: Option<u64>, slot: &Slot) -> Request<Full<Bytes>> {
-        let pass = Pass {
-            instance: &slot.id,
-            left: job.left(now),
+        let forwarding = Forwarding {
+            runner_id: &slot.id,
+            time_left: job.left(now),
             rank: job.is_stream().then_some(job.admission.rank),
             customer: job.admission.customer.as_deref(),
-            after: after.or(job.head.last_event),
-            source: slot.source,
+            resume_after: after.or(job.head.last_event),
+            cache_source: slot.source,
         };
         let mut request = Request::new(Full::new(job.body.clone()));
         *request.method_mut() = job.parts.method.clone();
         *request.uri_mut() = job.parts.uri.clone();
-        *request.headers_mut() = self.shared.dialect.pass(&job.parts, &pass);
+        *request.headers_mut() = self.shared.adapter.forwarded_headers(&job.parts, &forwarding);
         request
     }
 
@@ -394,9 +394,9 @@
 /// An extra answer may come late, where the next request's is expected; passed
 /// on, a caller would get somebody else's data. Statuses that promise "not run"
 /// are not passed on without the runner's own statement of it.
-fn is_own(job: &Job, parts: &response::Parts, mark: &Mark) -> bool {
+fn is_own(job: &Job, parts: &response::Parts, provenance: &Provenance) -> bool {
     let promises = matches!(parts.status.as_u16(), 408 | 421 | 429 | 503);
-    let named = mark.id.as_deref() == Some(job.head.id.as_str());
+    let named = provenance.request_id.as_deref() == Some(job.head.id.as_str());
     let encoded = parts.headers.contains_key(CONTENT_ENCODING);
-    named && mark.signed && !promises && !encoded
+    named && provenance.signed && !promises && !encoded
 }
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -12,7 +12,7 @@
 use radishstair_core::repeat::{self, Rule};
 use radishstair_core::time::Moment;
 
-use super::dialect::Head;
+use super::adapter::Metadata;
 
 /// Runners tried without reaching one, before the caller is told so.
 const UNREACHABLE: u32 = 4;
@@ -23,7 +23,7 @@
     /// Its head as it came.
     pub parts: request::Parts,
     /// What the head says.
-    pub head: Head,
+    pub head: Metadata,
     /// Its body.
     pub body: Bytes,
     /// What the document says of it.
@@ -73,9 +73,13 @@
     pub fn demand(&self, draw: u64) -> Demand {
         Demand {
             service: self.admission.service.clone(),
-            prompt: self.head.prompt,
-            output: self.head.hint.unwrap_or(self.head.output).min(self.head.output),
-            parts: self.head.parts.clone(),
+            prompt: self.head.prompt_tokens,
+            output: self
+                .head
+                .expected_output_tokens
+                .unwrap_or(self.head.max_output_tokens)
+                .min(self.head.max_output_tokens),
+            parts: self.head.prompt_parts.clone(),
             bytes: self.body.len() as u64,
             copies: self.admission.copies,
             once: self.once(),
@@ -85,7 +89,7 @@
 }
 
 /// What a head asks of the document.
-pub fn ask<'a>(parts: &'a request::Parts, head: &'a Head) -> Ask<'a> {
+pub fn ask<'a>(parts: &'a request::Parts, head: &'a Metadata) -> Ask<'a> {
     let host = parts.headers.get(HOST);
     Ask {
         host: host.and_then(|host| host.to_str().ok()).unwrap_or_default(),
--- a/crates/entry/src/proxy/run.rs
+++ b/crates/entry/src/proxy/run.rs
@@ -13,15 +13,15 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::{mpsc, oneshot, watch};
 
+use super::adapter::Adapter;
 use super::admin::Port;
-use super::dialect::Dialect;
+use super::client::Client;
 use super::duty::Duty;
 use super::forward::Forwarder;
 use super::settings::Settings;
-use super::store::Asker;
 use crate::upstream::pool::Pool;
 
-use super::{Shared, accept, admin, document, peers, sync};
+use super::{Shared, accept, admin, document, gossip, sync};
 
 /// How long a stopping host goes on accepting: the balancer asks once a second
 /// and turns away after two misses, and its answer may be a moment late.
@@ -38,11 +38,11 @@
 /// # Errors
 ///
 /// When something cannot be read, bound or started.
-pub fn run(path: &Path, dialect: Arc<dyn Dialect>) -> Result<()> {
-    let settings = load(path)?;
+pub fn run(path: &Path, adapter: Arc<dyn Adapter>) -> Result<()> {
+    let settings = load_settings(path)?;
     // Before anything else: a signal that comes early must not end the process.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).context("setting signal handlers")?;
-    let shared = Shared::new(settings.clone(), dialect);
+    let shared = Shared::new(settings.clone(), adapter);
     tracing::info!(event = "starting", host = settings.host, zone = settings.zone, incarnation = %shared.me);
     let pool = Pool::default();
     let forwarder = Arc::new(Forwarder {
@@ -76,7 +76,7 @@
 /// # Errors
 ///
 /// Names the file and the key.
-pub fn load(path: &Path) -> Result<Settings> {
+pub fn load_settings(path: &Path) -> Result<Settings> {
     let settings: Settings = radishstair_wire::settings::load(path)?;
     settings
         .check()
@@ -107,8 +107,8 @@
             tokio::spawn(admin::serve(shared.clone(), ready, Port::Outside));
             tokio::spawn(admin::serve(shared.clone(), metrics, Port::Outside));
             tokio::spawn(admin::serve(shared.clone(), changes, Port::Peers));
-            tokio::spawn(peers::run(shared.clone(), peers));
-            let store = Arc::new(Asker::default());
+            tokio::spawn(gossip::run(shared.clone(), peers));
+            let store = Arc::new(Client::default());
             let (own, read) = mpsc::channel(1);
             tokio::spawn(sync::watch_store(shared.clone(), store.clone()));
             tokio::spawn(document::run(shared.clone(), store.clone()));
@@ -151,7 +151,7 @@
 }
 
 fn reload(path: &Path, shared: &Shared, why: &str) {
-    let settings = match load(path) {
+    let settings = match load_settings(path) {
         Ok(settings) => settings,
         Err(err) => {
             tracing::warn!(event = "settings-kept", why, reason = %format!("{err:#}"));
