--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -323,7 +323,7 @@
 impl Kernel {
     /// Creates the control state of a process that has just started.
     pub fn new(now: Moment, setup: Setup) -> Self {
-        let me = setup.identity.incarnation;
+        let incarnation = setup.identity.incarnation;
         let zone = setup.identity.zone.clone();
         let mut services = vec![
             (
@@ -337,12 +337,19 @@
             ),
             (
                 CALLS,
-                Service::Calls(Box::new(calls::Service::new(me, setup.secret, setup.seed))),
+                Service::Calls(Box::new(calls::Service::new(
+                    incarnation,
+                    setup.secret,
+                    setup.seed,
+                ))),
+            ),
+            (
+                ORDERS,
+                Service::Orders(Box::new(orders::Service::new(incarnation))),
             ),
-            (ORDERS, Service::Orders(Box::new(orders::Service::new(me)))),
             (
                 USAGE,
-                Service::Usage(Box::new(usage::Service::new(me, &zone, now))),
+                Service::Usage(Box::new(usage::Service::new(incarnation, &zone, now))),
             ),
         ];
         services.sort_by_key(|(name, _)| *name);
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -18,12 +18,12 @@
 pub const TOMBSTONE_PREFIX: &str = "tombstone/";
 /// Largest tombstone that is written; without one, the outcome of its keys
 /// stays unknown.
-const TOMBSTONE_BYTES: usize = 900_000;
+const MAX_TOMBSTONE_BYTES: usize = 900_000;
 
 /// Records and claims of this incarnation.
 #[derive(Debug)]
 pub struct Service {
-    me: Incarnation,
+    incarnation: Incarnation,
     records: Records,
     registry: Registry,
     waiting: Vec<(CallId, Key)>,
@@ -35,11 +35,11 @@
 
 impl Service {
     /// Creates the service with empty records.
-    pub fn new(me: Incarnation, secret: Secret, seed: u64) -> Self {
+    pub fn new(incarnation: Incarnation, secret: Secret, seed: u64) -> Self {
         Self {
-            me,
-            records: Records::new(me, secret),
-            registry: Registry::new(me, seed),
+            incarnation,
+            records: Records::new(incarnation, secret),
+            registry: Registry::new(incarnation, seed),
             waiting: Vec::new(),
             tombstone_reads: Vec::new(),
             tombstone: None,
@@ -165,11 +165,11 @@
         self.drained = true;
         let tombstone = self.records.seal();
         let value = serde_json::to_string(&tombstone).unwrap_or_default();
-        if self.records.size() == (0, 0) || value.len() > TOMBSTONE_BYTES {
+        if self.records.size() == (0, 0) || value.len() > MAX_TOMBSTONE_BYTES {
             return;
         }
         let call = store::Call::CompareAndSwap {
-            key: format!("{TOMBSTONE_PREFIX}{}", self.me),
+            key: format!("{TOMBSTONE_PREFIX}{}", self.incarnation),
             expect: 0,
             value,
         };
@@ -177,7 +177,7 @@
     }
 
     /// Adds nothing to a heartbeat.
-    pub fn fill_heartbeat(&mut self, _now: Moment, _address: &str, _beat: &mut Heartbeat) {}
+    pub fn fill_heartbeat(&mut self, _now: Moment, _address: &str, _heartbeat: &mut Heartbeat) {}
 
     /// Adds the record counts to the status.
     pub fn add_status(&self, _now: Moment, status: &mut Status) {
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -18,16 +18,16 @@
 #[derive(Debug)]
 pub struct Service {
     members: Members,
-    me: Incarnation,
+    incarnation: Incarnation,
     published_digest: u64,
 }
 
 impl Service {
     /// Creates the service, with the addresses of peers to contact first.
-    pub fn new(me: &Identity, seeds: Vec<String>) -> Self {
+    pub fn new(identity: &Identity, seeds: Vec<String>) -> Self {
         Self {
-            members: Members::new(me, seeds),
-            me: me.incarnation,
+            members: Members::new(identity, seeds),
+            incarnation: identity.incarnation,
             published_digest: 0,
         }
     }
@@ -75,7 +75,7 @@
             watches_store: self.members.zone_rank(CONFIG) < WATCHERS,
             orders_candidate: self.members.is_leading_delegate(ORDERS, CANDIDATES_PER_DUTY),
             usage_candidate: self.members.is_leading_delegate(USAGE, CANDIDATES_PER_DUTY),
-            usage_replicas: self.members.zone_owners(self.me.0, KEEPERS),
+            usage_replicas: self.members.zone_owners(self.incarnation.0, KEEPERS),
             zone_peers: self
                 .members
                 .zone_peers()
--- a/crates/core/src/kernel/orders.rs
+++ b/crates/core/src/kernel/orders.rs
@@ -29,9 +29,9 @@
 
 impl Service {
     /// Creates the service without the duty.
-    pub fn new(me: Incarnation) -> Self {
+    pub fn new(incarnation: Incarnation) -> Self {
         Self {
-            lease: Lease::new(me, ORDERS),
+            lease: Lease::new(incarnation, ORDERS),
             planner: Planner::default(),
             candidate: false,
             view: Arc::default(),
@@ -82,7 +82,7 @@
     }
 
     /// Adds nothing to a heartbeat.
-    pub fn fill_heartbeat(&mut self, _now: Moment, _address: &str, _beat: &mut Heartbeat) {}
+    pub fn fill_heartbeat(&mut self, _now: Moment, _address: &str, _heartbeat: &mut Heartbeat) {}
 
     /// Adds the duty to the status, if this process holds it.
     pub fn add_status(&self, now: Moment, status: &mut Status) {
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -41,11 +41,11 @@
 
 impl Service {
     /// Creates the service with nothing counted and without the duty.
-    pub fn new(me: Incarnation, zone: &str, now: Moment) -> Self {
+    pub fn new(incarnation: Incarnation, zone: &str, now: Moment) -> Self {
         let settings = Settings::default();
         Self {
-            meter: Meter::new(me, now, settings.usage_window),
-            lease: Lease::new(me, USAGE),
+            meter: Meter::new(incarnation, now, settings.usage_window),
+            lease: Lease::new(incarnation, USAGE),
             reporter: Reporter::default(),
             membership: Membership::default(),
             window_length: settings.usage_window,
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -113,7 +113,7 @@
 /// State of one duty at one candidate.
 #[derive(Debug)]
 pub struct Lease {
-    me: Incarnation,
+    incarnation: Incarnation,
     key: String,
     step: Step,
     version: u64,
@@ -127,14 +127,14 @@
 
 impl Lease {
     /// Candidate for a duty with the default timing.
-    pub fn new(me: Incarnation, duty: &str) -> Self {
-        Self::with_timing(me, format!("duty/{duty}"), Timing::default())
+    pub fn new(incarnation: Incarnation, duty: &str) -> Self {
+        Self::with_timing(incarnation, format!("duty/{duty}"), Timing::default())
     }
 
     /// Candidate for the record under the store key `key`.
-    pub fn with_timing(me: Incarnation, key: String, timing: Timing) -> Self {
+    pub fn with_timing(incarnation: Incarnation, key: String, timing: Timing) -> Self {
         Self {
-            me,
+            incarnation,
             key,
             timing,
             read_externally: false,
@@ -273,7 +273,7 @@
                 self.version = version;
                 self.confirm(write_sent, record);
             }
-            Some((_, stored)) if stored.holder != self.me => {
+            Some((_, stored)) if stored.holder != self.incarnation => {
                 self.held = None;
                 self.update_observed(now, entry);
             }
@@ -312,7 +312,7 @@
         match &self.observed {
             None => self.read_externally || self.next_step_at > Moment::default(),
             Some((record, _)) if record.released => true,
-            Some((record, _)) if record.holder == self.me => true,
+            Some((record, _)) if record.holder == self.incarnation => true,
             Some((_, since)) => now.since(*since) >= self.takeover_wait(),
         }
     }
@@ -329,7 +329,7 @@
             None => (1, 1),
         };
         let record = Record {
-            holder: self.me,
+            holder: self.incarnation,
             fence,
             renewal,
             released,
