--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -65,7 +65,7 @@
             Event::Tick => self.tick(now, outbox),
             Event::RecordUsage(item) => self.meter.count(now, item),
             Event::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat),
-            Event::Collect(call, request) if request.zone => {
+            Event::Collect(call, request) if request.whole_zone => {
                 self.start_collection(now, Some(*call), request, outbox)
             }
             Event::Collect(call, request) => {
@@ -148,7 +148,7 @@
         outbox: &mut Outbox,
     ) {
         let request = Collect {
-            zone: false,
+            whole_zone: false,
             ..request.clone()
         };
         let own = self.collect_own(now, &request);
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -87,8 +87,8 @@
     pub struct HostLoad {
         /// Hashes of the runners' names.
         #[prost(fixed32, repeated, tag = "1")]
-        pub runners: Vec<u32>,
-        /// Calls in flight on each runner, in the order of `runners`.
+        pub runner_hashes: Vec<u32>,
+        /// Calls in flight on each runner, in the order of `runner_hashes`.
         #[prost(uint32, repeated, tag = "2")]
         pub running: Vec<u32>,
         /// Waiting calls by pool.
@@ -242,7 +242,7 @@
         /// Whether the receiver also asks its zone peers and answers for the
         /// whole zone.
         #[prost(bool, tag = "3")]
-        pub zone: bool,
+        pub whole_zone: bool,
     }
 }
 
@@ -267,7 +267,7 @@
         /// Number of the last included chunk; there are no gaps after the
         /// cursor.
         #[prost(uint64, tag = "2")]
-        pub number: u64,
+        pub last_chunk: u64,
         /// Usage by window.
         #[prost(message, repeated, tag = "3")]
         pub windows: Vec<WindowUsage>,
@@ -288,7 +288,7 @@
         pub after_chunk: u64,
         /// Number of the last chunk in the range.
         #[prost(uint64, tag = "3")]
-        pub number: u64,
+        pub last_chunk: u64,
     }
 }
 
@@ -327,7 +327,7 @@
         pub customer: String,
         /// Public name of the API key.
         #[prost(string, tag = "2")]
-        pub key: String,
+        pub api_key_name: String,
         /// Class of the call.
         #[prost(string, tag = "3")]
         pub class: String,
@@ -339,7 +339,7 @@
         pub body: Vec<u8>,
         /// Configuration version by which the sender admitted the call.
         #[prost(uint64, tag = "6")]
-        pub version: u64,
+        pub config_version: u64,
     }
 }
 
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -255,7 +255,7 @@
     pub fn shares(&self) -> HostLoad {
         let mut shares = HostLoad::default();
         for runner in self.iter().filter(|runner| runner.running > 0) {
-            shares.runners.push(short(&runner.listed.name));
+            shares.runner_hashes.push(short(&runner.listed.name));
             shares.running.push(runner.running);
         }
         shares
@@ -263,7 +263,7 @@
 
     /// A peer's calls.
     pub fn hear(&mut self, now: Moment, peer: Incarnation, shares: &HostLoad) {
-        let pairs = shares.runners.iter().zip(&shares.running);
+        let pairs = shares.runner_hashes.iter().zip(&shares.running);
         let known = pairs.filter_map(|(runner, running)| {
             let at = self.shorts.binary_search_by(|(have, _)| have.cmp(runner)).ok()?;
             Some((self.shorts[at].1, *running))
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -217,7 +217,7 @@
         let mut sums: Vec<SourceUsage> = Vec::new();
         for chunk in &self.chunks {
             let last = match sums.last() {
-                Some(sum) if sum.source == chunk.source => sum.number,
+                Some(sum) if sum.source == chunk.source => sum.last_chunk,
                 _ if chunk.source == self.me.0 => self.sealed,
                 _ => cursor(&ask.cursors, chunk.source),
             };
@@ -274,7 +274,7 @@
         });
     }
     if let Some(sum) = sums.last_mut() {
-        sum.number = chunk.number;
+        sum.last_chunk = chunk.number;
         match sum.windows.iter_mut().find(|part| part.window == chunk.window) {
             Some(part) => merge(&mut part.rows, &chunk.rows),
             None => sum.windows.push(WindowUsage {
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -42,7 +42,7 @@
             match self.sums.binary_search_by(|have| have.source.cmp(&sum.source)) {
                 // Of two hosts that know a source, the one that has more of
                 // it is believed; adding them would count chunks twice.
-                Ok(at) if self.sums[at].number < sum.number => self.sums[at] = sum,
+                Ok(at) if self.sums[at].last_chunk < sum.last_chunk => self.sums[at] = sum,
                 Ok(_) => {}
                 Err(at) => self.sums.insert(at, sum),
             }
@@ -64,7 +64,7 @@
             bundle.chunk_ranges.push(ChunkRange {
                 source: sum.source,
                 after_chunk: sum.after_chunk,
-                number: sum.number,
+                last_chunk: sum.last_chunk,
             });
             sum.windows
                 .iter()
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -195,7 +195,7 @@
         Some(Step::Collect(Collect {
             cursors: self.cursors(),
             window,
-            zone: true,
+            whole_zone: true,
         }))
     }
 
@@ -391,7 +391,7 @@
     let source = crate::id::Incarnation(span.source);
     let mark = Mark {
         source,
-        number: span.number,
+        number: span.last_chunk,
         moved: window,
     };
     match marks.binary_search_by(|have| have.source.cmp(&source)) {
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -269,11 +269,11 @@
         };
         let forward = Forward {
             customer: job.customer.clone(),
-            key: job.key.clone(),
+            api_key_name: job.key.clone(),
             class: job.route.class.clone(),
             idempotency_key: once,
             body: job.body.to_vec(),
-            version: job.version,
+            config_version: job.version,
         };
         match tokio::time::timeout(FORWARD, client.forward(forward)).await {
             Ok(Ok(answer)) => Ok(from_owner(answer.into_inner())),
@@ -321,10 +321,12 @@
         if !self.handle.trusted.load(Ordering::SeqCst) {
             return Err(Kind::Stale.into());
         }
-        if view.version >= forward.version && !view.key_stands(&forward.key) {
+        if view.version >= forward.config_version && !view.key_stands(&forward.api_key_name) {
             return Err(Kind::KeyWithdrawn.into());
         }
-        let caller = view.caller_by_name(&forward.key).ok_or(Kind::OwnerAway)?;
+        let caller = view
+            .caller_by_name(&forward.api_key_name)
+            .ok_or(Kind::OwnerAway)?;
         if view.document.customers[caller.customer.index()].name != forward.customer {
             return Err(Kind::BadIdempotencyKey.into());
         }
@@ -337,7 +339,7 @@
         Ok(Job {
             path: class.path.clone(),
             customer: forward.customer.clone(),
-            key: forward.key.clone(),
+            key: forward.api_key_name.clone(),
             body: forward.body.clone().into(),
             version: view.version,
             promised: false,
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -393,7 +393,7 @@
 fn a_host_that_starts_nothing_lets_nobody_wait() {
     let mut dispatch = dispatch(DOCUMENT, &[("p", "a", 2)]);
     let mates = radishstair_core::peer::HostLoad {
-        runners: vec![radishstair_core::id::digest(b"p-a") as u32],
+        runner_hashes: vec![radishstair_core::id::digest(b"p-a") as u32],
         running: vec![2],
         ..Default::default()
     };
