--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -1,4 +1,7 @@
-//! Configuration as a service of the kernel.
+//! Configuration service of the kernel.
+//!
+//! It publishes each new version to the other services and to the traffic
+//! threads.
 
 use super::pending::Pending;
 use super::{Action, CALLS, CONFIG, DISPATCH, Event, MEMBER, ORDERS, Outbox, Reply, Status, USAGE};
@@ -6,76 +9,80 @@
 use crate::peer::Heartbeat;
 use crate::time::Moment;
 
-/// The configuration in force.
+/// Configuration in force, and what of it has been published.
 #[derive(Debug, Default)]
 pub struct Service {
-    inner: service::Service,
-    watcher: bool,
-    trusted: Option<bool>,
-    told: u64,
-    request: Pending,
+    configuration: service::Service,
+    watches_store: bool,
+    published_trust: Option<bool>,
+    published_version: u64,
+    pending: Pending,
 }
 
 impl Service {
-    /// Takes an event in.
-    pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
+    /// Handles an event.
+    pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
             Event::Tick => {
-                let call = self.inner.tick(now, self.watcher);
-                self.request.send(CONFIG, call, out);
-                self.tell_trust(now, out);
+                let call = self.configuration.tick(now, self.watches_store);
+                self.pending.send(CONFIG, call, outbox);
+                self.publish_trust(now, outbox);
             }
-            Event::Membership(standing) => self.watcher = standing.watches_store,
-            Event::StoreAnswer(token, answer) if self.request.accept(*token) => {
-                let (_, call) = self.inner.on_answer(now, answer);
-                self.request.send(CONFIG, call, out);
-                self.publish(now, out);
+            Event::Membership(membership) => self.watches_store = membership.watches_store,
+            Event::StoreAnswer(token, answer) if self.pending.accept(*token) => {
+                let (_, call) = self.configuration.on_answer(now, answer);
+                self.pending.send(CONFIG, call, outbox);
+                self.publish(now, outbox);
             }
-            Event::Heartbeat(beat) => {
-                if let Some(pull) = self.inner.on_heartbeat(now, beat) {
-                    out.push_action(Action::Pull(beat.sender.address.clone(), pull));
+            Event::Heartbeat(heartbeat) => {
+                if let Some(pull) = self.configuration.on_heartbeat(now, heartbeat) {
+                    outbox.push_action(Action::Pull(heartbeat.sender.address.clone(), pull));
                 }
             }
-            Event::Pull(call, pull) => out.reply(*call, Reply::Pulled(self.inner.on_pull(pull))),
+            Event::Pull(call, pull) => outbox.reply(*call, Reply::Pulled(self.configuration.on_pull(pull))),
             Event::Pulled(pulled) => {
-                self.inner.on_pulled(pulled);
-                self.publish(now, out);
+                self.configuration.on_pulled(pulled);
+                self.publish(now, outbox);
             }
             _ => {}
         }
     }
 
-    fn publish(&mut self, now: Moment, out: &mut Outbox) {
-        let view = self.inner.view().clone();
-        if view.version == self.told {
+    fn publish(&mut self, now: Moment, outbox: &mut Outbox) {
+        let view = self.configuration.view().clone();
+        if view.version == self.published_version {
             return;
         }
-        self.told = view.version;
+        self.published_version = view.version;
         for name in [MEMBER, DISPATCH, CALLS, ORDERS, USAGE] {
-            out.post(name, Event::View(view.clone()));
+            outbox.post(name, Event::View(view.clone()));
         }
-        out.push_action(Action::View(view));
-        self.tell_trust(now, out);
+        outbox.push_action(Action::View(view));
+        self.publish_trust(now, outbox);
     }
 
-    fn tell_trust(&mut self, now: Moment, out: &mut Outbox) {
-        let trusted = self.inner.trusted(now);
-        if self.trusted != Some(trusted) {
-            self.trusted = Some(trusted);
-            out.push_action(Action::KeysTrusted(trusted));
+    fn publish_trust(&mut self, now: Moment, outbox: &mut Outbox) {
+        let trusted = self.configuration.trusted(now);
+        if self.published_trust != Some(trusted) {
+            self.published_trust = Some(trusted);
+            outbox.push_action(Action::KeysTrusted(trusted));
         }
     }
 
-    /// Adds to a heartbeat.
-    pub fn compose(&mut self, now: Moment, _address: &str, beat: &mut Heartbeat) {
-        beat.version = self.inner.view().version;
-        beat.store_age_ms = self.inner.age(now).map_or(u64::MAX, |age| age.as_millis() as u64);
+    /// Adds the configuration version and the age of the store's last answer
+    /// to a heartbeat.
+    pub fn fill_heartbeat(&mut self, now: Moment, _address: &str, heartbeat: &mut Heartbeat) {
+        heartbeat.config_version = self.configuration.view().version;
+        heartbeat.store_age_ms = self
+            .configuration
+            .age(now)
+            .map_or(u64::MAX, |age| age.as_millis() as u64);
     }
 
-    /// Adds to the status.
-    pub fn describe(&self, now: Moment, status: &mut Status) {
-        status.version = self.inner.view().version;
-        status.trusted = self.inner.trusted(now);
-        status.age_ms = self.inner.age(now).map(|age| age.as_millis() as u64);
+    /// Adds version, trust and age to the status.
+    pub fn add_status(&self, now: Moment, status: &mut Status) {
+        status.version = self.configuration.view().version;
+        status.trusted = self.configuration.trusted(now);
+        status.age_ms = self.configuration.age(now).map(|age| age.as_millis() as u64);
     }
 }
--- a/crates/core/src/kernel/member.rs
+++ b/crates/core/src/kernel/member.rs
@@ -1,6 +1,9 @@
-//! Membership as a service of the kernel.
+//! Membership service of the kernel.
+//!
+//! It sends the heartbeats and passes a new [`Membership`] to the other
+//! services whenever the members change.
 
-use super::{Action, CALLS, CONFIG, DISPATCH, Event, ORDERS, Outbox, Standing, Status, USAGE, ZoneStatus};
+use super::{Action, CALLS, CONFIG, DISPATCH, Event, Membership, ORDERS, Outbox, Status, USAGE, ZoneStatus};
 use crate::config::service::WATCHERS_PER_ZONE;
 use crate::id::Incarnation;
 use crate::member::{Identity, Members};
@@ -8,71 +11,71 @@
 use crate::time::Moment;
 use crate::usage::CHUNK_REPLICAS;
 
-/// Hosts that seek each duty.
-const CANDIDATES: usize = 3;
+/// Hosts that may apply for a duty.
+const CANDIDATES_PER_DUTY: usize = 3;
 
-/// Members, and what they mean for the other services.
+/// Members of the deployment.
 #[derive(Debug)]
 pub struct Service {
     members: Members,
-    me: Incarnation,
-    digest: u64,
+    incarnation: Incarnation,
+    published_digest: u64,
 }
 
 impl Service {
-    /// Knows itself and some addresses.
-    pub fn new(me: &Identity, seeds: Vec<String>) -> Self {
+    /// Creates the service, with the addresses of peers to contact first.
+    pub fn new(identity: &Identity, seeds: Vec<String>) -> Self {
         Self {
-            members: Members::new(me, seeds),
-            me: me.incarnation,
-            digest: 0,
+            members: Members::new(identity, seeds),
+            incarnation: identity.incarnation,
+            published_digest: 0,
         }
     }
 
-    /// Takes an event in.
-    pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
+    /// Handles an event.
+    pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
-            Event::Tick => self.beat(now, out),
-            Event::Heartbeat(beat) => self.members.on_heartbeat(now, beat),
+            Event::Tick => self.send_heartbeats(now, outbox),
+            Event::Heartbeat(heartbeat) => self.members.on_heartbeat(now, heartbeat),
             Event::View(view) => self.members.set_config_version(view.version),
-            Event::ZoneSummaries(own) => {
-                if let Some(summary) = own.first() {
+            Event::ZoneSummaries(summaries) => {
+                if let Some(summary) = summaries.first() {
                     self.members.set_demands(summary.demands.clone());
                 }
             }
             Event::Drained => self.members.announce_leave(),
             _ => {}
         }
-        self.publish(out);
+        self.publish(outbox);
     }
 
-    fn beat(&mut self, now: Moment, out: &mut Outbox) {
-        let due = self.members.heartbeat_targets(now);
-        if due.is_empty() {
+    fn send_heartbeats(&mut self, now: Moment, outbox: &mut Outbox) {
+        let addresses = self.members.heartbeat_targets(now);
+        if addresses.is_empty() {
             return;
         }
-        for address in due {
-            out.push_action(Action::Heartbeat(address, Box::default()));
+        for address in addresses {
+            outbox.push_action(Action::Heartbeat(address, Box::default()));
         }
-        let beating = Event::HeartbeatRound {
-            mates: self.members.zone_peers().count(),
-            peers: self.members.live_peers().count(),
-            index: self.members.member_index(),
+        let round = Event::HeartbeatRound {
+            zone_peers: self.members.zone_peers().count(),
+            all_peers: self.members.live_peers().count(),
+            own_index: self.members.member_index(),
         };
-        out.post(DISPATCH, beating);
-        out.post(ORDERS, Event::ZoneSummaries(self.members.summaries().to_vec()));
+        outbox.post(DISPATCH, round);
+        outbox.post(ORDERS, Event::ZoneSummaries(self.members.summaries().to_vec()));
     }
 
-    fn publish(&mut self, out: &mut Outbox) {
-        if self.digest == self.members.digest() {
+    fn publish(&mut self, outbox: &mut Outbox) {
+        if self.published_digest == self.members.digest() {
             return;
         }
-        self.digest = self.members.digest();
-        let standing = Standing {
+        self.published_digest = self.members.digest();
+        let membership = Membership {
             watches_store: self.members.zone_rank(CONFIG) < WATCHERS_PER_ZONE,
-            orders_candidate: self.members.is_leading_delegate(ORDERS, CANDIDATES),
-            usage_candidate: self.members.is_leading_delegate(USAGE, CANDIDATES),
-            usage_replicas: self.members.zone_owners(self.me.0, CHUNK_REPLICAS),
+            orders_candidate: self.members.is_leading_delegate(ORDERS, CANDIDATES_PER_DUTY),
+            usage_candidate: self.members.is_leading_delegate(USAGE, CANDIDATES_PER_DUTY),
+            usage_replicas: self.members.zone_owners(self.incarnation.0, CHUNK_REPLICAS),
             zone_peers: self
                 .members
                 .zone_peers()
@@ -86,23 +89,24 @@
                 .collect(),
         };
         for name in [CALLS, CONFIG, ORDERS, USAGE] {
-            out.post(name, Event::Membership(standing.clone()));
+            outbox.post(name, Event::Membership(membership.clone()));
         }
-        out.push_action(Action::Members(self.members.all_members()));
+        outbox.push_action(Action::Members(self.members.all_members()));
     }
 
-    /// Fills in what a heartbeat left out.
-    pub fn complete(&self, beat: &mut Heartbeat) -> bool {
-        self.members.restore_sender(beat)
+    /// Restores the texts that a heartbeat left out; false if its sender is
+    /// unknown.
+    pub fn restore_sender(&self, heartbeat: &mut Heartbeat) -> bool {
+        self.members.restore_sender(heartbeat)
     }
 
-    /// Adds to a heartbeat.
-    pub fn compose(&mut self, now: Moment, address: &str, beat: &mut Heartbeat) {
-        self.members.fill_heartbeat(now, address, beat);
+    /// Adds the membership fields to a heartbeat.
+    pub fn fill_heartbeat(&mut self, now: Moment, address: &str, heartbeat: &mut Heartbeat) {
+        self.members.fill_heartbeat(now, address, heartbeat);
     }
 
-    /// Adds to the status.
-    pub fn describe(&self, now: Moment, status: &mut Status) {
+    /// Adds hosts and zones to the status.
+    pub fn add_status(&self, now: Moment, status: &mut Status) {
         status.hosts = self.members.live_peers().count() + 1;
         status.zones = self
             .members
@@ -110,7 +114,7 @@
             .iter()
             .map(|summary| ZoneStatus {
                 zone: summary.zone.clone(),
-                version: summary.version,
+                version: summary.config_version,
                 hosts: summary.hosts,
                 age_ms: now.wall_ms.saturating_sub(summary.timestamp_ms),
             })
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -1,9 +1,13 @@
-//! Usage as a service of the kernel.
+//! Usage service of the kernel.
+//!
+//! It counts the usage of this process, exchanges copies of it with peers, and
+//! collects and reports the usage of all zones while this process holds the
+//! reporting duty.
 
 use std::time::Duration;
 
 use super::pending::Pending;
-use super::{Action, Event, Outbox, Reply, Standing, Status, USAGE};
+use super::{Action, Event, Membership, Outbox, Reply, Status, USAGE};
 use crate::config::Settings;
 use crate::id::{CallId, Incarnation};
 use crate::lease::Lease;
@@ -14,72 +18,75 @@
 use crate::usage::gather::Collection;
 use crate::usage::report::{Effect, Reporter};
 
-/// Wait for the first delegates before the second ones are asked.
-const SECOND: Duration = Duration::from_millis(1_800);
+/// Time that the first delegate of a zone has to answer before the second one
+/// is asked.
+const SECOND_DELEGATE_DELAY: Duration = Duration::from_millis(1_800);
 
-/// Meter, lease and reporter.
+/// Meter of this process, lease of the reporting duty, and reporter.
 #[derive(Debug)]
 pub struct Service {
     meter: Meter,
     lease: Lease,
     reporter: Reporter,
-    standing: Standing,
-    length: Duration,
+    membership: Membership,
+    window_length: Duration,
     grace: Duration,
-    lease_request: Pending,
-    report_request: Pending,
-    gathers: Vec<Collection>,
+    pending_lease: Pending,
+    pending_report: Pending,
+    collections: Vec<Collection>,
     zone: String,
-    answered: Vec<String>,
-    second: Option<(Moment, Collect)>,
+    answered_zones: Vec<String>,
+    second_round: Option<(Moment, Collect)>,
 }
 
 impl Service {
-    /// Nothing counted, not in charge.
-    pub fn new(me: Incarnation, zone: &str, now: Moment) -> Self {
+    /// Creates the service with nothing counted and without the duty.
+    pub fn new(incarnation: Incarnation, zone: &str, now: Moment) -> Self {
         let settings = Settings::default();
         Self {
-            meter: Meter::new(me, now, settings.usage_window),
-            lease: Lease::new(me, USAGE),
+            meter: Meter::new(incarnation, now, settings.usage_window),
+            lease: Lease::new(incarnation, USAGE),
             reporter: Reporter::default(),
-            standing: Standing::default(),
-            length: settings.usage_window,
+            membership: Membership::default(),
+            window_length: settings.usage_window,
             grace: settings.usage_grace,
-            lease_request: Pending::default(),
-            report_request: Pending::default(),
-            gathers: Vec::new(),
+            pending_lease: Pending::default(),
+            pending_report: Pending::default(),
+            collections: Vec::new(),
             zone: zone.to_string(),
-            answered: Vec::new(),
-            second: None,
+            answered_zones: Vec::new(),
+            second_round: None,
         }
     }
 
-    /// Takes an event in.
-    pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Outbox) {
+    /// Handles an event.
+    pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
-            Event::Tick => self.tick(now, out),
+            Event::Tick => self.tick(now, outbox),
             Event::RecordUsage(item) => self.meter.record(now, item),
-            Event::Heartbeat(beat) => self.hear(beat),
-            Event::Collect(call, ask) if ask.zone => self.gather(now, Some(*call), ask, out),
-            Event::Collect(call, ask) => {
-                let answer = self.sum_up(now, ask);
-                out.reply(*call, Reply::Collected(answer));
+            Event::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat),
+            Event::Collect(call, request) if request.whole_zone => {
+                self.start_collection(now, Some(*call), request, outbox)
             }
-            Event::Collected(answer) => self.collected(answer),
-            Event::StoreAnswer(token, answer) => self.stored(now, *token, answer, out),
+            Event::Collect(call, request) => {
+                let answer = self.collect_own(now, request);
+                outbox.reply(*call, Reply::Collected(answer));
+            }
+            Event::Collected(answer) => self.on_collected(answer),
+            Event::StoreAnswer(token, answer) => self.on_store_answer(now, *token, answer, outbox),
             Event::ReportAnswer(accepted) => {
                 let call = self.reporter.on_reported(now, *accepted);
-                self.report_request.send(USAGE, call, out);
+                self.pending_report.send(USAGE, call, outbox);
             }
-            Event::Membership(standing) => {
-                self.standing = standing.clone();
+            Event::Membership(membership) => {
+                self.membership = membership.clone();
                 self.meter
-                    .retain_replicas(|keeper| standing.live_peers.iter().any(|(live, _)| *live == keeper));
+                    .retain_replicas(|keeper| membership.live_peers.iter().any(|(live, _)| *live == keeper));
             }
             Event::View(view) => {
-                self.length = view.document.settings.usage_window;
+                self.window_length = view.document.settings.usage_window;
                 self.grace = view.document.settings.usage_grace;
-                self.meter.set_length(self.length);
+                self.meter.set_length(self.window_length);
             }
             Event::Stop => self.lease.release(now),
             Event::Drained => self.meter.flush(now),
@@ -87,134 +94,153 @@
         }
     }
 
-    fn tick(&mut self, now: Moment, out: &mut Outbox) {
+    fn tick(&mut self, now: Moment, outbox: &mut Outbox) {
         self.meter.tick(now);
-        self.finish_gathers(now, out);
-        self.ask_seconds(now, out);
-        let call = self.lease.tick(now, self.standing.usage_candidate);
-        self.lease_request.send(USAGE, call, out);
+        self.finish_collections(now, outbox);
+        self.ask_second_delegates(now, outbox);
+        let call = self.lease.tick(now, self.membership.usage_candidate);
+        self.pending_lease.send(USAGE, call, outbox);
         let grant = self.lease.grant(now);
-        match self.reporter.tick(now, grant, self.length, self.grace) {
-            Some(Effect::Store(call)) => self.report_request.send(USAGE, Some(call), out),
-            Some(Effect::Collect(ask)) => self.collect(now, ask, out),
-            Some(Effect::Report(grant, seal)) => out.push_action(Action::Report(grant, seal)),
+        match self.reporter.tick(now, grant, self.window_length, self.grace) {
+            Some(Effect::Store(call)) => self.pending_report.send(USAGE, Some(call), outbox),
+            Some(Effect::Collect(request)) => self.collect(now, request, outbox),
+            Some(Effect::Report(grant, seal)) => outbox.push_action(Action::Report(grant, seal)),
             None => {}
         }
     }
 
-    /// Asks one delegate a zone; the second one later, as the first may be
-    /// frozen or gone, and answers for the own zone as its delegates do.
-    fn collect(&mut self, now: Moment, ask: Collect, out: &mut Outbox) {
-        let firsts = self
-            .standing
+    /// Requests usage from the first delegate of each zone, and collects that
+    /// of the own zone as a delegate would. The second delegate is asked after
+    /// [`SECOND_DELEGATE_DELAY`], because the first may be suspended or gone.
+    fn collect(&mut self, now: Moment, request: Collect, outbox: &mut Outbox) {
+        let first_delegates = self
+            .membership
             .delegates
             .iter()
             .filter_map(|(_, addresses)| addresses.first());
-        for address in firsts {
-            out.push_action(Action::Collect(address.clone(), ask.clone()));
+        for address in first_delegates {
+            outbox.push_action(Action::Collect(address.clone(), request.clone()));
         }
-        self.answered.clear();
-        self.gather(now, None, &ask, out);
-        self.second = Some((now + SECOND, ask));
+        self.answered_zones.clear();
+        self.start_collection(now, None, &request, outbox);
+        self.second_round = Some((now + SECOND_DELEGATE_DELAY, request));
     }
 
-    fn ask_seconds(&mut self, now: Moment, out: &mut Outbox) {
-        let Some((_, ask)) = self.second.take_if(|(due, _)| now.reached(*due)) else {
+    fn ask_second_delegates(&mut self, now: Moment, outbox: &mut Outbox) {
+        let Some((_, request)) = self.second_round.take_if(|(due, _)| now.reached(*due)) else {
             return;
         };
-        let silent = self
-            .standing
+        let unanswered = self
+            .membership
             .delegates
             .iter()
-            .filter(|(zone, _)| !self.answered.contains(zone));
-        for address in silent.filter_map(|(_, addresses)| addresses.get(1)) {
-            out.push_action(Action::Collect(address.clone(), ask.clone()));
+            .filter(|(zone, _)| !self.answered_zones.contains(zone));
+        for address in unanswered.filter_map(|(_, addresses)| addresses.get(1)) {
+            outbox.push_action(Action::Collect(address.clone(), request.clone()));
         }
     }
 
-    fn gather(&mut self, now: Moment, call: Option<CallId>, ask: &Collect, out: &mut Outbox) {
-        let ask = Collect {
-            zone: false,
-            ..ask.clone()
+    fn start_collection(
+        &mut self,
+        now: Moment,
+        call: Option<CallId>,
+        request: &Collect,
+        outbox: &mut Outbox,
+    ) {
+        let request = Collect {
+            whole_zone: false,
+            ..request.clone()
         };
-        let own = self.sum_up(now, &ask);
-        self.gathers.push(Collection::new(now, call, own));
-        for address in &self.standing.zone_peers {
-            out.push_action(Action::Collect(address.clone(), ask.clone()));
+        let own = self.collect_own(now, &request);
+        self.collections.push(Collection::new(now, call, own));
+        for address in &self.membership.zone_peers {
+            outbox.push_action(Action::Collect(address.clone(), request.clone()));
         }
     }
 
-    fn sum_up(&mut self, now: Moment, ask: &Collect) -> Collected {
-        let live = &self.standing.live_peers;
-        self.meter
-            .collect(now, ask, |source| live.iter().any(|(have, _)| *have == source))
+    fn collect_own(&mut self, now: Moment, request: &Collect) -> Collected {
+        let live = &self.membership.live_peers;
+        self.meter.collect(now, request, |source| {
+            live.iter().any(|(peer, _)| *peer == source)
+        })
     }
 
-    fn collected(&mut self, answer: &Collected) {
+    fn on_collected(&mut self, answer: &Collected) {
         match &answer.zone_usage {
-            Some(bundle) => {
-                self.answered.push(bundle.zone.clone());
-                self.reporter.on_collected(bundle);
+            Some(zone_usage) => {
+                self.answered_zones.push(zone_usage.zone.clone());
+                self.reporter.on_collected(zone_usage);
             }
-            // Whichever collection a mate answers, a sum says what is in it.
+            // The answer names the chunks that it covers, so it can be added
+            // to every open collection, whichever one it was sent for.
             None => self
-                .gathers
+                .collections
                 .iter_mut()
-                .for_each(|gather| gather.add_answer(answer.clone())),
+                .for_each(|collection| collection.add_answer(answer.clone())),
         }
     }
 
-    fn finish_gathers(&mut self, now: Moment, out: &mut Outbox) {
-        while self.gathers.first().is_some_and(|gather| gather.is_due(now)) {
-            let gather = self.gathers.remove(0);
-            let call = gather.call;
-            let bundle = gather.into_bundle(&self.zone);
+    fn finish_collections(&mut self, now: Moment, outbox: &mut Outbox) {
+        while self
+            .collections
+            .first()
+            .is_some_and(|collection| collection.is_due(now))
+        {
+            let collection = self.collections.remove(0);
+            let call = collection.call;
+            let zone_usage = collection.into_bundle(&self.zone);
             match call {
-                None => self.reporter.on_collected(&bundle),
+                None => self.reporter.on_collected(&zone_usage),
                 Some(call) => {
                     let answer = Collected {
                         sources: Vec::new(),
-                        zone_usage: Some(bundle),
+                        zone_usage: Some(zone_usage),
                     };
-                    out.reply(call, Reply::Collected(answer));
+                    outbox.reply(call, Reply::Collected(answer));
                 }
             }
         }
     }
 
-    fn stored(&mut self, now: Moment, token: Token, answer: &Answer, out: &mut Outbox) {
-        if self.lease_request.accept(token) {
+    fn on_store_answer(&mut self, now: Moment, token: Token, answer: &Answer, outbox: &mut Outbox) {
+        if self.pending_lease.accept(token) {
             let call = self.lease.on_answer(now, answer);
-            self.lease_request.send(USAGE, call, out);
-        } else if self.report_request.accept(token) {
+            self.pending_lease.send(USAGE, call, outbox);
+        } else if self.pending_report.accept(token) {
             let call = self.reporter.on_answer(now, answer);
-            self.report_request.send(USAGE, call, out);
+            self.pending_report.send(USAGE, call, outbox);
         }
     }
 
-    fn hear(&mut self, beat: &Heartbeat) {
-        for chunk in &beat.usage_chunks {
+    fn on_heartbeat(&mut self, heartbeat: &Heartbeat) {
+        for chunk in &heartbeat.usage_chunks {
             self.meter.insert(chunk.clone());
         }
-        if beat.acked_chunk > 0 {
+        if heartbeat.acked_chunk > 0 {
             self.meter
-                .acknowledge(Incarnation(beat.sender.incarnation), beat.acked_chunk);
+                .acknowledge(Incarnation(heartbeat.sender.incarnation), heartbeat.acked_chunk);
         }
     }
 
-    /// Adds to a heartbeat.
-    pub fn compose(&mut self, _now: Moment, address: &str, beat: &mut Heartbeat) {
-        let Some((peer, _)) = self.standing.live_peers.iter().find(|(_, have)| have == address) else {
+    /// Acknowledges the receiver's chunks that are stored here, and adds the
+    /// chunks that the receiver is to store.
+    pub fn fill_heartbeat(&mut self, _now: Moment, address: &str, heartbeat: &mut Heartbeat) {
+        let Some((peer, _)) = self
+            .membership
+            .live_peers
+            .iter()
+            .find(|(_, known)| known == address)
+        else {
             return;
         };
-        beat.acked_chunk = self.meter.contiguous_until(*peer);
-        if self.standing.usage_replicas.contains(peer) {
-            beat.usage_chunks = self.meter.unacknowledged(*peer);
+        heartbeat.acked_chunk = self.meter.contiguous_until(*peer);
+        if self.membership.usage_replicas.contains(peer) {
+            heartbeat.usage_chunks = self.meter.unacknowledged(*peer);
         }
     }
 
-    /// Adds to the status.
-    pub fn describe(&self, now: Moment, status: &mut Status) {
+    /// Adds the chunk count, and the duty if it is held, to the status.
+    pub fn add_status(&self, now: Moment, status: &mut Status) {
         status.chunks = self.meter.chunk_count();
         if let Some(grant) = self.lease.grant(now) {
             status.duties.push((USAGE.into(), grant.fence));
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -197,7 +197,7 @@
         Some(Effect::Collect(Collect {
             cursors: self.cursors(),
             window,
-            zone: true,
+            whole_zone: true,
         }))
     }
 
@@ -393,7 +393,7 @@
     let source = crate::id::Incarnation(span.source);
     let mark = Checkpoint {
         source,
-        number: span.number,
+        number: span.last_chunk,
         moved: window,
     };
     match marks.binary_search_by(|have| have.source.cmp(&source)) {
