--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -1,8 +1,8 @@
-//! Decisions of the opaque front: requests that are passed on byte by byte.
+//! Decisions of the opaque proxy, which forwards requests without interpreting their bodies.
 //!
-//! A [`State`] holds what one entry host believes: the operator's document,
-//! the runners, how old its proof of both is, and what it may still spend on
-//! repeats. The shell asks it under a lock, for microseconds at a time.
+//! A [`State`] holds what one entry host needs to route requests: the operator's document, the
+//! list of runners, the age of both, and the retry budgets. It does no I/O. The I/O layer calls
+//! it while holding a lock, for microseconds at a time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -47,152 +47,151 @@
 use usage::{Counter, Ledger};
 
 plain! {
-    /// Bounds that the operator promises to callers and that hold for all hosts.
+    /// Service guarantees that the operator gives to callers; the same on all hosts.
     #[derive(serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct Bounds {
-        /// Milliseconds after which a withdrawn key must not run anything.
+        /// Milliseconds after which a withdrawn key must not start any request.
         pub revocation_ms: u64,
-        /// Milliseconds after which a change of the document must be in force.
+        /// Milliseconds after which a change to the document must be in force.
         #[serde(default = "default_configuration_ms")]
         pub configuration_ms: u64,
-        /// Repeats allowed for each request of a service.
+        /// Retries allowed for each request to a service.
         pub repeat_ratio: f64,
-        /// Repeats allowed besides, for all hosts together.
+        /// Retries allowed in addition, for all hosts together.
         pub repeat_slack: f64,
-        /// Seconds over which repeats are counted.
+        /// Length of the window over which retries are counted, in seconds.
         pub repeat_window_s: u64,
-        /// Milliseconds for which a duty's lease carries.
+        /// Time to live of a duty's lease, in milliseconds.
         pub lease_ms: u64,
-        /// Seconds of a usage window.
+        /// Length of a usage window, in seconds.
         pub usage_window_s: u64,
-        /// Seconds after a window's end by which its report must be there.
+        /// Seconds after the end of a window by which its report is due.
         pub usage_due_s: u64,
-        /// Seconds between the request to stop and the kill.
+        /// Seconds between the signal to stop and the kill.
         pub grace_s: u64,
     }
 }
 
-/// The shorter of the usual bounds.
+/// Default for [`Bounds::configuration_ms`], the shorter of the two values in use.
 fn default_configuration_ms() -> u64 {
     2_000
 }
 
-/// Part of the revocation bound for which a proof of freshness carries. The
-/// rest covers the call's way to the runner and a pause of this process
-/// between the check and the write.
-const PROOF_PART: f64 = 0.6;
-/// Age of the proof up to which "unknown key" and "no such path" may be said:
-/// past it a newer document may know them.
-const NEWEST: Duration = Duration::from_millis(1_700);
-
-/// Time without an answer of the store to this host past which it hands its callers
-/// over: two questions of [`STORE_PROBE_INTERVAL`] in a row and the wait for their answers.
-const STORE_SILENT: Duration = Duration::from_millis(2_500);
-/// Time after which a host that learns from its peers asks whether the store still
-/// answers it.
+/// Share of the revocation bound for which a confirmed document may be used. The rest covers the
+/// time on the network to the runner and a pause of this process between the check and the write.
+const MAX_AGE_RATIO: f64 = 0.6;
+/// Maximum age at which the document may reject an unknown key or path; a newer document may
+/// contain it.
+const MAX_REJECTION_AGE: Duration = Duration::from_millis(1_700);
+
+/// Time without an answer from the store after which this host hands off its callers: two probes
+/// in a row, one [`STORE_PROBE_INTERVAL`] each, and the wait for their answers.
+const STORE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time without an answer from the store after which a host that gets its updates from peers
+/// probes the store itself.
 pub const STORE_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Tokens from which a subject's place is told to the other hosts: telling takes 16 bytes a
-/// request and host.
-const TOLD: u64 = 100;
-/// Most places told at once.
-const HOLDERS: usize = 256;
+/// Minimum length of a prefix that is announced to the other hosts, in tokens; an announcement
+/// costs 16 bytes per request and host.
+const MIN_ANNOUNCED_TOKENS: u64 = 100;
+/// Maximum number of prefixes in one packet.
+const MAX_ANNOUNCED: usize = 256;
 
-/// Multiple of the usual time past which a runner counts as a straggler.
-const STRAGGLER: f64 = 1.6;
+/// Ratio to the usual slowdown from which a runner counts as a straggler.
+const STRAGGLER_RATIO: f64 = 1.6;
 
-/// Least urgent rank: engines know ten.
+/// Least urgent rank; engines have ten of them.
 pub const LAST_RANK: u8 = 9;
 
 impl Bounds {
-    /// How old the proof of a document may be once a newer one is known to stand. The newer
-    /// one was acknowledged after the proof, so this keeps the bound without a margin.
+    /// Maximum age of a document after a newer one is known to exist. The newer one was
+    /// acknowledged after the last confirmation, so the bound holds without a margin.
     pub fn max_superseded_age(&self) -> Duration {
         Duration::from_millis(self.configuration_ms)
     }
 
-    /// How old the proof may be when a keyed request is passed on.
+    /// Maximum age of the document when a request with a key is forwarded.
     pub fn max_age(&self) -> Duration {
-        Duration::from_millis((self.revocation_ms as f64 * PROOF_PART) as u64)
+        Duration::from_millis((self.revocation_ms as f64 * MAX_AGE_RATIO) as u64)
     }
 }
 
 plain! {
-    /// What a request's head says, in the product's words.
+    /// Fields of a request's head that decide its route, service and customer.
     pub struct RequestHead<'a> {
-        /// Name in the `Host` header.
+        /// Value of the `Host` header.
         pub host: &'a str,
-        /// Path without query.
+        /// Path without the query.
         pub path: &'a str,
-        /// Key, if one came.
+        /// API key, if the request has one.
         pub key: Option<&'a str>,
-        /// Draw that decides among weighted services.
+        /// Random number that selects among weighted services.
         pub draw: u64,
     }
 }
 
 plain! {
-    /// A request that may be passed on.
+    /// A request that may be forwarded.
     pub struct Admission {
-        /// Its route.
+        /// Route of the request.
         pub route: Arc<Route>,
-        /// Service that is to run it.
+        /// Service that runs it.
         pub service: String,
-        /// Whose it is; none on routes that need no key.
+        /// Customer that sent it; `None` on routes that need no key.
         pub customer: Option<String>,
-        /// Urgency, 0 first, up to [`LAST_RANK`].
+        /// Urgency from 0, the most urgent, to [`LAST_RANK`].
         pub rank: u8,
-        /// Whether its runner copies from others what it has not read of the prompt.
+        /// Whether the engine can copy cached prefixes from another runner.
         pub copies_prefix: bool,
-        /// Whether it needs a fresh proof when it is passed on.
+        /// Whether the document must be fresh when the request is forwarded.
         pub keyed: bool,
-        /// Version of the document that admitted it.
+        /// Version of the document that admitted the request.
         pub version: u64,
-        /// The store's revision of that document.
+        /// Store revision of that document.
         pub revision: u64,
     }
 }
 
-/// What one host believes and remembers.
+/// Routing state of one host.
 #[derive(Debug)]
 pub struct State {
-    /// Bounds in force.
+    /// Service guarantees in force.
     pub bounds: Bounds,
-    /// The operator's document; none before the first read.
+    /// Routing table built from the operator's document; `None` before the first read.
     pub table: Option<Arc<Table>>,
-    /// When the document was known to be the newest.
+    /// When the document was last confirmed to be the newest.
     pub freshness: Freshness,
-    /// Whether a newer one stands that this host has yet to read.
+    /// Whether a newer document is known to exist but has not been read yet.
     pub is_behind: bool,
-    /// When the store last answered this host itself.
+    /// When the store last answered this host directly.
     pub store_contact: Freshness,
-    /// Runners.
+    /// All runners.
     pub fleet: Fleet,
-    /// Where prompts were read.
+    /// Runners that have each prompt prefix cached.
     pub prefixes: Index,
-    /// What other hosts have on runners.
+    /// Load that other hosts put on runners.
     pub peers: Peers,
-    /// How fast runners are.
+    /// Latency model of each service.
     pub latencies: Services<Latency>,
-    /// How the runners of each service are divided.
+    /// Division of each service's runners between long and short prompts.
     partitions: Services<Partition>,
-    /// What this host sends.
+    /// Rate of prefill work that this host sends to each service.
     pub meter: Meter,
-    /// Where long beginnings went since the last packet.
-    holders: Vec<CachedPrefix>,
-    /// Repeats that are left.
+    /// Prefixes placed since the last packet.
+    announcements: Vec<CachedPrefix>,
+    /// Retry budgets of the services.
     pub budgets: Budgets,
-    /// Usage of this host.
+    /// Requests counted by this host.
     pub usage: Counter,
-    /// Usage of all hosts, as told.
+    /// Requests counted by all hosts.
     pub ledger: Ledger,
-    /// Hosts that are alive, this one included.
+    /// Number of live hosts, including this one.
     pub hosts: u32,
 }
 
 impl State {
-    /// A host that has just started and knows nothing.
+    /// State of a host that has just started.
     pub fn new(bounds: Bounds, zone: &str) -> Self {
         Self {
             bounds,
@@ -206,7 +205,7 @@
             latencies: Services::default(),
             partitions: Services::default(),
             meter: Meter::default(),
-            holders: Vec::new(),
+            announcements: Vec::new(),
             budgets: Budgets::default(),
             usage: Counter::default(),
             ledger: Ledger::default(),
@@ -214,10 +213,10 @@
         }
     }
 
-    /// Puts a document in force unless a newer one is; true if it was.
+    /// Replaces the routing table unless the current one is as new; returns whether it did.
     ///
-    /// Reads can overtake each other. Without this look a slow answer would
-    /// bring an older document back, and routes and keys with it.
+    /// Reads may complete out of order. Without this check, a slow answer would bring back an
+    /// older document with its routes and keys.
     pub fn configure(&mut self, table: Table) -> bool {
         if self
             .table
@@ -230,40 +229,39 @@
         true
     }
 
-    /// Whether callers should come here.
+    /// Whether load balancers should send callers to this host.
     pub fn is_ready(&self, now: Moment) -> bool {
         self.table.is_some() && self.fleet.is_listed() && self.is_fresh(now) && self.reaches_store(now)
     }
 
-    /// Whether callers that are here had better go to another host.
+    /// Whether this host should ask its callers to go to another host.
     ///
-    /// A host that the store does not answer serves on by its peers' proof. If it
-    /// loses them as well, it must refuse everybody at once; so it sends its callers
-    /// elsewhere while it can still serve them, and refuses nobody meanwhile. Where
-    /// the store answers no host at all, the peers' proof is old as well, and nobody
-    /// is sent about.
+    /// A host that gets no answer from the store can still serve requests, because its peers
+    /// confirm the document. If it loses them too, it has to refuse every caller at once. It
+    /// therefore sends callers elsewhere while it can still serve them. If the store answers no
+    /// host at all, the peers cannot confirm the document either, and no caller is sent
+    /// elsewhere.
     pub fn should_hand_off(&self, now: Moment) -> bool {
         self.is_fresh(now) && !self.reaches_store(now)
     }
 
     fn reaches_store(&self, now: Moment) -> bool {
-        self.store_contact.is_within(now, STORE_SILENT)
+        self.store_contact.is_within(now, STORE_TIMEOUT)
     }
 
-    /// Whether keyed requests may be passed on.
+    /// Whether requests with a key may be forwarded.
     ///
-    /// A host that is cut off cannot hear that a key was withdrawn, and would
-    /// serve it for ever. It stops when its last proof is too old, whatever the
-    /// reason.
+    /// A host that is cut off never learns that a key was withdrawn, and would accept it forever.
+    /// It stops as soon as its document has not been confirmed for too long, whatever the reason.
     pub fn is_fresh(&self, now: Moment) -> bool {
         self.freshness.is_within(now, self.bounds.max_age())
     }
 
-    /// Refuses while a newer document has not come in time.
+    /// Refuses requests if a newer document is known but has not been read in time.
     ///
-    /// Requests that need no key need no proof, as they are served while the store is
-    /// away. A host that knows of a change, and does not know the change, would send them
-    /// where they no longer go.
+    /// Requests without a key need no fresh document, since they are served during a store
+    /// outage. But a host that knows of a change without knowing its content might send them to a
+    /// service that the change removes.
     fn refuse_superseded(&self, now: Moment) -> Result<(), Refusal> {
         match self.is_behind && !self.freshness.is_within(now, self.bounds.max_superseded_age()) {
             true => Err(Refusal::new(Kind::Stale).detail("a newer configuration has yet to come")),
@@ -271,30 +269,30 @@
         }
     }
 
-    /// Finds route, service and customer of a request.
+    /// Finds the route, service and customer of a request.
     ///
     /// # Errors
     ///
-    /// The refusal that the caller gets.
-    pub fn admit(&self, now: Moment, ask: &RequestHead<'_>) -> Result<Admission, Refusal> {
+    /// The refusal to return to the caller.
+    pub fn admit(&self, now: Moment, head: &RequestHead<'_>) -> Result<Admission, Refusal> {
         let Some(table) = &self.table else {
             return Err(Refusal::new(Kind::Stale).detail("no configuration is known yet"));
         };
         self.refuse_superseded(now)?;
-        let newest = self.freshness.is_within(now, NEWEST);
-        let unless_newest = |kind| Refusal::new(if newest { kind } else { Kind::Stale });
-        let Some(route) = table.find(ask.host, ask.path) else {
-            return Err(unless_newest(Kind::NotFound));
+        let is_current = self.freshness.is_within(now, MAX_REJECTION_AGE);
+        let reject = |kind| Refusal::new(if is_current { kind } else { Kind::Stale });
+        let Some(route) = table.find(head.host, head.path) else {
+            return Err(reject(Kind::NotFound));
         };
         let customer = match table.requires_key(route) {
             false => None,
             true => {
-                let key = ask.key.ok_or_else(|| Refusal::new(Kind::MissingKey))?;
+                let key = head.key.ok_or_else(|| Refusal::new(Kind::MissingKey))?;
                 let found = table.customer(key);
-                Some(found.ok_or_else(|| unless_newest(Kind::UnknownKey))?)
+                Some(found.ok_or_else(|| reject(Kind::UnknownKey))?)
             }
         };
-        let service = route.pick_service(ask.draw);
+        let service = route.pick_service(head.draw);
         let engine = table.service(service).and_then(|service| service.engine);
         Ok(Admission {
             service: service.to_string(),
@@ -308,17 +306,22 @@
         })
     }
 
-    /// Whether an admitted request may still be passed on; asked right before
-    /// the write to the runner.
+    /// Checks whether an admitted request may still be forwarded; called right before the write
+    /// to the runner.
     ///
-    /// A newer document may have come since the admission, after a cut even one
-    /// that is seconds newer. Its proof would cover an admission by a withdrawn
-    /// key, so the admission is made again by the newer document.
+    /// A newer document may have arrived since the admission, after a network cut even one that
+    /// is seconds newer. Its freshness would also cover a request that was admitted by a key
+    /// withdrawn since, so the request is admitted again against the newer document.
     ///
     /// # Errors
     ///
-    /// The refusal that the caller gets.
-    pub fn may_send(&self, now: Moment, admission: &Admission, ask: &RequestHead<'_>) -> Result<(), Refusal> {
+    /// The refusal to return to the caller.
+    pub fn may_send(
+        &self,
+        now: Moment,
+        admission: &Admission,
+        head: &RequestHead<'_>,
+    ) -> Result<(), Refusal> {
         if admission.keyed && !self.is_fresh(now) {
             return Err(Refusal::new(Kind::Stale));
         }
@@ -327,7 +330,7 @@
         if current == Some(admission.revision) {
             return Ok(());
         }
-        let again = self.admit(now, ask)?;
+        let again = self.admit(now, head)?;
         let still = again.customer == admission.customer
             && again.route.name == admission.route.name
             && again.route.uses(&admission.service);
@@ -337,27 +340,27 @@
         }
     }
 
-    /// Takes the whole list of runners, as read by a question that left at `sent`; the
-    /// addresses at which another process now listens.
+    /// Replaces the list of runners with the answer to a read that was sent at `sent`. Returns
+    /// the addresses at which another process now listens.
     pub fn update_runners(&mut self, now: Moment, sent: Moment, items: Vec<Listed>) -> Vec<SocketAddr> {
-        let void = self.fleet.update(sent, items);
-        self.divide(now);
-        void
+        let replaced = self.fleet.update(sent, items);
+        self.repartition(now);
+        replaced
     }
 
-    /// Divides the runners of each service with engines between long and short prompts.
-    fn divide(&mut self, now: Moment) {
+    /// Divides the runners of each engine service between long and short prompts.
+    fn repartition(&mut self, now: Moment) {
         let Some(table) = self.table.clone() else {
             return;
         };
         let engines = table.services().iter().filter(|service| service.engine.is_some());
         for service in engines {
             let flow = self.flow(now, &service.name);
-            let allowed = partition::allowed_pause(&table, &service.name);
+            let allowed_gap = partition::allowed_pause(&table, &service.name);
             let partition = self.partitions.get_or_default(&service.name);
             partition.update(
                 self.latencies.get_or_default(&service.name),
-                allowed,
+                allowed_gap,
                 flow.long,
                 flow.rate,
             );
@@ -365,7 +368,7 @@
         }
     }
 
-    /// How the runners of a service are divided.
+    /// Division of a service's runners between long and short prompts.
     pub fn partition(&self, service: &str) -> Partition {
         self.partitions.get(service).copied().unwrap_or_default()
     }
@@ -385,16 +388,17 @@
             .add(now, &demand.service, choice.prefill_us, choice.is_long);
         for (id, tokens) in demand.shared_prefixes() {
             self.prefixes.note(now, id, choice.key);
-            if tokens >= TOLD {
-                self.tell(id, choice.key);
+            if tokens >= MIN_ANNOUNCED_TOKENS {
+                self.announce(id, choice.key);
             }
         }
         Some(choice)
     }
 
-    /// A request's first event came `took` after it was sent.
+    /// Records that a request's first event came `took` after it was sent.
     ///
-    /// A straggler tells nothing of the others, so it does not slow the common latency down.
+    /// Samples of a straggler are left out of the service's latency model, as they say nothing
+    /// about the other runners.
     pub fn record_first_event(&mut self, key: Key, conditions: &Conditions, took: Duration) {
         let Some(runner) = self.fleet.get_mut(key) else {
             return;
@@ -402,23 +406,23 @@
         let service = runner.listed.service.clone();
         let latency = self.latencies.get_or_default(&service);
         runner.record_slowdown(took, latency.predict(conditions));
-        let lag = runner.slowdown;
-        if lag < STRAGGLER * self.fleet.median_slowdown(&service) {
+        let slowdown = runner.slowdown;
+        if slowdown < STRAGGLER_RATIO * self.fleet.median_slowdown(&service) {
             latency.observe_first_event(conditions, took);
         }
     }
 
-    /// A stream's event came from a runner, `pause` after the one before.
+    /// Records a stream event that came `pause` after the one before.
     pub fn record_event(&mut self, key: Key, pause: Duration) {
         let Some(runner) = self.fleet.get(key) else {
             return;
         };
-        let reading = runner.is_prefilling(self.partition(&runner.listed.service).long_prompt);
+        let prefilling = runner.is_prefilling(self.partition(&runner.listed.service).long_prompt);
         let latency = self.latencies.get_or_default(&runner.listed.service);
-        latency.observe_event_gap(pause, runner.running(), reading);
+        latency.observe_event_gap(pause, runner.running(), prefilling);
     }
 
-    /// A request that read a prompt has left its runner after `stay`.
+    /// Records that a request with a prompt has left its runner after `stay`.
     pub fn record_residence(&mut self, key: Key, stay: Duration) {
         if let Some(runner) = self.fleet.get(key) {
             self.latencies
@@ -427,29 +431,26 @@
         }
     }
 
-    /// Keeps in mind to tell the others where a subject is read.
-    fn tell(&mut self, subject: u64, key: Key) {
+    /// Queues a prefix for the next packet to the other hosts.
+    fn announce(&mut self, prefix: u64, key: Key) {
         let Some(runner) = self.fleet.get(key).map(|runner| runner.hash) else {
             return;
         };
-        let holder = CachedPrefix {
-            prefix: subject,
-            runner,
-        };
-        if self.holders.len() < HOLDERS && !self.holders.contains(&holder) {
-            self.holders.push(holder);
+        let cached = CachedPrefix { prefix, runner };
+        if self.announcements.len() < MAX_ANNOUNCED && !self.announcements.contains(&cached) {
+            self.announcements.push(cached);
         }
     }
 
-    /// What this host tells the others.
+    /// Next packet to the other hosts.
     pub fn packet(&mut self, now: Moment, me: Incarnation, number: u64) -> Packet {
         Packet {
-            prefixes: std::mem::take(&mut self.holders),
+            prefixes: std::mem::take(&mut self.announcements),
             ..gossip::packet(me, number, &self.fleet, self.meter.flows(now))
         }
     }
 
-    /// Work that all hosts send to a service.
+    /// Prefill work that all hosts send to a service.
     pub fn flow(&self, now: Moment, service: &str) -> Flow {
         let others = self.peers.flow(service);
         let own = self.meter.flows(now);
@@ -457,20 +458,20 @@
         own.map_or(others, |own| others.plus(own))
     }
 
-    /// Takes what another host has on runners.
+    /// Applies a packet from another host.
     pub fn receive(&mut self, now: Moment, me: Incarnation, packet: Packet) {
         if let Ok(record) = serde_json::from_slice(&packet.record) {
             self.ledger.receive(now, record);
         }
-        for holder in &packet.prefixes {
-            if let Some(key) = self.fleet.find_by_hash(holder.runner) {
-                self.prefixes.note(now, holder.prefix, key);
+        for cached in &packet.prefixes {
+            if let Some(key) = self.fleet.find_by_hash(cached.runner) {
+                self.prefixes.note(now, cached.prefix, key);
             }
         }
         self.peers.receive(now, me, packet, &mut self.fleet, self.hosts);
     }
 
-    /// Takes a repeat out of the shared budget, if one is left.
+    /// Takes one retry from the shared budget, if any is left.
     pub fn take_retry(&mut self, now: Moment, service: &str) -> bool {
         self.budgets.take(now, service, &self.bounds, self.hosts)
     }
--- a/crates/core/src/proxy/latency.rs
+++ b/crates/core/src/proxy/latency.rs
@@ -1,190 +1,192 @@
-//! How fast the runners of a service are, learnt from their answers.
+//! Latency model of a service's runners, learnt from their answers.
 //!
-//! An engine reads a prompt before its first event, and writes the events of all its
-//! requests in turn. The time until the first event tells how fast it reads, how that
-//! slows down with the prompt's length, and what a runner in another zone adds. The pauses
-//! between events tell what requests beside a stream and prompts read meanwhile cost it.
+//! An engine prefills a prompt before its first event, and then generates the events of all its
+//! requests in turn. The time to the first event shows how fast it prefills, how the prompt's
+//! length slows it down, and what a runner in another zone adds. The gaps between events show
+//! what concurrent requests and prefills cost a stream.
 //!
-//! Before the first answers the figures of a middling engine are assumed, and soon
-//! outweighed. One latency stands for all runners of a service; how far a single one lags
-//! behind it is known of each runner. Each host learns for itself: it sees several answers a
-//! second, more than it needs.
+//! The model starts with the figures of an average engine, which samples soon outweigh. One model
+//! covers all runners of a service; the slowdown of a single runner is kept with that runner.
+//! Each host learns on its own, as it sees several answers a second, more than it needs.
 
 use std::time::Duration;
 
 use super::regression::Regression;
 
-/// What the time until the first event depends on, by place in [`FIRST`]: a fixed part, a
-/// thousand tokens to read, a million pairs of them to compare, a request beside, and the way
-/// to another zone.
-const FIXED: usize = 0;
+/// Indices of the features of the time to the first event: a constant, thousands of tokens to
+/// prefill, millions of token pairs in attention, concurrent requests, and whether the runner is
+/// in another zone.
+const CONSTANT: usize = 0;
 const TOKENS: usize = 1;
 const PAIRS: usize = 2;
-const BESIDE: usize = 3;
-const FAR: usize = 4;
-/// Milliseconds assumed for each of them until answers tell.
-const FIRST: [f64; 5] = [40.0, 16.0, 0.4, 0.3, 2.0];
-/// How certain that is.
-const FIRST_CERTAINTY: [f64; 5] = [3.0, 20.0, 200.0, 200.0, 20.0];
-/// Assumed milliseconds between two events of a stream that is alone, and for each
-/// request beside it.
-const WRITING: [f64; 2] = [30.0, 1.0];
-const WRITING_CERTAINTY: [f64; 2] = [5.0, 500.0];
-/// Assumed time that a request stays on its runner, in milliseconds.
-const STAY: f64 = 1_000.0;
-/// Assumed stall of a stream beside which a long prompt is read, in milliseconds.
-const STALL: f64 = 250.0;
-/// Part of pauses beside a long prompt that are shorter than the stall that is told.
+const CONCURRENT: usize = 3;
+const CROSS_ZONE: usize = 4;
+/// Prior of each coefficient, in milliseconds.
+const FIRST_EVENT_PRIOR_MS: [f64; 5] = [40.0, 16.0, 0.4, 0.3, 2.0];
+/// Weight of each prior, in samples.
+const FIRST_EVENT_WEIGHT: [f64; 5] = [3.0, 20.0, 200.0, 200.0, 20.0];
+/// Prior gap between two events of a stream that runs alone, and what each concurrent request
+/// adds, in milliseconds.
+const GAP_PRIOR_MS: [f64; 2] = [30.0, 1.0];
+const GAP_WEIGHT: [f64; 2] = [5.0, 500.0];
+/// Prior time that a request stays on its runner, in milliseconds.
+const RESIDENCE_PRIOR_MS: f64 = 1_000.0;
+/// Prior gap between events of a stream during the prefill of a long prompt, in milliseconds.
+const STALL_PRIOR_MS: f64 = 250.0;
+/// Quantile of the gaps during a long prefill that is tracked as the stall.
 const STALL_QUANTILE: f64 = 0.9;
-/// Part of the stall by which one pause moves it, and least stall that counts for that, in
-/// milliseconds.
+/// Step of the quantile estimate as a share of the stall, and the smallest stall that the step is
+/// computed from, in milliseconds.
 const STALL_STEP: f64 = 0.06;
-const STALL_LEAST: f64 = 20.0;
-/// Weight of the newest sample in an average.
-const NEWEST: f64 = 0.02;
-/// Least time for a thousand tokens; a runner whose prompts were all in memory seems to
-/// read at once.
-const READING_LEAST: f64 = 0.5;
+const MIN_STALL_MS: f64 = 20.0;
+/// Weight of the newest sample in a moving average.
+const SAMPLE_WEIGHT: f64 = 0.02;
+/// Minimum prefill time of a thousand tokens, in milliseconds; a runner whose prompts were all
+/// cached appears to prefill in no time.
+const MIN_PREFILL_MS_PER_1K: f64 = 0.5;
 
 plain! {
-    /// What a request found at its runner, to compare its first event with.
+    /// State of a runner when a request arrived, from which its time to the first event is
+    /// predicted.
     #[derive(Copy, Default)]
     pub struct Conditions {
-        /// Tokens of its prompt.
+        /// Length of the prompt in tokens.
         pub prompt: u64,
-        /// Tokens of it that the runner had in memory.
+        /// Tokens of the prompt that the runner had cached.
         pub cached: u64,
-        /// Time that the runner had yet to read before.
+        /// Prefill work queued ahead of the request.
         pub backlog: Duration,
-        /// Requests that ran there.
+        /// Requests running there.
         pub concurrent: u32,
-        /// Whether it is in another zone.
+        /// Whether the runner is in another zone.
         pub cross_zone: bool,
     }
 }
 
 impl Conditions {
     fn features(&self) -> [f64; 5] {
-        let (tokens, pairs) = reading(self.prompt, self.cached);
-        let far = f64::from(u8::from(self.cross_zone));
-        [1.0, tokens, pairs, f64::from(self.concurrent), far]
+        let (tokens, pairs) = prefill_work(self.prompt, self.cached);
+        let cross_zone = f64::from(u8::from(self.cross_zone));
+        [1.0, tokens, pairs, f64::from(self.concurrent), cross_zone]
     }
 }
 
-/// Thousands of tokens to read, and millions of pairs of tokens to compare.
-fn reading(prompt: u64, kept: u64) -> (f64, f64) {
-    let kept = kept.min(prompt) as f64;
+/// Thousands of tokens to prefill, and millions of token pairs in attention.
+fn prefill_work(prompt: u64, cached: u64) -> (f64, f64) {
+    let cached = cached.min(prompt) as f64;
     let prompt = prompt as f64;
-    let pairs = (prompt * prompt - kept * kept) / 2.0;
-    ((prompt - kept) / 1e3, pairs / 1e6)
+    let pairs = (prompt * prompt - cached * cached) / 2.0;
+    ((prompt - cached) / 1e3, pairs / 1e6)
 }
 
-/// How fast runners are.
+/// Latency model of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Latency {
-    first: Regression<5>,
-    writing: Regression<2>,
-    /// Pause of a stream beside which a long prompt is read, in milliseconds.
-    stall: f64,
+    first_event: Regression<5>,
+    event_gap: Regression<2>,
+    /// Gap between events of a stream during the prefill of a long prompt, in milliseconds.
+    stall_ms: f64,
     /// Average time that a request stays on its runner, in milliseconds.
-    stay: f64,
+    residence_ms: f64,
 }
 
 impl Default for Latency {
     fn default() -> Self {
         Self {
-            first: Regression::new(FIRST, FIRST_CERTAINTY),
-            writing: Regression::new(WRITING, WRITING_CERTAINTY),
-            stall: STALL,
-            stay: STAY,
+            first_event: Regression::new(FIRST_EVENT_PRIOR_MS, FIRST_EVENT_WEIGHT),
+            event_gap: Regression::new(GAP_PRIOR_MS, GAP_WEIGHT),
+            stall_ms: STALL_PRIOR_MS,
+            residence_ms: RESIDENCE_PRIOR_MS,
         }
     }
 }
 
 impl Latency {
-    /// Time to read a prompt of which the first `kept` tokens are in memory.
-    pub fn prefill(&self, prompt: u64, kept: u64) -> Duration {
-        let (tokens, pairs) = reading(prompt, kept);
-        millis(tokens * self.prefill_ms_per_1k() + pairs * self.first.coefficient(PAIRS))
+    /// Prefill time of a prompt whose first `kept` tokens are cached.
+    pub fn prefill(&self, prompt: u64, cached: u64) -> Duration {
+        let (tokens, pairs) = prefill_work(prompt, cached);
+        millis(tokens * self.prefill_ms_per_1k() + pairs * self.first_event.coefficient(PAIRS))
     }
 
-    /// Milliseconds to read a thousand tokens of a short prompt.
+    /// Prefill time of a thousand tokens of a short prompt, in milliseconds.
     pub fn prefill_ms_per_1k(&self) -> f64 {
-        self.first.coefficient(TOKENS).max(READING_LEAST)
+        self.first_event.coefficient(TOKENS).max(MIN_PREFILL_MS_PER_1K)
     }
 
-    /// Milliseconds that each request on a runner adds to the first event of another.
+    /// Time that each concurrent request adds to the first event of another, in milliseconds.
     pub fn contention_ms(&self) -> f64 {
-        self.first.coefficient(BESIDE)
+        self.first_event.coefficient(CONCURRENT)
     }
 
-    /// Milliseconds that the way to another zone adds.
+    /// Time that a runner in another zone adds, in milliseconds.
     pub fn cross_zone_ms(&self) -> f64 {
-        self.first.coefficient(FAR)
+        self.first_event.coefficient(CROSS_ZONE)
     }
 
-    /// Pause between two events of a stream beside so many requests, while no prompt is read.
-    pub fn event_gap(&self, beside: f64) -> Duration {
-        millis(self.writing.predict(&[1.0, beside]))
+    /// Gap between two events of a stream with `beside` concurrent requests, while no prompt is
+    /// prefilled.
+    pub fn event_gap(&self, concurrent: f64) -> Duration {
+        millis(self.event_gap.predict(&[1.0, concurrent]))
     }
 
-    /// Pause of a stream beside which a long prompt is read.
+    /// Gap between events of a stream during the prefill of a long prompt.
     pub fn stall(&self) -> Duration {
-        millis(self.stall)
+        millis(self.stall_ms)
     }
 
-    /// Time until the first event of an empty prompt on an idle runner.
+    /// Time to the first event of an empty prompt on an idle runner.
     pub fn base(&self) -> Duration {
-        millis(self.first.coefficient(FIXED))
+        millis(self.first_event.coefficient(CONSTANT))
     }
 
-    /// Time that a request stays on its runner.
+    /// Average time that a request stays on its runner.
     pub fn residence(&self) -> Duration {
-        millis(self.stay)
+        millis(self.residence_ms)
     }
 
-    /// Time until the first event.
+    /// Predicted time to the first event.
     pub fn predict(&self, conditions: &Conditions) -> Duration {
-        millis(self.first.predict(&conditions.features())) + conditions.backlog
+        millis(self.first_event.predict(&conditions.features())) + conditions.backlog
     }
 
-    /// A request's first event came after `took`.
-    pub fn observe_first_event(&mut self, conditions: &Conditions, took: Duration) {
-        let own = self.first.predict(&conditions.features());
-        let backlog = ms(conditions.backlog);
-        // What was waited for others is known less well than the request's own prompt.
-        let certain = own / (own + backlog).max(1.0);
-        let alone = ms(took) - backlog;
-        self.first
-            .observe(&conditions.features(), alone.max(0.0), certain * certain);
+    /// Adds the time to the first event of a request.
+    pub fn observe_first_event(&mut self, conditions: &Conditions, elapsed: Duration) {
+        let own = self.first_event.predict(&conditions.features());
+        let backlog_ms = ms(conditions.backlog);
+        // The wait for other requests is less certain than the request's own prefill.
+        let certainty = own / (own + backlog_ms).max(1.0);
+        let own_ms = ms(elapsed) - backlog_ms;
+        self.first_event
+            .observe(&conditions.features(), own_ms.max(0.0), certainty * certainty);
     }
 
-    /// A stream's event came after `pause`; `reading` if its runner read a prompt all the while.
-    pub fn observe_event_gap(&mut self, pause: Duration, beside: u32, reading: bool) {
-        if !reading {
-            let features = [1.0, f64::from(beside)];
-            self.writing.observe(&features, ms(pause), 1.0);
+    /// Adds the gap between two events of a stream; `reading` if the runner was prefilling
+    /// throughout.
+    pub fn observe_event_gap(&mut self, gap: Duration, concurrent: u32, prefilling: bool) {
+        if !prefilling {
+            let features = [1.0, f64::from(concurrent)];
+            self.event_gap.observe(&features, ms(gap), 1.0);
             return;
         }
-        let step = STALL_STEP * self.stall.max(STALL_LEAST);
-        self.stall += match ms(pause) > self.stall {
+        let step = STALL_STEP * self.stall_ms.max(MIN_STALL_MS);
+        self.stall_ms += match ms(gap) > self.stall_ms {
             true => step * STALL_QUANTILE,
             false => -step * (1.0 - STALL_QUANTILE),
         };
     }
 
-    /// A request has left its runner after `stay`.
-    pub fn observe_residence(&mut self, stay: Duration) {
-        self.stay += NEWEST * (ms(stay) - self.stay);
+    /// Adds the time that a request stayed on its runner.
+    pub fn observe_residence(&mut self, residence: Duration) {
+        self.residence_ms += SAMPLE_WEIGHT * (ms(residence) - self.residence_ms);
     }
 }
 
-/// A duration as milliseconds.
+/// Converts a duration to milliseconds.
 pub fn ms(span: Duration) -> f64 {
     span.as_secs_f64() * 1e3
 }
 
-/// Milliseconds as a duration; none below zero.
+/// Converts milliseconds to a duration; negative values become zero.
 pub fn millis(ms: f64) -> Duration {
     Duration::from_secs_f64(ms.max(0.0) / 1e3)
 }
--- a/crates/core/src/proxy/partition.rs
+++ b/crates/core/src/proxy/partition.rs
@@ -1,9 +1,10 @@
-//! Long prompts and short ones are kept apart.
+//! Division of runners between long and short prompts.
 //!
-//! An engine reads a prompt in pieces between the events of all streams beside it, so that
-//! short streams pause. A part of each zone's runners is kept for long prompts, as large as
-//! their part of the reading, and crossing over costs the pauses that it causes. Both follow
-//! what is seen: an engine that reads fast harms little, and a request then crosses over early.
+//! An engine prefills a prompt in chunks between the events of the streams it runs, which stalls
+//! short streams. Part of each zone's runners is therefore reserved for long prompts, in
+//! proportion to their share of the prefill work, and placing a request on the wrong side costs
+//! the stalls that it causes. Both follow measurements: an engine that prefills fast stalls
+//! streams little, so requests cross over sooner.
 
 use std::time::Duration;
 
@@ -11,35 +12,35 @@
 use super::latency::{Latency, ms};
 use super::route::Table;
 
-/// Part of the allowed pause that a prompt's reading takes from which it counts as long.
-const LONG_PART: f64 = 0.3;
-/// Pause that streams are allowed where no route says.
-const USUAL_PAUSE: Duration = Duration::from_millis(250);
-/// Part of the runners for long prompts until the flow tells.
-const PART: f64 = 0.7;
-/// Bounds of that part: both kinds keep a way of their own.
-const PART_LEAST: f64 = 0.25;
-const PART_MOST: f64 = 0.75;
-/// Weight of the flow of the moment in the part; runners that change sides lose the good
-/// of what was kept apart for a while.
-const NEWEST: f64 = 0.05;
+/// Share of the allowed gap that the prefill of a long prompt takes at least.
+const LONG_RATIO: f64 = 0.3;
+/// Allowed gap between events if no route sets one.
+const DEFAULT_GAP: Duration = Duration::from_millis(250);
+/// Initial share of the runners reserved for long prompts, until there is traffic.
+const LONG_SHARE: f64 = 0.7;
+/// Limits of that share; both kinds keep some runners.
+const MIN_LONG_SHARE: f64 = 0.25;
+const MAX_LONG_SHARE: f64 = 0.75;
+/// Weight of the current traffic in that share. It is low because a runner that changes sides
+/// loses the benefit of the separation for a while.
+const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Pauses that a long prompt is sure to cause among short streams, and more for each of
-/// them that is there.
-const CROSS_LONG: f64 = 3.7;
-const CROSS_LONG_EACH: f64 = 0.3;
-/// Pauses that a short stream is likely to meet among long prompts.
-const CROSS_SHORT: f64 = 1.5;
+/// Number of stalls that a long prompt is certain to cause among short streams, and the number
+/// that each running stream adds.
+const LONG_STALLS: f64 = 3.7;
+const LONG_STALLS_PER_STREAM: f64 = 0.3;
+/// Number of stalls that a short stream is likely to meet among long prompts.
+const SHORT_STALLS: f64 = 1.5;
 
 plain! {
-    /// How the runners of one service are divided.
+    /// Division of one service's runners.
     #[derive(Copy)]
     pub struct Partition {
-        /// Reading time from which a prompt counts as long.
+        /// Prefill time from which a prompt counts as long.
         pub long_prompt: Duration,
-        /// Pause that a prompt causes to a stream beside which it is read.
+        /// Gap that the prefill of a long prompt causes in a concurrent stream.
         pub stall: Duration,
-        /// Part of a zone's runners that is kept for long prompts.
+        /// Share of a zone's runners that is reserved for long prompts.
         pub long_share: f64,
     }
 }
@@ -47,42 +48,42 @@
 impl Default for Partition {
     fn default() -> Self {
         Self {
-            long_prompt: USUAL_PAUSE.mul_f64(LONG_PART),
-            stall: USUAL_PAUSE,
-            long_share: PART,
+            long_prompt: DEFAULT_GAP.mul_f64(LONG_RATIO),
+            stall: DEFAULT_GAP,
+            long_share: LONG_SHARE,
         }
     }
 }
 
 impl Partition {
-    /// Judges anew, by the pauses that were seen and by the flows of reading: `long` of `all`.
+    /// Updates the division from the measured gaps and from the prefill work: `long` of `all`.
     pub fn update(&mut self, latency: &Latency, allowed: Duration, long: u64, all: u64) {
-        let calm = latency.event_gap(0.0).min(allowed);
-        self.long_prompt = (allowed - calm).mul_f64(LONG_PART);
+        let idle_gap = latency.event_gap(0.0).min(allowed);
+        self.long_prompt = (allowed - idle_gap).mul_f64(LONG_RATIO);
         self.stall = latency.stall();
         if all > 0 {
-            let part = (long as f64 / all as f64).clamp(PART_LEAST, PART_MOST);
-            self.long_share += NEWEST * (part - self.long_share);
+            let share = (long as f64 / all as f64).clamp(MIN_LONG_SHARE, MAX_LONG_SHARE);
+            self.long_share += SAMPLE_WEIGHT * (share - self.long_share);
         }
     }
 
-    /// Whether a prompt that takes so long to read counts as long.
-    pub fn is_long(&self, reading: Duration) -> bool {
-        reading >= self.long_prompt
+    /// Whether a prompt with this prefill time counts as long.
+    pub fn is_long(&self, prefill: Duration) -> bool {
+        prefill >= self.long_prompt
     }
 }
 
-/// Shortest pause that any route of a service allows.
+/// Smallest event gap that any route to a service allows.
 pub fn allowed_pause(table: &Table, service: &str) -> Duration {
     let routes = table.routes().iter().filter(|route| route.uses(service));
     routes
         .filter_map(|route| route.max_event_gap)
         .min()
-        .unwrap_or(USUAL_PAUSE)
+        .unwrap_or(DEFAULT_GAP)
 }
 
-/// Divides each zone's runners of a service between long and short prompts,
-/// the same way on every host that sees the same pauses and flows.
+/// Assigns each runner of a service to long or short prompts, zone by zone. All hosts with the
+/// same measurements and traffic get the same result.
 pub fn assign(runners: &mut [Runner], service: &str, partition: &Partition) {
     let own = |runner: &Runner| runner.is_listed() && runner.listed.service == service;
     let mut order: Vec<usize> = (0..runners.len()).filter(|at| own(&runners[*at])).collect();
@@ -97,23 +98,23 @@
             .iter()
             .take_while(|at| runners[**at].listed.zone == zone)
             .count();
-        let (here, tail) = rest.split_at(size);
-        // The last one of a zone serves both.
+        let (zone_runners, tail) = rest.split_at(size);
+        // A zone never reserves its last runner; one that is alone serves both kinds.
         let long = ((size as f64 * partition.long_share).round() as usize).min(size - 1);
-        for (rank, at) in here.iter().enumerate() {
+        for (rank, at) in zone_runners.iter().enumerate() {
             runners[*at].for_long_prompts = rank < long;
         }
         rest = tail;
     }
 }
 
-/// Extra cost, in milliseconds, of a request on a runner that is kept for the other kind,
-/// beside so many others.
-pub fn crossing_cost_ms(partition: &Partition, is_long: bool, runner_is_long: bool, beside: f64) -> f64 {
-    let stall = ms(partition.stall);
+/// Cost in milliseconds of placing a request on a runner that is reserved for the other kind of
+/// prompt and runs `beside` other requests.
+pub fn crossing_cost_ms(partition: &Partition, is_long: bool, runner_is_long: bool, concurrent: f64) -> f64 {
+    let stall_ms = ms(partition.stall);
     match (is_long, runner_is_long) {
-        (true, false) => stall * (CROSS_LONG + CROSS_LONG_EACH * beside),
-        (false, true) => stall * CROSS_SHORT,
+        (true, false) => stall_ms * (LONG_STALLS + LONG_STALLS_PER_STREAM * concurrent),
+        (false, true) => stall_ms * SHORT_STALLS,
         _ => 0.0,
     }
 }
--- a/crates/core/src/proxy/placement.rs
+++ b/crates/core/src/proxy/placement.rs
@@ -1,22 +1,21 @@
-//! Which runner a request goes to.
+//! Chooses the runner for a request.
 //!
-//! Each candidate gets a cost in milliseconds: the time until its first event as runners of
-//! the service are known to take, and what others lose by it. The least cost wins. Five
-//! patterns are answered:
+//! Each candidate gets a cost in milliseconds: the predicted time to the first event, plus the
+//! delay that the request causes to others. The candidate with the lowest cost wins. The cost
+//! covers five cases:
 //!
-//! - A long prompt makes short streams beside it pause. Where that harms them, crossing over
-//!   to a runner that is kept for the other kind costs what the crossing harms.
-//! - Requests about one subject share the beginnings of their prompts. What a runner has
-//!   read, as hosts tell each other, another one copies from its memory, which costs a part
-//!   of reading it again; so a subject spreads with its load. What none has read goes to a
-//!   home that all hosts of a zone compute alike (rendezvous hashing), and stays there until
-//!   it is read.
-//! - Some runners are slower than they look, or fail part of their requests while they say
-//!   that they are well. What a host sees itself counts as cost.
-//! - Many hosts choose at once from old news, so the work that was sent and not
-//!   yet read counts at once, not when a runner reports it.
-//! - Bytes between zones are paid for, and take time. A request leaves its zone when the
-//!   runners there would keep it waiting for longer than that is worth.
+//! - A long prompt stalls the short streams on the same runner. Using a runner that is reserved
+//!   for the other kind of prompt costs as much as the stalls that it causes.
+//! - Requests often share a prompt prefix. A runner copies a prefix from another runner's cache,
+//!   if hosts have announced it, at a fraction of the cost of computing it again, so requests
+//!   with a popular prefix spread by load. A prefix that no runner has cached goes to a home
+//!   runner that all hosts of a zone compute alike (rendezvous hashing), until it is cached.
+//! - Some runners are slow, or fail part of their requests, while they report that they are
+//!   healthy. What this host measures itself is added to the cost.
+//! - Many hosts choose at the same time from outdated load reports. Work that was sent but not
+//!   yet prefilled therefore counts at once, not when a runner reports it.
+//! - Traffic between zones costs money and time. A request leaves its zone only if waiting there
+//!   costs more.
 
 use std::time::Duration;
 
@@ -27,336 +26,348 @@
 use crate::id::weight;
 use crate::time::Moment;
 
-/// Times that reading a shared token again counts, beside the runner's own time: the
-/// streams beside it pause, and what it pushes out of memory is read again by others.
-const REREAD: f64 = 20.0;
-/// Segment of the time to read a token that copying it from another runner counts.
-const COPY: f64 = 2.0;
-/// Time after which a beginning that was sent to a runner has surely been read there: a
-/// part for its turn in the batch, and a multiple of the time to read it.
-const READ: Duration = Duration::from_millis(50);
-const READ_TIMES: f64 = 4.0;
-/// Milliseconds that each request on a runner costs the others there.
-const BESIDE: f64 = 5.0;
-/// Milliseconds of waiting that a kilobyte between zones is worth.
-const FAR_EACH_KB: f64 = 6.0;
-/// Milliseconds of waiting that the way to a zone which may be cut off is worth: the
-/// time-out of a connection.
-const QUIET: f64 = 400.0;
-/// Bytes of an answer for each of its tokens: an event around a few of them.
-const ANSWER_BYTES: u64 = 30;
-/// Milliseconds of waiting that a failed request is worth.
-const FAILURE: f64 = 2_500.0;
-/// Segment of failures from which a plain service's runner is taken last; by chance alone a
-/// runner that fails one request in seven is above it in one of thirty readings.
-const FAILS: f64 = 0.4;
-/// Milliseconds of waiting that a new connection is worth: a runner takes a few hundred,
-/// from all hosts together.
-const CONNECTION: f64 = 40.0;
+/// Factor on the prefill time of a shared token that has to be computed again, besides the
+/// request's own time: it stalls the streams beside it, and evicts cache entries that others then
+/// compute again.
+const RECOMPUTE_FACTOR: f64 = 20.0;
+/// Factor on the prefill time of a token that is copied from another runner.
+const COPY_FACTOR: f64 = 2.0;
+/// Time after which a prefix sent to a runner is certainly cached there: a fixed part to get into
+/// the batch, and a multiple of the prefill time.
+const CACHED_AFTER: Duration = Duration::from_millis(50);
+const CACHED_AFTER_FACTOR: f64 = 4.0;
+/// Delay that each request on a runner causes to the others there, in milliseconds.
+const CONTENTION_MS: f64 = 5.0;
+/// Price of a kilobyte between zones, in milliseconds of waiting.
+const CROSS_ZONE_MS_PER_KB: f64 = 6.0;
+/// Price of a zone that may be cut off, in milliseconds of waiting; a connection timeout.
+const SILENT_ZONE_MS: f64 = 400.0;
+/// Bytes per token of an answer: one event wraps a few tokens.
+const BYTES_PER_TOKEN: u64 = 30;
+/// Price of a failed request, in milliseconds of waiting.
+const FAILURE_MS: f64 = 2_500.0;
+/// Failure rate from which a runner of a plain service is chosen last. By chance alone, a runner
+/// that fails one request in seven exceeds it in one of thirty estimates.
+const MAX_FAILURE_RATE: f64 = 0.4;
+/// Price of a new connection, in milliseconds of waiting: a runner accepts a few hundred from all
+/// hosts together.
+const CONNECTION_MS: f64 = 40.0;
 
 plain! {
-    /// A part of a prompt that requests may share.
+    /// A segment of a prompt that requests may share.
     #[derive(Copy, Eq)]
     pub struct Segment {
-        /// Its id.
+        /// Hash of the prompt up to the end of this segment.
         pub id: u64,
-        /// Its length in tokens.
+        /// Length in tokens.
         pub tokens: u64,
     }
 }
 
 plain! {
-    /// What a request asks of its runner.
+    /// Properties of a request that decide its runner.
     #[derive(Default)]
     pub struct Demand {
-        /// Service that is to run it.
+        /// Service that runs it.
         pub service: String,
-        /// Tokens of its prompt; 0 for plain services.
+        /// Length of the prompt in tokens; 0 for plain services.
         pub prompt: u64,
-        /// Tokens of its answer, as expected.
+        /// Expected length of the answer in tokens.
         pub output: u64,
-        /// Parts of its prompt in order; the last one is its own where there
-        /// are others before it.
+        /// Segments of the prompt in order. The last one belongs to this request alone, unless it
+        /// is the only one.
         pub segments: Vec<Segment>,
-        /// Bytes of the request itself.
+        /// Size of the request in bytes.
         pub bytes: u64,
-        /// Whether its runner copies from others what it has not read of the prompt.
+        /// Whether the engine can copy cached prefixes from another runner.
         pub copies_prefix: bool,
         /// Whether it may run at most once.
         pub once: bool,
-        /// Draw that decides among equals.
+        /// Random number that breaks ties.
         pub draw: u64,
     }
 }
 
 impl Demand {
-    /// Parts that other requests are likely to share: all but the last one.
-    fn shared_parts(&self) -> &[Segment] {
+    /// Segments that other requests are likely to share: all but the last one.
+    fn shared_segments(&self) -> &[Segment] {
         let count = self.segments.len().saturating_sub(1).max(1);
         &self.segments[..count.min(self.segments.len())]
     }
 
-    /// The deepest part that other requests are likely to share.
+    /// Last segment that other requests are likely to share.
     pub fn shared_prefix(&self) -> Option<Segment> {
-        self.shared_parts().last().copied()
+        self.shared_segments().last().copied()
     }
 
-    /// Tokens that other requests are likely to share.
+    /// Number of tokens that other requests are likely to share.
     pub fn shared_tokens(&self) -> u64 {
-        self.shared_parts().iter().map(|part| part.tokens).sum()
+        self.shared_segments().iter().map(|segment| segment.tokens).sum()
     }
 
-    /// The beginnings of the prompt that other requests may share, the shortest first:
-    /// the id of the part with which each ends, and its tokens.
+    /// Prefixes that other requests may share, shortest first: the id of the last segment and the
+    /// length in tokens of each.
     pub fn shared_prefixes(&self) -> Vec<(u64, u64)> {
         let mut tokens = 0;
-        let upto = |part: &Segment| {
-            tokens += part.tokens;
-            (part.id, tokens)
+        let prefix = |segment: &Segment| {
+            tokens += segment.tokens;
+            (segment.id, tokens)
         };
-        self.shared_parts().iter().map(upto).collect()
+        self.shared_segments().iter().map(prefix).collect()
     }
 
-    /// Milliseconds of waiting that its bytes between zones are worth.
-    fn far(&self) -> f64 {
-        let bytes = self.bytes + self.output * ANSWER_BYTES;
-        bytes as f64 / 1e3 * FAR_EACH_KB
+    /// Price of sending it to another zone, in milliseconds of waiting.
+    fn cross_zone_cost_ms(&self) -> f64 {
+        let bytes = self.bytes + self.output * BYTES_PER_TOKEN;
+        bytes as f64 / 1e3 * CROSS_ZONE_MS_PER_KB
     }
 
-    /// Tokens that it holds in a runner's memory to its end.
+    /// KV cache that it occupies when it ends, in tokens.
     pub fn kv_tokens(&self) -> u64 {
         self.prompt + self.output
     }
 }
 
 plain! {
-    /// A runner for a request.
+    /// Runner chosen for a request.
     #[derive(Copy)]
     pub struct Choice {
-        /// The runner.
+        /// Key of the runner.
         pub key: Key,
-        /// Time that it takes to read the prompt, in microseconds.
+        /// Predicted prefill time, in microseconds.
         pub prefill_us: u64,
         /// Whether the prompt counts as long.
         pub is_long: bool,
-        /// What the request finds there.
+        /// State of the runner at the time of the choice.
         pub conditions: Conditions,
-        /// Runners that it was chosen among.
+        /// Number of runners to choose from.
         pub candidates: u32,
-        /// Runner that has read the beginning of the prompt, from which this one copies it.
+        /// Runner from which the chosen one can copy the cached prefix.
         pub source: Option<Key>,
     }
 }
 
-/// What is known of a service's runners.
+/// State that the choice is based on.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
     /// All runners.
     pub fleet: &'a Fleet,
-    /// What they have read.
+    /// Runners that have each prompt prefix cached.
     pub prefixes: &'a Index,
-    /// How fast those of the service are.
+    /// Latency model of the service.
     pub latency: &'a Latency,
-    /// How they are divided.
+    /// Division of the runners between long and short prompts.
     pub partition: &'a Partition,
 }
 
-/// Chooses a runner, other than those in `tried`.
-pub fn choose(known: Inputs<'_>, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
-    let open: Vec<(Key, &Runner)> = known
+/// Chooses a runner that is not in `tried`.
+pub fn choose(inputs: Inputs<'_>, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
+    let open: Vec<(Key, &Runner)> = inputs
         .fleet
         .available(now, &demand.service)
         .filter(|(key, _)| !tried.contains(key))
         .collect();
-    let among = open.len() as u32;
+    let count = open.len() as u32;
     if demand.prompt == 0 {
-        let key = nearest(now, known.fleet, &open, demand)?;
+        let key = nearest(now, inputs.fleet, &open, demand)?;
         return Some(Choice {
             key,
             prefill_us: 0,
             is_long: false,
             conditions: Conditions::default(),
-            candidates: among,
+            candidates: count,
             source: None,
         });
     }
-    let read = Read::of(known, now, demand);
+    let cached = CachedPrefixes::of(inputs, now, demand);
     let shared = demand.shared_tokens();
-    // By the whole prompt, so that requests of a kind go the same way whatever is kept of them.
-    let is_long = known.partition.is_long(known.latency.prefill(demand.prompt, 0));
-    let home = match read.is_whole(shared) {
+    // Uses the whole prompt, so that similar requests go to the same runners whatever is cached.
+    let is_long = inputs.partition.is_long(inputs.latency.prefill(demand.prompt, 0));
+    let home = match cached.has_all(shared) {
         true => None,
-        false => home(known, &open, demand, is_long),
+        false => home(inputs, &open, demand, is_long),
     };
-    let usual_lag = known.fleet.median_slowdown(&demand.service);
+    let median_slowdown = inputs.fleet.median_slowdown(&demand.service);
     let candidates = open.iter().map(|(key, runner)| {
-        let kept = read.kept(*key);
-        let readable = kept.max(read.longest);
-        let work = known.latency.prefill(demand.prompt, readable);
-        let anew = if home == Some(*key) { 0 } else { shared - readable };
-        let shares = COPY * (readable - kept) as f64 + REREAD * anew as f64;
-        let cost = shares / 1e3 * known.latency.prefill_ms_per_1k()
-            // Relative to the others, so that it does not count twice what the latency knows.
-            + waiting(known, runner, work) * runner.slowdown / usual_lag
-            + partition::crossing_cost_ms(known.partition, is_long, runner.for_long_prompts, f64::from(runner.running()))
-            + FAILURE * runner.failure_rate
-            + connecting(now, runner, demand)
-            + way(known, now, runner, demand);
-        (cost, *key, *runner, work, readable)
+        let cached_tokens = cached.cached_tokens(*key);
+        let available = cached_tokens.max(cached.longest);
+        let prefill = inputs.latency.prefill(demand.prompt, available);
+        let recomputed = if home == Some(*key) { 0 } else { shared - available };
+        let prefix_cost = COPY_FACTOR * (available - cached_tokens) as f64 + RECOMPUTE_FACTOR * recomputed as f64;
+        let cost = prefix_cost / 1e3 * inputs.latency.prefill_ms_per_1k()
+            // Relative to the median, as the latency model already contains the common slowdown.
+            + waiting_ms(inputs, runner, prefill) * runner.slowdown / median_slowdown
+            + partition::crossing_cost_ms(inputs.partition, is_long, runner.for_long_prompts, f64::from(runner.running()))
+            + FAILURE_MS * runner.failure_rate
+            + connection_cost_ms(now, runner, demand)
+            + zone_cost_ms(inputs, now, runner, demand);
+        (cost, *key, *runner, prefill, available)
     });
-    let (_, key, runner, work, kept) = candidates.min_by(|a, b| a.0.total_cmp(&b.0))?;
+    let (_, key, runner, prefill, cached_tokens) = candidates.min_by(|a, b| a.0.total_cmp(&b.0))?;
     Some(Choice {
         key,
-        prefill_us: work.as_micros() as u64,
+        prefill_us: prefill.as_micros() as u64,
         is_long,
         conditions: Conditions {
             prompt: demand.prompt,
-            cached: kept,
+            cached: cached_tokens,
             backlog: runner.backlog(),
             concurrent: runner.running(),
-            cross_zone: runner.listed.zone != known.fleet.zone,
+            cross_zone: runner.listed.zone != inputs.fleet.zone,
         },
-        candidates: among,
-        source: read.source_for(known, now, key),
+        candidates: count,
+        source: cached.source_for(inputs, now, key),
     })
 }
 
-/// Milliseconds that a request and those beside it wait on a runner, at the usual latency.
-fn waiting(known: Inputs<'_>, runner: &Runner, work: Duration) -> f64 {
-    let beside = f64::from(runner.running());
+/// Delay of a request and of those beside it on a runner, in milliseconds, not counting the
+/// runner's slowdown.
+fn waiting_ms(inputs: Inputs<'_>, runner: &Runner, prefill: Duration) -> f64 {
+    let concurrent = f64::from(runner.running());
     let queued = (runner.running() + 1).saturating_sub(runner.listed.slots);
-    let turn = ms(known.latency.residence()) / f64::from(runner.listed.slots.max(1));
-    ms(runner.backlog() + work) + (BESIDE + known.latency.contention_ms()) * beside + turn * f64::from(queued)
+    let slot_wait_ms = ms(inputs.latency.residence()) / f64::from(runner.listed.slots.max(1));
+    ms(runner.backlog() + prefill)
+        + (CONTENTION_MS + inputs.latency.contention_ms()) * concurrent
+        + slot_wait_ms * f64::from(queued)
 }
 
-/// Milliseconds that the way to a runner costs.
-fn way(known: Inputs<'_>, now: Moment, runner: &Runner, demand: &Demand) -> f64 {
+/// Cost of reaching a runner's zone, in milliseconds.
+fn zone_cost_ms(inputs: Inputs<'_>, now: Moment, runner: &Runner, demand: &Demand) -> f64 {
     let zone = &runner.listed.zone;
-    if *zone == known.fleet.zone {
+    if *zone == inputs.fleet.zone {
         return 0.0;
     }
-    let quiet = if known.fleet.is_zone_silent(now, zone) {
-        QUIET
+    let silent = if inputs.fleet.is_zone_silent(now, zone) {
+        SILENT_ZONE_MS
     } else {
         0.0
     };
-    known.latency.cross_zone_ms() + demand.far() + quiet
+    inputs.latency.cross_zone_ms() + demand.cross_zone_cost_ms() + silent
 }
 
-/// How much of a prompt's beginning runners have read.
-struct Read {
-    /// Runners and tokens, sorted by runner.
+/// How much of a prompt's shared prefix each runner has cached.
+struct CachedPrefixes {
+    /// Runners and cached tokens, sorted by runner.
     runners: Vec<(Key, u64)>,
-    /// Most tokens that any has read.
+    /// Longest prefix that can be copied, in tokens.
     longest: u64,
-    /// Runners that have surely read so many, the one that was used last at the end.
+    /// Runners that certainly have that prefix cached, most recently used last.
     sources: Vec<Key>,
 }
 
-impl Read {
-    fn of(known: Inputs<'_>, now: Moment, demand: &Demand) -> Self {
-        let mut read = Self {
+impl CachedPrefixes {
+    fn of(inputs: Inputs<'_>, now: Moment, demand: &Demand) -> Self {
+        let mut cached = Self {
             runners: Vec::new(),
             longest: 0,
             sources: Vec::new(),
         };
-        // The deepest part goes first, so that a runner's first entry is its longest.
+        // Longest prefix first, so that the first entry of a runner is its longest.
         for (id, tokens) in demand.shared_prefixes().into_iter().rev() {
-            let holders = known.prefixes.holders(now, id);
+            let holders = inputs.prefixes.holders(now, id);
             let here: Vec<&Holder> = holders
-                .filter(|holder| known.fleet.has_cached(now, holder.key, holder.since))
+                .filter(|holder| inputs.fleet.has_cached(now, holder.key, holder.since))
                 .collect();
             for holder in &here {
-                if let Err(at) = read.find(holder.key) {
-                    read.runners.insert(at, (holder.key, tokens));
+                if let Err(at) = cached.find(holder.key) {
+                    cached.runners.insert(at, (holder.key, tokens));
                 }
             }
-            if demand.copies_prefix && read.sources.is_empty() {
+            if demand.copies_prefix && cached.sources.is_empty() {
                 let done = here
                     .iter()
-                    .filter(|holder| now.since(holder.since) >= read_after(known.latency, tokens));
-                read.sources = done.map(|holder| holder.key).collect();
-                read.longest = if read.sources.is_empty() { 0 } else { tokens };
+                    .filter(|holder| now.since(holder.since) >= cached_after(inputs.latency, tokens));
+                cached.sources = done.map(|holder| holder.key).collect();
+                cached.longest = if cached.sources.is_empty() { 0 } else { tokens };
             }
         }
-        read
+        cached
     }
 
-    /// Whether any runner has read all of it, or is just reading it.
-    fn is_whole(&self, shared: u64) -> bool {
+    /// Whether any runner has all of it cached or is prefilling it now.
+    fn has_all(&self, shared: u64) -> bool {
         self.runners.iter().any(|(_, tokens)| *tokens == shared)
     }
 
-    /// Where a runner may copy what it does not have, or no longer has.
+    /// Runner to copy from what the chosen runner lacks or has evicted.
     ///
-    /// One of its own zone, if any has it: a copy that is asked for across a cut keeps the
-    /// request waiting for a part of a second. Another zone's only for what the runner lacks.
-    fn source_for(&self, known: Inputs<'_>, now: Moment, key: Key) -> Option<Key> {
-        let zone = |key: Key| known.fleet.get(key).map(|runner| runner.listed.zone.as_str());
+    /// A runner in the same zone is preferred: a copy across a network cut delays the request by
+    /// a fraction of a second. A runner in another zone is used only for a prefix that the chosen
+    /// runner lacks.
+    fn source_for(&self, inputs: Inputs<'_>, now: Moment, key: Key) -> Option<Key> {
+        let zone = |key: Key| inputs.fleet.get(key).map(|runner| runner.listed.zone.as_str());
         let own = zone(key)?;
         let others = self.sources.iter().rev().copied().filter(|source| *source != key);
-        if let Some(near) = others.clone().find(|source| zone(*source) == Some(own)) {
-            return Some(near);
+        if let Some(same_zone) = others.clone().find(|source| zone(*source) == Some(own)) {
+            return Some(same_zone);
         }
-        let lacks = self.kept(key) < self.longest;
-        let reached = |source: &Key| zone(*source).is_some_and(|zone| !known.fleet.is_zone_silent(now, zone));
-        others.filter(|_| lacks).find(reached)
+        let is_missing = self.cached_tokens(key) < self.longest;
+        let is_reachable =
+            |source: &Key| zone(*source).is_some_and(|zone| !inputs.fleet.is_zone_silent(now, zone));
+        others.filter(|_| is_missing).find(is_reachable)
     }
 
     fn find(&self, key: Key) -> Result<usize, usize> {
         self.runners.binary_search_by_key(&key, |(have, _)| *have)
     }
 
-    fn kept(&self, key: Key) -> u64 {
+    fn cached_tokens(&self, key: Key) -> u64 {
         self.find(key).map_or(0, |at| self.runners[at].1)
     }
 }
 
-/// Time after which a beginning that was sent to a runner has surely been read there.
-fn read_after(latency: &Latency, tokens: u64) -> Duration {
-    READ + latency.prefill(tokens, 0).mul_f64(READ_TIMES)
+/// Time after which a prefix sent to a runner is certainly cached there.
+fn cached_after(latency: &Latency, tokens: u64) -> Duration {
+    CACHED_AFTER + latency.prefill(tokens, 0).mul_f64(CACHED_AFTER_FACTOR)
 }
 
-/// Milliseconds that the connection which the request would need is worth.
-fn connecting(now: Moment, runner: &Runner, demand: &Demand) -> f64 {
-    let warm = runner.idle.is_some_and(|idle| idle.is_usable(now, demand.once));
-    if warm { 0.0 } else { CONNECTION }
+/// Cost of the connection that the request would use, in milliseconds.
+fn connection_cost_ms(now: Moment, runner: &Runner, demand: &Demand) -> f64 {
+    let has_idle = runner.idle.is_some_and(|idle| idle.is_usable(now, demand.once));
+    if has_idle { 0.0 } else { CONNECTION_MS }
 }
 
-/// The subject's home: the same on every host of the zone that knows the same runners.
+/// Home runner of the request's shared prefix; the same on all hosts of the zone that have the
+/// same list of runners.
 ///
-/// It is in the callers' zone, so that those who ask about it later find it near.
-fn home(known: Inputs<'_>, open: &[(Key, &Runner)], demand: &Demand, is_long: bool) -> Option<Key> {
-    let subject = demand.shared_prefix()?.id;
+/// A runner of the callers' zone is preferred, so that later requests with this prefix find it
+/// nearby.
+fn home(inputs: Inputs<'_>, open: &[(Key, &Runner)], demand: &Demand, is_long: bool) -> Option<Key> {
+    let prefix = demand.shared_prefix()?.id;
     let order = |runner: &Runner| {
-        let near = runner.listed.zone == known.fleet.zone;
-        let fits = runner.for_long_prompts == is_long;
-        (near, fits, weight(subject, runner.hash))
+        let same_zone = runner.listed.zone == inputs.fleet.zone;
+        let matches_kind = runner.for_long_prompts == is_long;
+        (same_zone, matches_kind, weight(prefix, runner.hash))
     };
     let home = open.iter().max_by_key(|(_, runner)| order(runner));
     home.map(|(key, _)| *key)
 }
 
-/// Plain requests are short: one of this zone with a free slot, else any.
+/// Runner for a short plain request: one in this zone that is less than half busy, or else any.
 fn nearest(now: Moment, fleet: &Fleet, open: &[(Key, &Runner)], demand: &Demand) -> Option<Key> {
-    let near: Vec<(Key, &Runner)> = open
+    let same_zone: Vec<(Key, &Runner)> = open
         .iter()
         .filter(|(_, runner)| runner.listed.zone == fleet.zone && runner.running() < runner.listed.slots / 2)
         .copied()
         .collect();
-    least(now, fleet, if near.is_empty() { open } else { &near }, demand)
+    least_loaded(
+        now,
+        fleet,
+        if same_zone.is_empty() { open } else { &same_zone },
+        demand,
+    )
 }
 
-fn least(now: Moment, fleet: &Fleet, set: &[(Key, &Runner)], demand: &Demand) -> Option<Key> {
+fn least_loaded(now: Moment, fleet: &Fleet, set: &[(Key, &Runner)], demand: &Demand) -> Option<Key> {
     let order = |key: Key, runner: &Runner| {
-        let cold = connecting(now, runner, demand) > 0.0;
-        let fails = runner.failure_rate > FAILS;
-        let quiet = fleet.is_zone_silent(now, &runner.listed.zone);
+        let needs_connection = connection_cost_ms(now, runner, demand) > 0.0;
+        let is_failing = runner.failure_rate > MAX_FAILURE_RATE;
+        let silent = fleet.is_zone_silent(now, &runner.listed.zone);
         (
-            fails,
-            quiet,
+            is_failing,
+            silent,
             runner.running(),
-            cold,
+            needs_connection,
             weight(demand.draw, u64::from(key.0)),
         )
     };
--- a/crates/core/src/proxy/prefix.rs
+++ b/crates/core/src/proxy/prefix.rs
@@ -1,95 +1,97 @@
-//! Which runners have read the beginning of which prompts, as this host saw it or
-//! was told.
+//! Index of the runners that have each prompt prefix cached, from this host's requests and from
+//! packets of other hosts.
 //!
-//! A prompt is a chain of parts; requests share its first ones. Each part stands for the
-//! chain up to it.
+//! A prompt is a chain of segments, of which requests share the first ones. The id of a segment
+//! identifies the whole prefix up to its end.
 
 use std::time::Duration;
 
 use super::fleet::Key;
 use crate::time::Moment;
 
-/// Time after its last use for which a beginning counts as kept; engines drop the least
-/// recently used.
-const KEPT: Duration = Duration::from_secs(20);
-/// Most parts remembered; the least recently used go first.
-const MOST: usize = 8_192;
-/// Most runners remembered for a part: a short one that all requests of a class share is
-/// soon read everywhere, and copies of it are dear to nobody.
-const HOLDERS: usize = 64;
+/// Time after its last use for which a prefix counts as cached; engines evict the least recently
+/// used.
+const CACHED_FOR: Duration = Duration::from_secs(20);
+/// Maximum number of prefixes in the index; the least recently used are dropped first.
+const MAX_PREFIXES: usize = 8_192;
+/// Maximum number of runners per prefix. A short prefix that all requests of a class share is
+/// soon cached on every runner, and copying it saves little.
+const MAX_HOLDERS: usize = 64;
 
 plain! {
-    /// A runner that has read a beginning.
+    /// A runner that has a prefix cached.
     #[derive(Copy)]
     pub struct Holder {
-        /// The runner.
+        /// Key of the runner.
         pub key: Key,
-        /// When it was first sent there.
+        /// When the prefix was first sent there.
         pub since: Moment,
-        /// When it was sent there last.
+        /// When the prefix was last sent there.
         pub used: Moment,
     }
 }
 
 plain! {
-    struct Part {
+    struct Row {
         id: u64,
         used: Moment,
-        /// The one that was used last at the end.
+        /// Most recently used last.
         holders: Vec<Holder>,
     }
 }
 
-/// Parts by id.
+/// Runners by prefix id.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
-    parts: Vec<Part>,
+    rows: Vec<Row>,
 }
 
 impl Index {
-    /// Runners that have read the chain up to a part lately.
-    pub fn holders(&self, now: Moment, part: u64) -> impl Iterator<Item = &Holder> {
-        let found = self.parts.binary_search_by_key(&part, |have| have.id);
-        let holders = found.map_or(&[][..], |at| &self.parts[at].holders);
-        holders.iter().filter(move |holder| now.since(holder.used) < KEPT)
+    /// Runners to which a prefix was sent recently.
+    pub fn holders(&self, now: Moment, prefix: u64) -> impl Iterator<Item = &Holder> {
+        let found = self.rows.binary_search_by_key(&prefix, |have| have.id);
+        let holders = found.map_or(&[][..], |at| &self.rows[at].holders);
+        holders
+            .iter()
+            .filter(move |holder| now.since(holder.used) < CACHED_FOR)
     }
 
-    /// A request with the part goes to a runner.
-    pub fn note(&mut self, now: Moment, part: u64, key: Key) {
-        let at = match self.parts.binary_search_by_key(&part, |have| have.id) {
+    /// Records that a request with the prefix goes to a runner.
+    pub fn note(&mut self, now: Moment, prefix: u64, key: Key) {
+        let at = match self.rows.binary_search_by_key(&prefix, |have| have.id) {
             Ok(at) => at,
             Err(at) => {
-                let new = Part {
-                    id: part,
+                let new = Row {
+                    id: prefix,
                     used: now,
                     holders: Vec::new(),
                 };
-                self.parts.insert(at, new);
+                self.rows.insert(at, new);
                 at
             }
         };
-        self.parts[at].note(now, key);
-        if self.parts.len() > MOST {
-            self.forget();
+        self.rows[at].note(now, key);
+        if self.rows.len() > MAX_PREFIXES {
+            self.evict();
         }
     }
 
-    /// Drops the older half.
-    fn forget(&mut self) {
-        let mut used: Vec<Moment> = self.parts.iter().map(|part| part.used).collect();
+    /// Drops the less recently used half.
+    fn evict(&mut self) {
+        let mut used: Vec<Moment> = self.rows.iter().map(|row| row.used).collect();
         used.sort_unstable();
         let middle = used[used.len() / 2];
-        self.parts.retain(|part| part.used >= middle);
+        self.rows.retain(|row| row.used >= middle);
     }
 }
 
-impl Part {
+impl Row {
     fn note(&mut self, now: Moment, key: Key) {
         self.used = now;
-        self.holders.retain(|holder| now.since(holder.used) < KEPT);
+        self.holders.retain(|holder| now.since(holder.used) < CACHED_FOR);
         let known = self.holders.iter().position(|holder| holder.key == key);
         let since = known.map_or(now, |at| self.holders.remove(at).since);
-        if self.holders.len() == HOLDERS {
+        if self.holders.len() == MAX_HOLDERS {
             self.holders.remove(0);
         }
         self.holders.push(Holder {
--- a/crates/core/src/proxy/regression.rs
+++ b/crates/core/src/proxy/regression.rs
@@ -1,19 +1,19 @@
-//! A straight line through noisy samples, by least squares.
+//! Linear regression by weighted least squares.
 //!
-//! Newer samples weigh more. Until there are enough, and in directions in which the
-//! samples do not differ, the figures assumed at the start hold.
+//! Newer samples weigh more. The priors hold until there are enough samples, and for features
+//! that do not vary in them.
 
-/// Samples over which the weight of one falls to a third.
-const MEMORY: f64 = 250.0;
-/// Most by which one sample may differ from what was expected, as a part of it: a request
-/// that met a queue nobody knew of says little of its runner.
-const STRAY: f64 = 1.0;
+/// Number of samples over which the weight of a sample falls to about a third.
+const MEMORY_SAMPLES: f64 = 250.0;
+/// Maximum deviation of a sample from its prediction, relative to the prediction. A request that
+/// met an unknown queue says little about its runner.
+const MAX_DEVIATION: f64 = 1.0;
 
 /// Coefficients of `N` features.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Regression<const N: usize> {
     prior: [f64; N],
-    /// Weight of what is prior, as that of so many samples in which the feature is 1.
+    /// Weight of each prior, as a number of samples in which the feature is 1.
     prior_weight: [f64; N],
     squares: [[f64; N]; N],
     products: [f64; N],
@@ -21,7 +21,7 @@
 }
 
 impl<const N: usize> Regression<N> {
-    /// A line of which only the assumed coefficients are known.
+    /// Starts with the given priors as coefficients.
     pub fn new(prior: [f64; N], prior_weight: [f64; N]) -> Self {
         Self {
             prior,
@@ -37,18 +37,18 @@
         self.coefficients[feature]
     }
 
-    /// What is expected where the features have these values.
+    /// Predicted value for the given features.
     pub fn predict(&self, features: &[f64; N]) -> f64 {
         let terms = self.coefficients.iter().zip(features);
         terms.map(|(coefficient, value)| coefficient * value).sum()
     }
 
-    /// Takes in a sample; `weight` is 1 for one that is as good as any.
+    /// Adds a sample; an ordinary one has the weight 1.
     pub fn observe(&mut self, features: &[f64; N], value: f64, weight: f64) {
         let expected = self.predict(features);
-        let stray = expected.abs() * STRAY;
-        let value = value.clamp(expected - stray, expected + stray);
-        let kept = 1.0 - 1.0 / MEMORY;
+        let deviation = expected.abs() * MAX_DEVIATION;
+        let value = value.clamp(expected - deviation, expected + deviation);
+        let kept = 1.0 - 1.0 / MEMORY_SAMPLES;
         for row in 0..N {
             for column in 0..N {
                 let square = &mut self.squares[row][column];
@@ -60,7 +60,7 @@
         self.solve();
     }
 
-    /// Solves the normal equations by elimination; what is assumed makes them regular.
+    /// Solves the normal equations by elimination; the priors keep them regular.
     fn solve(&mut self) {
         let mut left = self.squares;
         let mut right = self.products;
