--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -356,7 +356,7 @@
         let engines = table.services().iter().filter(|service| service.engine.is_some());
         for service in engines {
             let flow = self.flow(now, &service.name);
-            let allowed_gap = partition::allowed_pause(&table, &service.name);
+            let allowed_gap = partition::allowed_event_gap(&table, &service.name);
             let partition = self.partitions.get_or_default(&service.name);
             partition.update(
                 self.latencies.get_or_default(&service.name),
@@ -387,7 +387,7 @@
         self.meter
             .add(now, &demand.service, choice.prefill_us, choice.is_long);
         for (id, tokens) in demand.shared_prefixes() {
-            self.prefixes.note(now, id, choice.key);
+            self.prefixes.record(now, id, choice.key);
             if tokens >= MIN_ANNOUNCED_TOKENS {
                 self.announce(id, choice.key);
             }
@@ -465,7 +465,7 @@
         }
         for cached in &packet.prefixes {
             if let Some(key) = self.fleet.find_by_hash(cached.runner) {
-                self.prefixes.note(now, cached.prefix, key);
+                self.prefixes.record(now, cached.prefix, key);
             }
         }
         self.peers.receive(now, me, packet, &mut self.fleet, self.hosts);
--- a/crates/core/src/proxy/partition.rs
+++ b/crates/core/src/proxy/partition.rs
@@ -74,7 +74,7 @@
 }
 
 /// Smallest event gap that any route to a service allows.
-pub fn allowed_pause(table: &Table, service: &str) -> Duration {
+pub fn allowed_event_gap(table: &Table, service: &str) -> Duration {
     let routes = table.routes().iter().filter(|route| route.uses(service));
     routes
         .filter_map(|route| route.max_event_gap)
--- a/crates/core/src/proxy/prefix.rs
+++ b/crates/core/src/proxy/prefix.rs
@@ -57,7 +57,7 @@
     }
 
     /// Records that a request with the prefix goes to a runner.
-    pub fn note(&mut self, now: Moment, prefix: u64, key: Key) {
+    pub fn record(&mut self, now: Moment, prefix: u64, key: Key) {
         let at = match self.rows.binary_search_by_key(&prefix, |have| have.id) {
             Ok(at) => at,
             Err(at) => {
@@ -70,7 +70,7 @@
                 at
             }
         };
-        self.rows[at].note(now, key);
+        self.rows[at].record(now, key);
         if self.rows.len() > MAX_PREFIXES {
             self.evict();
         }
@@ -86,7 +86,7 @@
 }
 
 impl Row {
-    fn note(&mut self, now: Moment, key: Key) {
+    fn record(&mut self, now: Moment, key: Key) {
         self.used = now;
         self.holders.retain(|holder| now.since(holder.used) < CACHED_FOR);
         let known = self.holders.iter().position(|holder| holder.key == key);
--- a/tests/suite/proxy/placement.rs
+++ b/tests/suite/proxy/placement.rs
@@ -172,7 +172,7 @@
         let demand = demand(12_000, 5);
         let choice = choose(&fleet, &memory, at(1), &demand, &[]).expect("one");
         fleet.start_request(choice.key, choice.prefill_us, demand.kv_tokens());
-        memory.note(at(1), 5, choice.key);
+        memory.record(at(1), 5, choice.key);
         used.push(choice.key);
     }
     used.sort_unstable();
