--- a/crates/core/src/proxy/backoff.rs
+++ b/crates/core/src/proxy/backoff.rs
@@ -1,30 +1,30 @@
-//! Pauses after rounds that failed, for a shell that draws.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
 /// First pause.
-const FIRST: Duration = Duration::from_millis(150);
-/// Longest pause, so that hosts which the store turns away for its rate do not keep it
-/// there.
-const MOST: Duration = Duration::from_millis(600);
+const MIN_PAUSE: Duration = Duration::from_millis(150);
+/// Maximum pause; long enough that hosts which the store rejects for their request rate
+/// do not keep it at its limit.
+const MAX_PAUSE: Duration = Duration::from_millis(600);
 
-/// Pauses that double with each failure in a row.
+/// Pauses that double with each consecutive failure.
 #[derive(Debug, Default)]
 pub struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// Pause after one more failure, spread by a draw: hosts that fail together must not
-    /// come back together.
+    /// Pause after one more failure. `draw` adds jitter, so that hosts which failed together do
+    /// not retry together.
     pub fn pause(&mut self, draw: u32) -> Duration {
-        let pause = FIRST * 2u32.saturating_pow(self.failures);
+        let pause = MIN_PAUSE * 2u32.saturating_pow(self.failures);
         self.failures = (self.failures + 1).min(4);
-        let spread = 0.5 + f64::from(draw) / f64::from(u32::MAX);
-        pause.min(MOST).mul_f64(spread)
+        let jitter = 0.5 + f64::from(draw) / f64::from(u32::MAX);
+        pause.min(MAX_PAUSE).mul_f64(jitter)
     }
 
-    /// A round succeeded.
+    /// Resets the pause after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/core/src/proxy/budget.rs
+++ b/crates/core/src/proxy/budget.rs
@@ -1,8 +1,7 @@
-//! The budget of repeats that all hosts share without talking.
+//! Retry budgets, enforced on all hosts together without communication.
 //!
-//! Each host spends its own requests times the ratio and its part of the
-//! slack, so that the sum over all hosts stays inside the bound. A retry storm
-//! after an outage ends here.
+//! Each host may retry the given ratio of its own requests, plus its part of the slack, so the
+//! sum over all hosts stays within the bound. This limits retry storms after an outage.
 
 use std::collections::VecDeque;
 
@@ -10,73 +9,73 @@
 use super::services::Services;
 use crate::time::Moment;
 
-/// Width of one count.
-const STEP_US: u64 = 500_000;
-/// Part of the bound that is spent: windows slide, and counts are taken in
-/// steps of half a second, a twentieth of the usual window.
-const PART: f64 = 0.8;
-/// Hosts that may be alive without being known: one that has just started,
-/// and one that is thought dead.
+/// Width of one bucket, in microseconds.
+const BUCKET_US: u64 = 500_000;
+/// Share of the bound that is used. The window slides, but requests are counted in buckets of
+/// half a second, a twentieth of the usual window.
+const USED_SHARE: f64 = 0.8;
+/// Hosts that may be alive but unknown: one that has just started, and one that is considered
+/// dead.
 const UNKNOWN_HOSTS: u32 = 1;
 
 plain! {
     #[derive(Default)]
-    struct Step {
+    struct Bucket {
         at: u64,
         requests: u32,
-        repeats: u32,
+        retries: u32,
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct Service {
-    steps: VecDeque<Step>,
+    buckets: VecDeque<Bucket>,
 }
 
 impl Service {
-    fn step(&mut self, now: Moment) -> &mut Step {
-        let at = now.mono / STEP_US;
-        if self.steps.back().is_none_or(|step| step.at != at) {
-            self.steps.push_back(Step {
+    fn bucket(&mut self, now: Moment) -> &mut Bucket {
+        let at = now.mono / BUCKET_US;
+        if self.buckets.back().is_none_or(|bucket| bucket.at != at) {
+            self.buckets.push_back(Bucket {
                 at,
-                ..Step::default()
+                ..Bucket::default()
             });
         }
-        self.steps.back_mut().expect("one was just added")
+        self.buckets.back_mut().expect("one was just added")
     }
 
-    fn forget(&mut self, now: Moment, window_s: u64) {
-        let oldest = (now.mono / STEP_US).saturating_sub(window_s * 1_000_000 / STEP_US);
-        while self.steps.front().is_some_and(|step| step.at < oldest) {
-            self.steps.pop_front();
+    fn expire(&mut self, now: Moment, window_s: u64) {
+        let oldest = (now.mono / BUCKET_US).saturating_sub(window_s * 1_000_000 / BUCKET_US);
+        while self.buckets.front().is_some_and(|bucket| bucket.at < oldest) {
+            self.buckets.pop_front();
         }
     }
 }
 
-/// What each service may still get in repeats.
+/// Retry budgets by service.
 #[derive(Clone, Debug, Default)]
 pub struct Budgets {
     services: Services<Service>,
 }
 
 impl Budgets {
-    /// Counts a request of a caller for a service.
+    /// Counts a caller's request to a service.
     pub fn count(&mut self, now: Moment, service: &str) {
-        self.services.get_or_default(service).step(now).requests += 1;
+        self.services.get_or_default(service).bucket(now).requests += 1;
     }
 
-    /// Takes a repeat if one is left.
+    /// Takes one retry from a service's budget, if any is left.
     pub fn take(&mut self, now: Moment, service: &str, bounds: &Bounds, hosts: u32) -> bool {
         let service = self.services.get_or_default(service);
-        service.forget(now, bounds.repeat_window_s);
-        let requests: u32 = service.steps.iter().map(|step| step.requests).sum();
-        let repeats: u32 = service.steps.iter().map(|step| step.repeats).sum();
+        service.expire(now, bounds.repeat_window_s);
+        let requests: u32 = service.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = service.buckets.iter().map(|bucket| bucket.retries).sum();
         let slack = bounds.repeat_slack / f64::from(hosts.max(1) + UNKNOWN_HOSTS);
-        let allowed = PART * (f64::from(requests) * bounds.repeat_ratio + slack);
-        if f64::from(repeats + 1) > allowed {
+        let allowed = USED_SHARE * (f64::from(requests) * bounds.repeat_ratio + slack);
+        if f64::from(retries + 1) > allowed {
             return false;
         }
-        service.step(now).repeats += 1;
+        service.bucket(now).retries += 1;
         true
     }
 }
--- a/crates/core/src/proxy/clock.rs
+++ b/crates/core/src/proxy/clock.rs
@@ -1,13 +1,13 @@
-//! WallClock time that ignores jumps of the time of day.
+//! Wall clock that ignores adjustments of the system time.
 //!
-//! Usage windows are cut in true time, but a host's time of day may jump by
-//! seconds and back. Counted on the jumped clock, starts would land in the
-//! wrong window. The clock is read once and carried on by the steady one.
+//! Usage windows are bounded by real time, but a host's system time may jump by seconds and back,
+//! which would count requests in the wrong window. This clock reads the system time once and then
+//! advances with the monotonic clock.
 
 use crate::time::Moment;
 
 plain! {
-    /// Offset of civil time to the steady clock.
+    /// System time at a fixed offset to the monotonic clock.
     #[derive(Copy, Default)]
     pub struct WallClock {
         offset_ms: Option<i64>,
@@ -22,7 +22,7 @@
         (steady + offset).max(0) as u64
     }
 
-    /// Number of the window of `length_s` seconds that `now` falls into.
+    /// Number of the window of `length_s` seconds that contains `now`.
     pub fn window_number(&mut self, now: Moment, length_s: u64) -> u64 {
         self.unix_ms(now) / (length_s * 1_000).max(1)
     }
--- a/crates/core/src/proxy/delta.rs
+++ b/crates/core/src/proxy/delta.rs
@@ -1,89 +1,89 @@
-//! A text as its difference to a former one.
+//! Difference between two versions of a text.
 //!
-//! Documents are rows of fields, and a change mostly touches one row of thousands. Both
-//! texts are cut behind each closing brace; what the former one has as well is named by
-//! its place, the rest is sent.
+//! Documents consist of rows, and most changes affect one row of thousands. Both texts are split
+//! after each closing brace. Rows of the old text are referenced by their offset; other rows are
+//! included.
 
 use prost::Message;
 
 use crate::id::digest;
 
-/// Where texts are cut.
+/// Last character of a row.
 const ROW_END: char = '}';
 
-/// Makes the new text out of the former one.
+/// Instructions that build the new text from the old one.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Delta {
-    /// Steps, in order.
+    /// Instructions in order.
     #[prost(message, repeated, tag = "1")]
     pub steps: Vec<Step>,
     /// Hash of the new text.
     #[prost(fixed64, tag = "2")]
-    pub sum: u64,
+    pub checksum: u64,
 }
 
-/// A piece of the former text, and what follows it.
+/// Copies a range of the old text and then appends a literal.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Step {
-    /// First byte in the former text.
+    /// Offset of the range in the old text, in bytes.
     #[prost(uint64, tag = "1")]
-    pub from: u64,
-    /// Bytes that are copied.
+    pub offset: u64,
+    /// Length of the range, in bytes.
     #[prost(uint64, tag = "2")]
     pub length: u64,
-    /// What is new behind them.
+    /// Text to append after the range.
     #[prost(string, tag = "3")]
-    pub then: String,
+    pub literal: String,
 }
 
 impl Delta {
-    /// The difference between two texts.
-    pub fn between(former: &str, new: &str) -> Self {
-        let rows = index(former);
+    /// Computes the difference between two texts.
+    pub fn between(old: &str, new: &str) -> Self {
+        let rows = index(old);
         let mut steps = vec![Step::default()];
         for row in new.split_inclusive(ROW_END) {
-            // There is always a last step.
+            // `steps` is never empty.
             let Some(last) = steps.last_mut() else { continue };
-            let end = (last.from + last.length) as usize;
-            if last.then.is_empty() && former[end..].starts_with(row) {
+            let end = (last.offset + last.length) as usize;
+            if last.literal.is_empty() && old[end..].starts_with(row) {
                 last.length += row.len() as u64;
-            } else if let Some(from) = find(&rows, former, row) {
+            } else if let Some(offset) = find(&rows, old, row) {
                 steps.push(Step {
-                    from,
+                    offset,
                     length: row.len() as u64,
-                    then: String::new(),
+                    literal: String::new(),
                 });
             } else {
-                last.then.push_str(row);
+                last.literal.push_str(row);
             }
         }
         Self {
             steps,
-            sum: digest(new.as_bytes()),
+            checksum: digest(new.as_bytes()),
         }
     }
 
-    /// The new text; none if `former` is not the text that it was made for.
-    pub fn apply(&self, former: &str) -> Option<String> {
+    /// Builds the new text; `None` if `old` is not the text that the difference was made for.
+    pub fn apply(&self, old: &str) -> Option<String> {
         let mut new = String::new();
         for step in &self.steps {
-            let end = step.from.checked_add(step.length)?;
-            new.push_str(former.get(usize::try_from(step.from).ok()?..usize::try_from(end).ok()?)?);
-            new.push_str(&step.then);
+            let end = step.offset.checked_add(step.length)?;
+            new.push_str(old.get(usize::try_from(step.offset).ok()?..usize::try_from(end).ok()?)?);
+            new.push_str(&step.literal);
         }
-        (digest(new.as_bytes()) == self.sum).then_some(new)
+        (digest(new.as_bytes()) == self.checksum).then_some(new)
     }
 }
 
-/// Hash and place of each row, sorted.
+/// Hash and offset of each row, sorted by hash.
 fn index(text: &str) -> Vec<(u64, u64)> {
-    let mut from = 0;
-    let place = |row: &str| {
-        let place = (digest(row.as_bytes()), from);
-        from += row.len() as u64;
-        place
+    let mut offset = 0;
+    let locate = |row: &str| {
+        let position = (digest(row.as_bytes()), offset);
+        offset += row.len() as u64;
+        position
     };
-    let mut rows: Vec<(u64, u64)> = text.split_inclusive(ROW_END).map(place).collect();
+    let mut rows: Vec<(u64, u64)> = text.split_inclusive(ROW_END).map(locate).collect();
     rows.sort_unstable();
     rows
 }
@@ -91,6 +91,6 @@
 fn find(rows: &[(u64, u64)], text: &str, row: &str) -> Option<u64> {
     let hash = digest(row.as_bytes());
     let at = rows.partition_point(|(have, _)| *have < hash);
-    let (have, from) = rows.get(at)?;
-    (*have == hash && text[*from as usize..].starts_with(row)).then_some(*from)
+    let (have, offset) = rows.get(at)?;
+    (*have == hash && text[*offset as usize..].starts_with(row)).then_some(*offset)
 }
--- a/crates/core/src/proxy/fleet.rs
+++ b/crates/core/src/proxy/fleet.rs
@@ -1,7 +1,7 @@
-//! Runners as one host believes them to be.
+//! Runners as seen by one host.
 //!
-//! The list in the store is the base. What this host sees first-hand (refused
-//! connections, another instance at an address) goes before it.
+//! The list of runners in the store is the base. What this host observes itself, such as refused
+//! connections or another instance at an address, overrides it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,93 +14,97 @@
 pub use runner::{Attempt, Idle, Listed, Liveness, Load, Runner, Stage};
 
 key! {
-    /// A runner in the fleet.
+    /// Index of a runner in the fleet.
     Key(u32)
 }
 
-/// A pause of the store's answers past which entries may have lapsed in it.
-/// Runners renew theirs three times before one lapses, so a shorter pause
-/// cannot remove a live runner's entry.
-const AWAY: Duration = Duration::from_millis(2_500);
-/// How long a missing entry means nothing after the store has come back: live
-/// runners are listed again within two seconds, and a read may be a moment old.
-const RETURN: Duration = Duration::from_millis(2_300);
-/// First rest of a runner that could not be reached.
-const REST: Duration = Duration::from_millis(400);
-/// Longest rest; a runner that is back serves again within this time.
-const REST_MOST: Duration = Duration::from_secs(4);
-/// Unreachable runners of one zone after which the whole zone rests.
-const ZONE_SIGNS: usize = 2;
-/// Rest of a zone that seems cut off; short, as its runners are tried again one
-/// by one then.
-const ZONE_REST: Duration = Duration::from_millis(800);
-/// Time without a word from a runner after which the path to it is looked at; a loaded
-/// engine seldom takes longer for a first event.
-const DOUBT: Duration = Duration::from_millis(800);
-/// Rest of a runner that said it was full.
-const FULL_REST: Duration = Duration::from_millis(150);
-
-/// All runners.
+/// Gap between answers of the store from which entries may have expired in it. Runners renew
+/// their entry three times per lease, so a shorter gap cannot expire the entry of a live runner.
+const OUTAGE: Duration = Duration::from_millis(2_500);
+/// Time after an outage of the store during which a missing entry is ignored: live runners are
+/// listed again within two seconds, and a read may be a moment old.
+const RECOVERY: Duration = Duration::from_millis(2_300);
+/// Backoff after the first failure to reach a runner.
+const MIN_BACKOFF: Duration = Duration::from_millis(400);
+/// Maximum backoff; a runner that has recovered gets requests again within this time.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
+/// Number of unreachable runners in a zone from which the whole zone is avoided.
+const ZONE_FAILURES: usize = 2;
+/// Time for which a zone is avoided that seems cut off; short, as its runners are then tried
+/// again one by one.
+const ZONE_BACKOFF: Duration = Duration::from_millis(800);
+/// Silence after which the path to a runner is checked; even a loaded engine seldom needs longer
+/// for a first event.
+const PROBE_AFTER: Duration = Duration::from_millis(800);
+/// Backoff of a runner that refused a request because it was full.
+const FULL_BACKOFF: Duration = Duration::from_millis(150);
+
+/// All runners that were ever listed.
 #[derive(Debug)]
 pub struct Fleet {
-    /// This host's zone.
+    /// Zone of this host.
     pub zone: String,
     arena: Vec<Runner>,
     ids: Vec<(String, Key)>,
     hashes: Vec<(u64, Key)>,
-    listed: Option<Moment>,
-    back: Option<Moment>,
-    /// Zones that cannot be reached, and until when they rest.
-    cut: Vec<(String, Moment)>,
-    /// Zones of other hosts, and when they go quiet unless one is heard again.
-    quiet: Vec<(String, Moment)>,
+    last_list: Option<Moment>,
+    recovered_at: Option<Moment>,
+    /// Zones to avoid, and until when.
+    avoided_zones: Vec<(String, Moment)>,
+    /// Zones of other hosts, and when each counts as silent unless it is heard again.
+    silent_zones: Vec<(String, Moment)>,
 }
 
 impl Fleet {
-    /// An empty fleet, seen from a zone.
+    /// An empty fleet for a host in the given zone.
     pub fn new(zone: &str) -> Self {
         Self {
             zone: zone.to_string(),
             arena: Vec::new(),
             ids: Vec::new(),
             hashes: Vec::new(),
-            listed: None,
-            back: None,
-            cut: Vec::new(),
-            quiet: Vec::new(),
+            last_list: None,
+            recovered_at: None,
+            avoided_zones: Vec::new(),
+            silent_zones: Vec::new(),
         }
     }
 
     /// Whether the list was ever read.
     pub fn is_listed(&self) -> bool {
-        self.listed.is_some()
+        self.last_list.is_some()
     }
 
-    /// Takes the whole list, as read by a question that left at `sent`.
-    /// Returns the addresses at which another process now listens, so that
-    /// connections to the former one are void.
+    /// Replaces the list of runners with the answer to a read that was sent at `sent`. Returns
+    /// the addresses at which another process now listens; connections to the previous process
+    /// are invalid.
     ///
-    /// A missing entry means that the runner is gone, unless the store was
-    /// away: then the entries of live runners may have lapsed, and dropping
-    /// them would leave nobody to serve. They count as present until the store
-    /// has been back for long enough to list them again.
+    /// A runner without an entry is gone, except after an outage of the store: entries of live
+    /// runners may have expired, and dropping these runners would leave no one to serve requests.
+    /// They count as present until the store has been back long enough for them to register
+    /// again.
     pub fn update(&mut self, sent: Moment, items: Vec<Listed>) -> Vec<SocketAddr> {
-        // The first list of a process brings no such doubt: what lapsed before is not in it,
-        // and an entry that is goes for good when it is removed.
-        if self.listed.is_some_and(|last| sent.since(last) >= AWAY) {
-            self.back = Some(sent);
+        // Does not apply to the first list after a start: entries that expired before are not in
+        // it, and an entry that is in it and later missing was removed.
+        if self.last_list.is_some_and(|last| sent.since(last) >= OUTAGE) {
+            self.recovered_at = Some(sent);
         }
-        self.listed = Some(sent);
-        let returning = self.back.is_some_and(|back| sent.since(back) < RETURN);
-        if !returning {
+        self.last_list = Some(sent);
+        let is_recovering = self
+            .recovered_at
+            .is_some_and(|recovered_at| sent.since(recovered_at) < RECOVERY);
+        if !is_recovering {
             for runner in &mut self.arena {
                 runner.present = false;
             }
         }
-        items.into_iter().flat_map(|item| self.take(sent, item)).collect()
+        items
+            .into_iter()
+            .flat_map(|item| self.update_runner(sent, item))
+            .collect()
     }
 
-    fn take(&mut self, sent: Moment, item: Listed) -> Vec<SocketAddr> {
+    fn update_runner(&mut self, sent: Moment, item: Listed) -> Vec<SocketAddr> {
         let found = self.ids.binary_search_by(|(id, _)| id.as_str().cmp(&item.id));
         let at = match found {
             Ok(at) => at,
@@ -113,22 +117,22 @@
         let key = self.ids[at].1;
         let runner = &mut self.arena[key.index()];
         let same = runner.listed.address == item.address && runner.listed.started_ms == item.started_ms;
-        let former = runner.listed.address;
+        let previous = runner.listed.address;
         runner.present = true;
         runner.listed = item;
         if same {
             return Vec::new();
         }
         runner.replaced = false;
-        runner.rest = Moment::default();
+        runner.retry_at = Moment::default();
         runner.failures = 0;
         runner.failure_rate = 0.0;
         runner.slowdown = 1.0;
-        runner.since = sent;
-        vec![former, runner.listed.address]
+        runner.first_seen = sent;
+        vec![previous, runner.listed.address]
     }
 
-    fn add(&mut self, at: usize, since: Moment, listed: Listed) {
+    fn add(&mut self, at: usize, first_seen: Moment, listed: Listed) {
         let key = Key(self.arena.len() as u32);
         self.ids.insert(at, (listed.id.clone(), key));
         let hash = digest(listed.id.as_bytes());
@@ -145,20 +149,20 @@
             idle: None,
             present: true,
             replaced: false,
-            rest: Moment::default(),
+            retry_at: Moment::default(),
             failures: 0,
-            since,
-            heard: Moment::default(),
-            lost: None,
+            first_seen,
+            last_contact: Moment::default(),
+            path_lost_at: None,
         });
     }
 
-    /// A runner by key.
+    /// Runner by key.
     pub fn get(&self, key: Key) -> Option<&Runner> {
         self.arena.get(key.index())
     }
 
-    /// A runner by id.
+    /// Key by id.
     pub fn find(&self, id: &str) -> Option<Key> {
         let at = self
             .ids
@@ -167,7 +171,7 @@
         Some(self.ids[at].1)
     }
 
-    /// A runner by the hash of its id.
+    /// Key by the hash of the id.
     pub fn find_by_hash(&self, hash: u64) -> Option<Key> {
         let at = self.hashes.binary_search_by_key(&hash, |(have, _)| *have).ok()?;
         Some(self.hashes[at].1)
@@ -179,162 +183,168 @@
         keys.zip(&self.arena)
     }
 
-    /// Runners of a service that take new work.
+    /// Runners of a service that can be sent new requests.
     pub fn available<'a>(&'a self, now: Moment, service: &'a str) -> impl Iterator<Item = (Key, &'a Runner)> {
         let own = move |runner: &Runner| runner.listed.service == service && runner.is_available(now);
-        let near = move |runner: &Runner| !self.is_cut(now, &runner.listed.zone);
-        // A zone that seems cut off is better than none.
-        let any = self.arena.iter().any(|runner| own(runner) && near(runner));
+        let is_near = move |runner: &Runner| !self.is_avoided(now, &runner.listed.zone);
+        // If all zones seem cut off, they are tried anyway.
+        let any = self.arena.iter().any(|runner| own(runner) && is_near(runner));
         self.runners()
-            .filter(move |(_, runner)| own(runner) && (!any || near(runner)))
+            .filter(move |(_, runner)| own(runner) && (!any || is_near(runner)))
     }
 
-    /// Whether a runner still keeps what it first read at `since`.
+    /// Whether a runner can be used and has not restarted since `since`, when it got a prefix.
     pub fn has_cached(&self, now: Moment, key: Key, since: Moment) -> bool {
         let runner = self.get(key);
-        runner.is_some_and(|runner| runner.is_available(now) && runner.since <= since)
+        runner.is_some_and(|runner| runner.is_available(now) && runner.first_seen <= since)
     }
 
-    /// The same, to change what is believed of it.
+    /// Mutable runner by key.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut Runner> {
         self.arena.get_mut(key.index())
     }
 
-    /// All runners, to divide them.
+    /// All runners, mutable, to reserve them for long or short prompts.
     pub fn runners_mut(&mut self) -> &mut [Runner] {
         &mut self.arena
     }
 
-    /// Middle of how far the runners of a service lag behind.
+    /// Median slowdown of a service's runners.
     pub fn median_slowdown(&self, service: &str) -> f64 {
         let own = self
             .arena
             .iter()
             .filter(|runner| runner.is_listed() && runner.listed.service == service);
-        let mut lags: Vec<f64> = own.map(|runner| runner.slowdown).collect();
-        if lags.is_empty() {
+        let mut slowdowns: Vec<f64> = own.map(|runner| runner.slowdown).collect();
+        if slowdowns.is_empty() {
             return 1.0;
         }
-        let middle = lags.len() / 2;
-        *lags.select_nth_unstable_by(middle, f64::total_cmp).1
+        let middle = slowdowns.len() / 2;
+        *slowdowns.select_nth_unstable_by(middle, f64::total_cmp).1
     }
 
-    /// Whether a zone seems cut off from this host.
-    fn is_cut(&self, now: Moment, zone: &str) -> bool {
-        self.cut
+    /// Whether a zone is avoided because it seems cut off.
+    fn is_avoided(&self, now: Moment, zone: &str) -> bool {
+        self.avoided_zones
             .iter()
             .any(|(have, until)| have == zone && !now.reached(*until))
     }
 
-    /// A host of a zone was heard; the next word is due within `limit`.
+    /// Records a packet from a host of a zone; the next one is due within `limit`.
     pub fn record_zone_contact(&mut self, now: Moment, zone: &str, limit: Duration) {
         let until = now + limit;
-        match self.quiet.binary_search_by(|(have, _)| have.as_str().cmp(zone)) {
-            Ok(at) => self.quiet[at].1 = until,
-            Err(at) => self.quiet.insert(at, (zone.to_string(), until)),
+        match self
+            .silent_zones
+            .binary_search_by(|(have, _)| have.as_str().cmp(zone))
+        {
+            Ok(at) => self.silent_zones[at].1 = until,
+            Err(at) => self.silent_zones.insert(at, (zone.to_string(), until)),
         }
     }
 
-    /// Whether nothing comes from the hosts of another zone any more.
+    /// Whether the hosts of another zone have gone silent.
     ///
-    /// A cut gives no sign: each request that crosses it costs the time-out of a connection,
-    /// and each copy that a runner asks for across it a part of a second. The silence of a
-    /// zone's hosts shows it sooner than either. It is no proof, so it only counts as cost.
+    /// A network cut gives no error: each request across it costs a connection timeout, and each
+    /// copy that a runner requests across it a fraction of a second. Silence of the zone's hosts
+    /// shows the cut sooner than either. It is only an indication, so it adds to a runner's cost
+    /// and does not exclude it.
     pub fn is_zone_silent(&self, now: Moment, zone: &str) -> bool {
-        let found = self.quiet.binary_search_by(|(have, _)| have.as_str().cmp(zone));
-        zone != self.zone && found.is_ok_and(|at| now.reached(self.quiet[at].1))
+        let found = self
+            .silent_zones
+            .binary_search_by(|(have, _)| have.as_str().cmp(zone));
+        zone != self.zone && found.is_ok_and(|at| now.reached(self.silent_zones[at].1))
     }
 
-    /// Takes note of a runner of another zone that could not be reached.
+    /// Counts a failure to reach a runner of another zone, and avoids the zone if there are
+    /// several.
     ///
-    /// When a zone is cut off, each of its runners would cost one request the
-    /// time-out of a connection, and a caller that meets four of them is
-    /// refused. After the second one the zone rests as a whole.
-    fn suspect(&mut self, now: Moment, zone: &str) {
+    /// When a zone is cut off, each of its runners would cost one request a connection timeout,
+    /// and a caller that hits four of them is refused. After the second runner, the whole zone is
+    /// avoided.
+    fn record_unreachable(&mut self, now: Moment, zone: &str) {
         if zone == self.zone {
             return;
         }
-        let resting = self
-            .arena
-            .iter()
-            .filter(|runner| runner.listed.zone == zone && runner.is_listed() && !now.reached(runner.rest));
-        if resting.count() < ZONE_SIGNS {
+        let unreachable = self.arena.iter().filter(|runner| {
+            runner.listed.zone == zone && runner.is_listed() && !now.reached(runner.retry_at)
+        });
+        if unreachable.count() < ZONE_FAILURES {
             return;
         }
-        self.cut.retain(|(have, _)| have != zone);
-        self.cut.push((zone.to_string(), now + ZONE_REST));
+        self.avoided_zones.retain(|(have, _)| have != zone);
+        self.avoided_zones.push((zone.to_string(), now + ZONE_BACKOFF));
     }
 
-    /// Tells which idle connection to a runner would be used next.
+    /// Sets the idle connection that would be used next.
     pub fn set_idle(&mut self, key: Key, idle: Option<Idle>) {
         if let Some(runner) = self.get_mut(key) {
             runner.idle = idle;
         }
     }
 
-    /// A request goes to a runner: `work` microseconds to read, `held` tokens in its memory.
-    pub fn start_request(&mut self, key: Key, work: u64, held: u64) {
+    /// Counts a request on a runner, with its prefill work and the KV cache that it will occupy.
+    pub fn start_request(&mut self, key: Key, prefill_us: u64, kv_tokens: u64) {
         if let Some(runner) = self.get_mut(key) {
             runner.local_load.running += 1;
-            runner.local_load.prefill_us += work;
-            runner.local_load.kv_tokens += held;
+            runner.local_load.prefill_us += prefill_us;
+            runner.local_load.kv_tokens += kv_tokens;
         }
     }
 
-    /// The runner has read the prompt: the first token came.
-    pub fn finish_prefill(&mut self, key: Key, work: u64) {
+    /// Removes the prefill work of a request whose first token has come.
+    pub fn finish_prefill(&mut self, key: Key, prefill_us: u64) {
         if let Some(runner) = self.get_mut(key) {
-            runner.local_load.prefill_us = runner.local_load.prefill_us.saturating_sub(work);
+            runner.local_load.prefill_us = runner.local_load.prefill_us.saturating_sub(prefill_us);
         }
     }
 
-    /// The request is over; `work` was not yet read.
-    pub fn finish_request(&mut self, key: Key, work: u64, held: u64) {
+    /// Removes a finished request; `prefill_us` is the prefill work that was not done.
+    pub fn finish_request(&mut self, key: Key, prefill_us: u64, kv_tokens: u64) {
         if let Some(runner) = self.get_mut(key) {
             runner.local_load.running = runner.local_load.running.saturating_sub(1);
-            runner.local_load.prefill_us = runner.local_load.prefill_us.saturating_sub(work);
-            runner.local_load.kv_tokens = runner.local_load.kv_tokens.saturating_sub(held);
+            runner.local_load.prefill_us = runner.local_load.prefill_us.saturating_sub(prefill_us);
+            runner.local_load.kv_tokens = runner.local_load.kv_tokens.saturating_sub(kv_tokens);
         }
     }
 
-    /// A runner has answered something, or taken a connection.
+    /// Records an answer or an accepted connection.
     pub fn record_contact(&mut self, now: Moment, key: Key) {
         if let Some(runner) = self.get_mut(key) {
-            runner.heard = now;
+            runner.last_contact = now;
         }
     }
 
-    /// What a request that was sent at `sent` makes of its runner's silence.
+    /// Decides what a request that was sent at `sent` should do about its runner's silence.
     ///
-    /// A cut path gives no sign, and looks like a runner that takes its time. Many requests
-    /// may wait for one runner; one of them asks, so that a runner with a long queue does
-    /// not have to take a connection for each, and all learn what came of it.
+    /// A network cut gives no error and looks like a slow runner. Many requests may wait for one
+    /// runner, so only one of them probes it and the others use the result; a runner with a long
+    /// queue does not have to accept a connection for each.
     pub fn liveness(&mut self, now: Moment, key: Key, sent: Moment) -> Liveness {
         let Some(runner) = self.get_mut(key) else {
             return Liveness::PathLost;
         };
-        if runner.lost.is_some_and(|lost| lost.reached(sent)) {
+        if runner.path_lost_at.is_some_and(|lost| lost.reached(sent)) {
             return Liveness::PathLost;
         }
-        let quiet = now.since(runner.heard).min(now.since(sent));
-        if quiet < DOUBT {
-            return Liveness::Recent(DOUBT - quiet);
+        let silence = now.since(runner.last_contact).min(now.since(sent));
+        if silence < PROBE_AFTER {
+            return Liveness::Recent(PROBE_AFTER - silence);
         }
-        runner.heard = now;
+        runner.last_contact = now;
         Liveness::Silent
     }
 
-    /// Replaces what other hosts have on each runner, by the hash of its id.
+    /// Replaces the load from other hosts, looked up by the hash of the runner's id.
     pub fn set_peer_loads(&mut self, of: impl Fn(u64) -> Load) {
         for runner in &mut self.arena {
             runner.peer_load = of(runner.hash);
         }
     }
 
-    /// Takes first-hand news of a runner.
+    /// Records the result of an attempt at a runner.
     ///
-    /// The list lags by seconds behind a crash. Without the rest each request
-    /// would try the dead runner anew.
+    /// The list lags seconds behind a crash. Without the backoff, each request would try the dead
+    /// runner again.
     pub fn record_attempt(&mut self, now: Moment, key: Key, sign: Attempt) {
         let Some(runner) = self.get_mut(key) else {
             return;
@@ -344,25 +354,26 @@
             Attempt::Succeeded | Attempt::Failed => {
                 runner.failures = 0;
                 runner.record_result(sign == Attempt::Failed);
-                self.cut.retain(|(have, _)| *have != zone);
+                self.avoided_zones.retain(|(have, _)| *have != zone);
             }
-            Attempt::Full => runner.rest = now + FULL_REST,
+            Attempt::Full => runner.retry_at = now + FULL_BACKOFF,
             Attempt::Replaced => runner.replaced = true,
             Attempt::Unreachable | Attempt::PathLost => {
                 if sign == Attempt::PathLost {
-                    runner.lost = Some(now);
+                    runner.path_lost_at = Some(now);
                 }
-                runner.rest = now + (REST * 2u32.saturating_pow(runner.failures)).min(REST_MOST);
+                runner.retry_at = now + (MIN_BACKOFF * 2u32.saturating_pow(runner.failures)).min(MAX_BACKOFF);
                 runner.failures = (runner.failures + 1).min(5);
-                self.suspect(now, &zone);
+                self.record_unreachable(now, &zone);
             }
             Attempt::Broken => {
                 runner.record_result(true);
-                // One broken answer in fifty is usual on some days; only a
-                // series tells of the runner.
+                // On some days one answer in fifty is broken; only several in a row indicate a
+                // fault of the runner.
                 runner.failures = (runner.failures + 1).min(5);
                 if runner.failures >= 3 {
-                    runner.rest = now + (REST * 2u32.saturating_pow(runner.failures - 3)).min(REST_MOST);
+                    runner.retry_at =
+                        now + (MIN_BACKOFF * 2u32.saturating_pow(runner.failures - 3)).min(MAX_BACKOFF);
                 }
             }
         }
--- a/crates/core/src/proxy/fleet/runner.rs
+++ b/crates/core/src/proxy/fleet/runner.rs
@@ -1,4 +1,4 @@
-//! One runner, as the store lists it and as this host saw it.
+//! One runner: its entry in the store and the state that this host has observed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,106 +6,106 @@
 use super::super::latency::ms;
 use crate::time::Moment;
 
-/// Weight of the newest answer in the part of failures: a host sees an answer of a
-/// runner every other second, and grey runners are grey for some seconds.
-const NEWEST: f64 = 0.25;
-/// Weight of the newest answer in how far a runner lags behind, and bounds of one answer.
-const LAG_NEWEST: f64 = 0.1;
-const LAG_LEAST: f64 = 0.3;
-const LAG_MOST: f64 = 6.0;
+/// Weight of the newest answer in the failure rate. A host sees an answer of a runner every two
+/// seconds, and partial failures last for some seconds.
+const FAILURE_WEIGHT: f64 = 0.25;
+/// Weight of the newest answer in the slowdown, and limits of the ratio of a single answer.
+const SLOWDOWN_WEIGHT: f64 = 0.1;
+const MIN_SLOWDOWN: f64 = 0.3;
+const MAX_SLOWDOWN: f64 = 6.0;
 
 plain! {
-    /// Whether a runner takes new work.
+    /// Whether a runner accepts new requests.
     #[derive(Copy, Eq)]
     pub enum Stage {
-        /// It does.
+        /// It accepts new requests.
         Ready,
-        /// It is about to leave.
+        /// It is shutting down and only finishes its requests.
         Draining,
     }
 }
 
 plain! {
-    /// A runner as the store lists it.
+    /// A runner's entry in the store.
     pub struct Listed {
-        /// Its id; requests name it, as addresses are used again.
+        /// Unique id; requests name it because addresses are reused.
         pub id: String,
         /// Service that it runs.
         pub service: String,
-        /// Where it listens.
+        /// Address that it listens on.
         pub address: SocketAddr,
         /// Availability zone.
         pub zone: String,
-        /// Whether it takes new work.
+        /// Whether it accepts new requests.
         pub stage: Stage,
-        /// Requests it runs at once.
+        /// Maximum number of concurrent requests.
         pub slots: u32,
-        /// Whether it is cheap and can be taken away.
+        /// Whether it is a cheaper runner that can be reclaimed.
         pub reclaimable: bool,
-        /// Start in milliseconds since the Unix epoch; 0 if not told.
+        /// Start time in milliseconds since the Unix epoch; 0 if unknown.
         pub started_ms: u64,
     }
 }
 
 plain! {
-    /// How an attempt at a runner ended, as far as its health is concerned.
+    /// Result of an attempt at a runner, as far as it concerns the runner's health.
     #[derive(Copy, Eq)]
     pub enum Attempt {
-        /// It answered.
+        /// The runner answered.
         Succeeded,
-        /// It answered with a failure of its own.
+        /// The runner answered with an error of its own.
         Failed,
-        /// It said that it was full.
+        /// The runner refused the request because it was full.
         Full,
-        /// No connection to it came about.
+        /// No connection could be established.
         Unreachable,
-        /// It fell silent, and the path to it is cut.
+        /// The runner went silent, and the network path to it is down.
         PathLost,
-        /// It broke off, or its answer was not one.
+        /// The answer ended early or was malformed.
         Broken,
-        /// Another instance answered at its address.
+        /// Another instance answered at the runner's address.
         Replaced,
     }
 }
 
 plain! {
-    /// What a request that waits for its answer makes of its runner's silence.
+    /// What a request that waits for its answer should do about its runner's silence.
     #[derive(Copy, Eq)]
     pub enum Liveness {
-        /// The runner said something lately; look again after this time.
+        /// The runner was heard recently; check again after this time.
         Recent(Duration),
-        /// Nothing came for long: ask whether it can be reached.
+        /// The runner has been silent for long; check whether it can be reached.
         Silent,
-        /// It could not be reached since the request was sent.
+        /// The path to the runner was down at some time after the request was sent.
         PathLost,
     }
 }
 
 plain! {
-    /// A connection that waits for its next request.
+    /// An idle connection.
     #[derive(Copy)]
     pub struct Idle {
-        /// Since when.
+        /// When it became idle.
         pub since: Moment,
-        /// How long the runner keeps it.
+        /// How long the runner keeps it open.
         pub keep_alive: Duration,
     }
 }
 
-/// Kept back from the runner's idle time: its clock starts when it writes the
-/// answer, and the next request takes a while to arrive.
-const MARGIN: Duration = Duration::from_millis(700);
-/// Part of the idle time after which a request that runs at most once gets a
-/// new connection: the runner may close it just then, and nobody could tell
-/// whether the request ran.
-const ONCE_PART: u32 = 3;
+/// Safety margin of the runner's idle timeout: its timer starts when it writes the answer, and
+/// the next request takes some time to arrive.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
+/// Fraction of the idle timeout (one third) after which a request that may run at most once gets
+/// a new connection. The runner may close the old one just then, and it would be unknown whether
+/// the request ran.
+const ONCE_DIVISOR: u32 = 3;
 
 impl Idle {
-    /// Whether a request may be sent on it; `once` if it may run only once.
+    /// Whether a request may be sent on it; `once` if the request may run at most once.
     pub fn is_usable(&self, now: Moment, once: bool) -> bool {
-        let safe = self.keep_alive.saturating_sub(MARGIN);
+        let safe = self.keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
         let limit = match once {
-            true => safe.min(self.keep_alive / ONCE_PART),
+            true => safe.min(self.keep_alive / ONCE_DIVISOR),
             false => safe,
         };
         now.since(self.since) < limit
@@ -113,14 +113,14 @@
 }
 
 plain! {
-    /// What hosts have on a runner.
+    /// Load that hosts have put on a runner.
     #[derive(Copy, Default, Eq)]
     pub struct Load {
         /// Requests that run or wait there.
         pub running: u32,
-        /// Time that it has yet to read, in microseconds.
+        /// Prefill work that is not done yet, in microseconds.
         pub prefill_us: u64,
-        /// Tokens that its requests hold in memory at their end.
+        /// KV cache that the requests occupy when they end, in tokens.
         pub kv_tokens: u64,
     }
 }
@@ -128,81 +128,80 @@
 plain! {
     /// One runner.
     pub struct Runner {
-        /// As listed.
+        /// Entry in the store.
         pub listed: Listed,
-        /// Hash of its id, by which hosts name it to each other.
+        /// Hash of its id; identifies it in packets between hosts.
         pub hash: u64,
-        /// What this host has on it.
+        /// Load that this host has put on it.
         pub local_load: Load,
-        /// What other hosts have on it, as they last said.
+        /// Load that other hosts reported.
         pub peer_load: Load,
-        /// Part of its last answers to this host that were failures, newest first in
-        /// weight.
+        /// Moving average of failed answers to this host, from 0 to 1.
         pub failure_rate: f64,
-        /// How much longer than others of its service it takes; 1 for as long.
+        /// Ratio of its latency to that of its service's runners; 1 if equal.
         pub slowdown: f64,
-        /// Kept for long prompts, so that these do not delay short streams.
+        /// Whether it is reserved for long prompts, which would stall short streams.
         pub for_long_prompts: bool,
-        /// Idle connection that was used last, and how long the runner keeps it.
+        /// Idle connection that would be used next.
         pub idle: Option<Idle>,
         pub(super) present: bool,
         pub(super) replaced: bool,
-        pub(super) rest: Moment,
+        pub(super) retry_at: Moment,
         pub(super) failures: u32,
-        /// Since when it is this run of it; a former one's memory is lost.
-        pub(super) since: Moment,
-        /// When it was heard, or asked, last.
-        pub(super) heard: Moment,
-        /// When the path to it was found to be cut last.
-        pub(super) lost: Option<Moment>,
+        /// Start of the current process as first seen; a new process has an empty cache.
+        pub(super) first_seen: Moment,
+        /// When it was last heard or probed.
+        pub(super) last_contact: Moment,
+        /// When the path to it was last found to be down.
+        pub(super) path_lost_at: Option<Moment>,
     }
 }
 
 impl Runner {
-    /// Whether new work may go there.
+    /// Whether it can be sent new requests.
     pub fn is_available(&self, now: Moment) -> bool {
-        self.is_listed() && now.reached(self.rest)
+        self.is_listed() && now.reached(self.retry_at)
     }
 
-    /// Whether it takes new work, as far as the list says.
+    /// Whether the list says that it accepts new requests.
     pub fn is_listed(&self) -> bool {
         self.present && !self.replaced && self.listed.stage == Stage::Ready
     }
 
-    /// Whether it is still there and about to leave.
+    /// Whether it is listed as shutting down.
     pub fn is_leaving(&self) -> bool {
         self.present && self.listed.stage == Stage::Draining
     }
 
     pub(super) fn record_result(&mut self, failed: bool) {
-        self.failure_rate += NEWEST * (f64::from(u8::from(failed)) - self.failure_rate);
+        self.failure_rate += FAILURE_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
     }
 
-    /// Requests on it, as far as this host knows.
+    /// Requests on it from all known hosts.
     pub fn running(&self) -> u32 {
         self.local_load.running + self.peer_load.running
     }
 
-    /// Time that it has yet to read, as far as this host knows, at the usual pace.
+    /// Prefill work queued on it by all known hosts, at the speed of its service.
     pub fn backlog(&self) -> Duration {
         Duration::from_micros(self.local_load.prefill_us + self.peer_load.prefill_us)
     }
 
-    /// Whether it has yet to read that much for this host.
-    pub fn is_prefilling(&self, least: Duration) -> bool {
-        Duration::from_micros(self.local_load.prefill_us) >= least
+    /// Whether this host has at least that much prefill work queued on it.
+    pub fn is_prefilling(&self, minimum: Duration) -> bool {
+        Duration::from_micros(self.local_load.prefill_us) >= minimum
     }
 
-    /// Takes in how long it took for something, and how long is usual.
+    /// Updates the slowdown by the measured and the predicted time of one answer.
     ///
-    /// A slow engine says that it is well, and its queue looks as short as the others'.
-    pub fn record_slowdown(&mut self, took: Duration, usual: Duration) {
-        let ratio = ms(took) / ms(usual).max(1.0);
-        self.slowdown += LAG_NEWEST * (ratio.clamp(LAG_LEAST, LAG_MOST) - self.slowdown);
+    /// A slow engine reports that it is healthy, and its queue looks as short as those of the
+    /// others.
+    pub fn record_slowdown(&mut self, elapsed: Duration, expected: Duration) {
+        let ratio = ms(elapsed) / ms(expected).max(1.0);
+        self.slowdown += SLOWDOWN_WEIGHT * (ratio.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN) - self.slowdown);
     }
 
-    /// Tokens in its memory when all that runs there has ended, as far as this
-    /// host knows.
+    /// KV cache that all known requests occupy when they end, in tokens.
     pub fn kv_tokens(&self) -> u64 {
         self.local_load.kv_tokens + self.peer_load.kv_tokens
     }
--- a/crates/core/src/proxy/readers.rs
+++ b/crates/core/src/proxy/readers.rs
@@ -1,12 +1,12 @@
-//! Which hosts read the store, and whom the others ask.
+//! Choice of the hosts that read the store, and of the reader that each other host asks.
 //!
-//! Each call to the store costs, and hundreds of hosts that all read hundreds of
-//! keys twice a second would fill it. So a few hosts read, the same on every host
-//! that knows the same peers: in each availability zone those with the fastest links,
-//! as a reader moves most of what is new. Each other host asks one of them, of its own
-//! zone if there is one, for the age of its proof and for what has changed. Nobody is in
-//! charge: a host whose peer does not answer, or has no fresh proof, reads the store
-//! itself, and one that the store turns away asks a peer.
+//! Each call to the store has a cost, and hundreds of hosts that list hundreds of keys twice a
+//! second would overload it. Only a few hosts read it, and all hosts with the same list of peers
+//! choose the same ones: in each availability zone those with the fastest links, as a reader
+//! transfers most of the updates. Each other host asks one reader, in its own zone if there is
+//! one, for the age of its data and for the changes. There is no leader: a host whose peer does
+//! not answer, or has no fresh data, reads the store itself, and a host that the store refuses
+//! asks a peer.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -15,35 +15,34 @@
 use crate::id::{digest, weight};
 use crate::time::Moment;
 
-/// Hosts that read however few there are: one may die unseen for seconds.
-const LEAST: usize = 2;
-/// Other hosts for each further one that reads. A reader then answers 25 hosts
-/// twice a second; at 410 hosts 19 read, 32 calls a second of two pages each.
-const HOSTS: usize = 24;
-/// How long a host that could not help is not asked again.
-const REST: Duration = Duration::from_secs(2);
-/// Age of what a peer knows up to which it helps, whatever it knew before: a host that
-/// reads does so every 0.6 s.
-const FRESH: Duration = Duration::from_millis(750);
-/// The same where it has learnt something since it was asked last: reading thousands
-/// of keys takes a small host most of a second.
-const FRESH_ANEW: Duration = Duration::from_millis(1_300);
+/// Minimum number of readers; a dead one may go unnoticed for seconds.
+const MIN_READERS: usize = 2;
+/// Number of hosts per additional reader. A reader then answers 25 hosts twice a second. At 410
+/// hosts there are 19 readers, which make 32 calls a second of two pages each.
+const HOSTS_PER_READER: usize = 24;
+/// Time for which a host that could not help is not asked again.
+const UNRESPONSIVE_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum age of a peer's data if it is no newer than the last; readers read every 0.6 s.
+const MAX_SAME_AGE: Duration = Duration::from_millis(750);
+/// Maximum age of a peer's data if it is newer than the last; a small host takes most of a second
+/// to list thousands of keys.
+const MAX_NEW_AGE: Duration = Duration::from_millis(1_300);
 
 plain! {
-    /// A host that lives, as others know it.
+    /// A live host.
     #[derive(Copy, Eq)]
     pub struct Host {
-        /// Where peers reach it.
+        /// Address for requests from peers.
         pub address: SocketAddr,
-        /// Hash of its availability zone's name; 0 while that is not known.
+        /// Hash of the availability zone's name; 0 if unknown.
         pub zone: u64,
-        /// Bandwidth of its link, in Mbit/s; 0 while that is not known.
+        /// Bandwidth of the host's link in Mbit/s; 0 if unknown.
         pub link_mbps: u32,
     }
 }
 
 impl Host {
-    /// A host that has not told yet where it is.
+    /// A host whose zone and bandwidth are not known yet.
     pub fn unlocated(address: SocketAddr) -> Self {
         Self {
             address,
@@ -54,34 +53,34 @@
 }
 
 plain! {
-    /// Where a host learns what is new.
+    /// Where a host gets its updates from.
     #[derive(Copy, Eq)]
     pub enum Source {
         /// The store.
         Store,
-        /// A peer.
+        /// The peer at this address.
         Peer(SocketAddr),
     }
 }
 
-/// One host's choice among its peers.
+/// One host's choice of peers to ask.
 #[derive(Clone, Debug, Default)]
 pub struct Readers {
-    resting: Vec<(SocketAddr, Moment)>,
+    paused: Vec<(SocketAddr, Moment)>,
 }
 
-/// Whether a peer's word is good enough not to ask the store; `as_of` is the moment of
-/// its knowledge, `before` that of what was known before.
+/// Whether a peer's answer is recent enough to skip the store. `as_of` is the moment of its data,
+/// `before` that of the data known before.
 ///
-/// A peer that the store no longer answers goes on answering others. By its age alone
-/// its word was taken twice more, and runners that had left got requests for 2.1 s.
+/// A peer that has lost the store keeps answering. When its answers were accepted by their age
+/// alone, two more of them counted as fresh, and runners that had left got requests for 2.1 s.
 pub fn is_recent(now: Moment, as_of: Moment, before: Option<Moment>) -> bool {
-    let anew = before.is_none_or(|before| as_of.since(before) > Duration::ZERO);
-    now.since(as_of) < if anew { FRESH_ANEW } else { FRESH }
+    let is_newer = before.is_none_or(|before| as_of.since(before) > Duration::ZERO);
+    now.since(as_of) < if is_newer { MAX_NEW_AGE } else { MAX_SAME_AGE }
 }
 
 impl Readers {
-    /// Where to look first. `hosts` are all that live, `me` among them.
+    /// Source to ask first. `hosts` are all live hosts, including `me`.
     pub fn preferred(&mut self, now: Moment, me: SocketAddr, hosts: &[Host]) -> Source {
         if is_reader(me, hosts) {
             return Source::Store;
@@ -90,45 +89,45 @@
             .map_or(Source::Store, Source::Peer)
     }
 
-    /// Any host that is not resting, another one for each that asks.
+    /// Any peer that is not paused, different for each host that asks.
     pub fn any_peer(&mut self, now: Moment, me: SocketAddr, hosts: &[Host]) -> Option<SocketAddr> {
         self.nearest(now, me, hosts, hosts)
     }
 
-    /// Whom to ask when the store does not answer: another reader, else any host,
-    /// as the store may turn away all that read and serve others.
+    /// Peer to ask if the store does not answer: another reader, or else any host, as the store
+    /// may refuse all readers while it serves other hosts.
     pub fn fallback(&mut self, now: Moment, me: SocketAddr, hosts: &[Host]) -> Option<SocketAddr> {
         let readers = readers(hosts);
         self.nearest(now, me, hosts, &readers)
             .or_else(|| self.nearest(now, me, hosts, hosts))
     }
 
-    /// A host did not answer, or did not know more.
+    /// Pauses a host that did not answer or had nothing newer.
     pub fn mark_unresponsive(&mut self, now: Moment, host: SocketAddr) {
-        self.resting.retain(|(have, _)| *have != host);
-        self.resting.push((host, now + REST));
+        self.paused.retain(|(have, _)| *have != host);
+        self.paused.push((host, now + UNRESPONSIVE_PAUSE));
     }
 
-    /// The host of `among` that serves this one, of its own zone if there is any.
+    /// Host of `among` for this host by rendezvous hashing, in its own zone if there is one.
     fn nearest(&mut self, now: Moment, me: SocketAddr, hosts: &[Host], among: &[Host]) -> Option<SocketAddr> {
-        self.resting.retain(|(_, until)| !now.reached(*until));
+        self.paused.retain(|(_, until)| !now.reached(*until));
         let own = rank(&me);
         let zone = find(me, hosts).map_or(0, |host| host.zone);
-        let rests = |host: &Host| self.resting.iter().any(|(have, _)| *have == host.address);
-        let others = among.iter().filter(|host| host.address != me && !rests(host));
+        let is_paused = |host: &Host| self.paused.iter().any(|(have, _)| *have == host.address);
+        let others = among.iter().filter(|host| host.address != me && !is_paused(host));
         let nearest = others.max_by_key(|host| (host.zone == zone, weight(rank(&host.address), own)));
         nearest.map(|host| host.address)
     }
 }
 
-/// Whether a host reads the store; so does one that is not known to live yet.
+/// Whether a host reads the store. A host that is not in the list of live hosts yet does.
 pub fn is_reader(me: SocketAddr, hosts: &[Host]) -> bool {
     find(me, hosts).is_none() || find(me, &readers(hosts)).is_some()
 }
 
-/// The hosts that read, the same on every host that knows the same ones.
+/// The readers; the same on all hosts with the same list of live hosts.
 fn readers(hosts: &[Host]) -> Vec<Host> {
-    let most = LEAST + hosts.len() / HOSTS;
+    let count = MIN_READERS + hosts.len() / HOSTS_PER_READER;
     let key = |host: &Host| (host.zone, Reverse(host.link_mbps), rank(&host.address));
     let mut hosts: Vec<_> = hosts.iter().map(|host| (key(host), *host)).collect();
     hosts.sort_unstable_by_key(|(key, _)| *key);
@@ -137,7 +136,7 @@
         placed.extend(zone.iter().enumerate());
     }
     placed.sort_unstable_by_key(|(place, ((_, link, rank), _))| (*place, *link, *rank));
-    placed.truncate(most);
+    placed.truncate(count);
     placed.into_iter().map(|(_, (_, host))| *host).collect()
 }
 
--- a/crates/core/src/proxy/refresh.rs
+++ b/crates/core/src/proxy/refresh.rs
@@ -1,46 +1,46 @@
-//! When a host asks for the operator's document, and by which question.
+//! Schedule of a host's requests for the operator's document.
 //!
-//! A host that reads the store asks in each round whether its version still stands. The
-//! others hear that from their peers, and ask the store when they have heard nothing for
-//! too long. Whoever knows that it lacks a text reads it at once.
+//! A host that reads the store asks in each round whether its version is still the newest. Other
+//! hosts learn this from their peers, and ask the store if they get no confirmation for too long.
+//! A host that knows of a newer text reads it at once.
 
 use std::time::Duration;
 
 use super::backoff::Backoff;
 
-/// Time between the beginnings of two rounds. Withdrawn routes must stop within
-/// two seconds, also where the word of a peer that has read something new is lost:
-/// its round, one's own, and an answer that is lost fit in.
+/// Time between the starts of two rounds. Withdrawn routes must stop within two seconds, even if
+/// the notice of a peer that has read a change is lost. That leaves time for the peer's round,
+/// for one of this host, and for one lost answer.
 pub const ROUND_INTERVAL: Duration = Duration::from_millis(600);
-/// Age of the proof past which a host that hears nothing from its peers asks the store:
-/// a reader's round and its own. A reader with a slow link may be reading a new text.
-const UNHEARD: Duration = Duration::from_millis(1_300);
-/// Shortest time between two looks at the age.
-const LEAST: Duration = Duration::from_millis(50);
-/// Pause while the store answers this host nothing. The listing asks again sooner, and its
+/// Age at which a host without confirmations from its peers asks the store: one round of a reader
+/// and one of its own. A reader with a slow link may still be reading a new text.
+const MAX_UNCONFIRMED_AGE: Duration = Duration::from_millis(1_300);
+/// Minimum time between two checks of the age.
+const MIN_WAIT: Duration = Duration::from_millis(50);
+/// Pause while the store does not answer this host at all. The listing retries sooner, and its
 /// first answer ends the pause.
-const AWAY: Duration = Duration::from_millis(1_200);
+const OUTAGE_PAUSE: Duration = Duration::from_millis(1_200);
 
 plain! {
-    /// What a host knows of its document.
+    /// State of a host's copy of the document.
     #[derive(Copy, Eq)]
     pub struct Status {
-        /// Whether it reads the store for others.
+        /// Whether the host reads the store on behalf of others.
         pub is_reader: bool,
-        /// Whether it lacks a text that is known to stand.
+        /// Whether a newer text is known to exist but has not been read.
         pub is_behind: bool,
-        /// Age of its proof, if there is one.
+        /// Time since the copy was confirmed to be current; `None` if it never was.
         pub age: Option<Duration>,
     }
 }
 
 plain! {
-    /// What is to be done next.
+    /// Next action of the I/O layer.
     #[derive(Copy, Eq)]
     pub enum Step {
-        /// Nothing for that long.
+        /// Wait for this long.
         Wait(Duration),
-        /// Ask whether the version still stands.
+        /// Ask the store whether the version is still current.
         Revalidate,
         /// Read the text.
         Fetch,
@@ -48,56 +48,56 @@
 }
 
 plain! {
-    /// Why a question brought nothing.
+    /// Why a request failed.
     #[derive(Copy, Eq)]
     pub enum Failure {
-        /// The store refused it, or was not reached.
+        /// The store refused the request or could not be reached.
         Refused,
-        /// Its answer was lost.
+        /// The answer was lost.
         Lost,
     }
 }
 
-/// One host's questions, one after the other.
+/// Sequence of one host's requests.
 #[derive(Debug, Default)]
 pub struct Schedule {
     backoff: Backoff,
-    /// Whether the last question for the version got no answer.
+    /// Whether the last request to revalidate got no answer.
     unanswered: bool,
 }
 
 impl Schedule {
-    /// What is to be done now.
+    /// Next action for the given state.
     pub fn step(&self, status: Status) -> Step {
         let age = status.age.unwrap_or(Duration::MAX);
         if status.is_behind {
             return Step::Fetch;
         }
-        if !status.is_reader && age < UNHEARD {
-            return Step::Wait((UNHEARD - age).max(LEAST));
+        if !status.is_reader && age < MAX_UNCONFIRMED_AGE {
+            return Step::Wait((MAX_UNCONFIRMED_AGE - age).max(MIN_WAIT));
         }
-        // The question for the version is a change to the store, whose answers may be lost
-        // one after the other; a read is answered, if with the whole text.
+        // Revalidation is a write to the store, and the answers to several writes in a row may be
+        // lost. A read gets an answer, though with the whole text.
         match self.unanswered {
             true => Step::Fetch,
             false => Step::Revalidate,
         }
     }
 
-    /// The question was answered after `took`; the pause before the next look.
+    /// Records an answer that came after `took`; returns the pause before the next step.
     pub fn answered(&mut self, took: Duration) -> Duration {
         self.backoff.reset();
         self.unanswered = false;
         ROUND_INTERVAL.saturating_sub(took)
     }
 
-    /// The question brought nothing; the pause before the next one, spread by a draw.
-    /// `is_away`: the store answers this host nothing at all.
+    /// Records a failed request; returns the pause before the next one, with jitter from `draw`.
+    /// `is_away` is true if the store does not answer this host at all.
     pub fn failed(&mut self, step: Step, failure: Failure, is_away: bool, draw: u32) -> Duration {
         self.unanswered = step == Step::Revalidate && failure == Failure::Lost;
         let pause = self.backoff.pause(draw);
         match is_away {
-            true => pause.max(AWAY),
+            true => pause.max(OUTAGE_PAUSE),
             false => pause,
         }
     }
