--- a/crates/core/src/proxy/gossip.rs
+++ b/crates/core/src/proxy/gossip.rs
@@ -1,8 +1,8 @@
-//! Load on runners as the hosts tell each other.
+//! Load reports between hosts.
 //!
-//! Each host sends what it has on each runner, several times a second, to all
-//! others. A packet replaces what it said before; a lost datagram costs one
-//! interval. A host that falls silent is forgotten, as its requests end with it.
+//! Each host sends its load on each runner to all other hosts, several times a second. A packet
+//! replaces the host's previous one, so a lost datagram costs one interval. A host that goes
+//! silent is dropped, as its requests have ended with it.
 
 use std::time::Duration;
 
@@ -12,23 +12,24 @@
 use crate::id::{Incarnation, digest};
 use crate::time::Moment;
 
-/// Time between packets where few hosts talk.
+/// Time between packets if there are few hosts.
 pub const INTERVAL: Duration = Duration::from_millis(200);
-/// Hosts up to which the interval is kept; with more it slows down in proportion, so
-/// that a host hears no more than 50 datagrams a second.
-const FEW: u32 = 10;
-/// Packets of which one goes to other zones as well, where there are more hosts.
-const FAR_EVERY: u64 = 4;
-/// Packets between two usage records.
+/// Number of hosts up to which that interval holds. With more it grows in proportion, so that a
+/// host receives at most 50 datagrams a second.
+const FULL_RATE_HOSTS: u32 = 10;
+/// One in this many packets is sent to other zones as well, if there are
+/// more than [`FULL_RATE_HOSTS`] hosts.
+const CROSS_ZONE_EVERY: u64 = 4;
+/// Number of packets per usage record.
 const RECORD_EVERY: u64 = 5;
-/// Packets to other zones between two usage records.
-const RECORD_EVERY_FAR: u64 = 3;
-/// Intervals after which a zone from whose hosts nothing comes may be cut off.
-const QUIET: u32 = 3;
-/// Intervals after which a silent host is forgotten.
-const SILENT: u32 = 8;
+/// Number of packets to other zones per usage record.
+const CROSS_ZONE_RECORD_EVERY: u64 = 3;
+/// Intervals without a packet after which a zone may be cut off.
+const ZONE_SILENCE_INTERVALS: u32 = 3;
+/// Intervals without a packet after which a host is dropped.
+const HOST_SILENCE_INTERVALS: u32 = 8;
 
-/// What one host has on one runner.
+/// Load of one host on one runner.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Load {
     /// Hash of the runner's id.
@@ -37,30 +38,30 @@
     /// Requests that run or wait there.
     #[prost(uint32, tag = "2")]
     pub running: u32,
-    /// Time that it has yet to read, in microseconds.
+    /// Prefill work that is not done yet, in microseconds.
     #[prost(uint64, tag = "5")]
     pub prefill_us: u64,
-    /// Tokens that its requests hold in memory at their end.
+    /// KV cache that the requests occupy when they end, in tokens.
     #[prost(uint64, tag = "4")]
     pub kv_tokens: u64,
 }
 
-/// Work that one host sends to a service.
+/// Rate of prefill work that one host sends to a service.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Flow {
     /// Hash of the service's name.
     #[prost(fixed64, tag = "1")]
     pub service: u64,
-    /// Reading time of the last seconds, in microseconds a second.
+    /// Prefill work over the last seconds, in microseconds per second.
     #[prost(uint64, tag = "3")]
     pub rate: u64,
-    /// Part of it for long prompts.
+    /// Part of it for long prompts, in microseconds per second.
     #[prost(uint64, tag = "4")]
     pub long: u64,
 }
 
 impl Flow {
-    /// Both together.
+    /// Sum of two rates for the same service.
     pub fn plus(self, other: &Flow) -> Self {
         Self {
             service: self.service,
@@ -70,10 +71,10 @@
     }
 }
 
-/// A runner that reads the beginning of prompts about a subject.
+/// A prompt prefix and a runner that it was sent to.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct CachedPrefix {
-    /// Id of the part that the prompts share.
+    /// Id of the prefix.
     #[prost(fixed64, tag = "1")]
     pub prefix: u64,
     /// Hash of the runner's id.
@@ -81,34 +82,34 @@
     pub runner: u64,
 }
 
-/// What one host has on all runners.
+/// Load report of one host.
 #[derive(Clone, PartialEq, Message)]
 pub struct Packet {
-    /// Who says it.
+    /// Run of the sender.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// Rises with each; an older one that comes late says nothing.
+    /// Sequence number; packets that arrive out of order are ignored.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// Runners on which it has anything.
+    /// Load on each runner that has any.
     #[prost(message, repeated, tag = "3")]
     pub loads: Vec<Load>,
-    /// What it sends to each service.
+    /// Prefill work that it sends to each service.
     #[prost(message, repeated, tag = "5")]
     pub flows: Vec<Flow>,
-    /// Its usage record, in some of its packets.
+    /// Usage record; empty in most packets.
     #[prost(bytes = "vec", tag = "4")]
     pub record: Vec<u8>,
-    /// Long beginnings that it has sent since its last packet, and where.
+    /// Long prefixes that it has sent to runners since its last packet.
     #[prost(message, repeated, tag = "7")]
     pub prefixes: Vec<CachedPrefix>,
     /// Availability zone of the sender.
     #[prost(string, tag = "8")]
     pub zone: String,
-    /// Says only that the sender has just read something new in the store.
+    /// Set in a packet that only says that the sender has read a change from the store.
     #[prost(bool, tag = "6")]
     pub change_hint: bool,
-    /// Beside a nudge: version of the operator's document that the sender has.
+    /// With `change_hint`: version of the sender's document.
     #[prost(uint64, tag = "9")]
     pub document_version: u64,
     /// Bandwidth of the sender's link, in Mbit/s.
@@ -116,69 +117,81 @@
     pub link_mbps: u32,
 }
 
-/// Time between packets among `hosts`.
+/// Time between packets for this number of hosts.
 pub fn interval(hosts: u32) -> Duration {
-    INTERVAL * hosts.div_ceil(FEW).max(1)
+    INTERVAL * hosts.div_ceil(FULL_RATE_HOSTS).max(1)
 }
 
-/// Time between the packets of a host that has so many others in its zone, itself included.
+/// Time between packets within a zone of `near` hosts, including the sender.
 ///
-/// Most of a zone's requests stay there, so it is the zone's own load that has to be known
-/// well. With hundreds of hosts, telling all of them alike made news seconds old.
+/// Most requests of a zone stay in it, so the load of its own hosts has to be recent. With
+/// hundreds of hosts, sending to all of them equally often made reports seconds old.
 pub fn zone_interval(near: u32, hosts: u32) -> Duration {
     interval(near.min(hosts))
 }
 
-/// Whether the packet of this number goes to the hosts of other zones as well.
-pub fn is_cross_zone(number: u64, hosts: u32) -> bool {
-    hosts <= FEW || number.is_multiple_of(FAR_EVERY)
+/// Whether the packet with this sequence number is sent to other zones as well.
+pub fn is_cross_zone(sequence: u64, hosts: u32) -> bool {
+    hosts <= FULL_RATE_HOSTS || sequence.is_multiple_of(CROSS_ZONE_EVERY)
 }
 
-/// Whether the packet of this number carries the usage record.
-pub fn has_record(number: u64) -> bool {
-    number.is_multiple_of(RECORD_EVERY)
+/// Whether the packet with this sequence number includes the usage record.
+pub fn has_record(sequence: u64) -> bool {
+    sequence.is_multiple_of(RECORD_EVERY)
 }
 
-/// The same of a packet that goes to other zones.
-pub fn has_record_cross_zone(number: u64, hosts: u32) -> bool {
-    match hosts <= FEW {
-        true => has_record(number),
-        false => number.is_multiple_of(FAR_EVERY * RECORD_EVERY_FAR),
+/// Whether the packet with this sequence number includes the usage record when it is sent to
+/// other zones.
+pub fn has_record_cross_zone(sequence: u64, hosts: u32) -> bool {
+    match hosts <= FULL_RATE_HOSTS {
+        true => has_record(sequence),
+        false => sequence.is_multiple_of(CROSS_ZONE_EVERY * CROSS_ZONE_RECORD_EVERY),
     }
 }
 
 #[derive(Clone, Debug)]
 struct Peer {
-    heard: Moment,
+    received: Moment,
     packet: Packet,
 }
 
-/// What all other hosts said last.
+/// Latest packet of each other host.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
     peers: Vec<Peer>,
 }
 
 impl Peers {
-    /// Takes a packet in.
+    /// Adds a packet and updates the fleet's load.
     pub fn receive(&mut self, now: Moment, me: Incarnation, packet: Packet, fleet: &mut Fleet, hosts: u32) {
         if packet.incarnation == me.0 {
             return;
         }
-        fleet.record_zone_contact(now, &packet.zone, interval(hosts) * QUIET);
+        fleet.record_zone_contact(now, &packet.zone, interval(hosts) * ZONE_SILENCE_INTERVALS);
         let found = self
             .peers
             .binary_search_by_key(&packet.incarnation, |peer| peer.packet.incarnation);
         match found {
             Ok(at) if self.peers[at].packet.sequence >= packet.sequence => return,
-            Ok(at) => self.peers[at] = Peer { heard: now, packet },
-            Err(at) => self.peers.insert(at, Peer { heard: now, packet }),
+            Ok(at) => {
+                self.peers[at] = Peer {
+                    received: now,
+                    packet,
+                }
+            }
+            Err(at) => self.peers.insert(
+                at,
+                Peer {
+                    received: now,
+                    packet,
+                },
+            ),
         }
-        self.forget(now, hosts);
-        self.sum(fleet);
+        self.drop_silent(now, hosts);
+        self.apply_loads(fleet);
     }
 
-    /// Work that the other hosts send to a service.
+    /// Prefill work that the other hosts send to a service.
     pub fn flow(&self, service: &str) -> Flow {
         let service = digest(service.as_bytes());
         let flows = self.peers.iter().flat_map(|peer| &peer.packet.flows);
@@ -193,13 +206,13 @@
         )
     }
 
-    /// Forgets hosts that fell silent.
-    fn forget(&mut self, now: Moment, hosts: u32) {
-        let limit = interval(hosts) * SILENT;
-        self.peers.retain(|peer| now.since(peer.heard) < limit);
+    /// Drops hosts that have gone silent.
+    fn drop_silent(&mut self, now: Moment, hosts: u32) {
+        let limit = interval(hosts) * HOST_SILENCE_INTERVALS;
+        self.peers.retain(|peer| now.since(peer.received) < limit);
     }
 
-    fn sum(&self, fleet: &mut Fleet) {
+    fn apply_loads(&self, fleet: &mut Fleet) {
         let mut loads: Vec<Load> = self
             .peers
             .iter()
@@ -218,8 +231,8 @@
     }
 }
 
-/// What this host tells.
-pub fn packet(me: Incarnation, number: u64, fleet: &Fleet, flows: Vec<Flow>) -> Packet {
+/// Builds this host's load report.
+pub fn packet(me: Incarnation, sequence: u64, fleet: &Fleet, flows: Vec<Flow>) -> Packet {
     let loads = fleet
         .runners()
         .filter(|(_, runner)| runner.local_load.running > 0)
@@ -231,7 +244,7 @@
         });
     Packet {
         incarnation: me.0,
-        sequence: number,
+        sequence,
         loads: loads.collect(),
         flows,
         record: Vec::new(),
@@ -243,28 +256,28 @@
     }
 }
 
-/// Span over which a host measures what it sends.
-const SPAN_MS: u64 = 2_000;
-/// Parts of the span.
-const PARTS: u64 = 8;
+/// Length of the window over which a host measures its rate, in milliseconds.
+const RATE_WINDOW_MS: u64 = 2_000;
+/// Number of buckets in that window.
+const BUCKETS: u64 = 8;
 
-/// What this host sends to each service.
+/// Rate of prefill work that this host sends to each service.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
-    services: Vec<(u64, Vec<Sum>)>,
+    services: Vec<(u64, Vec<Bucket>)>,
 }
 
-/// Work of one part of the span, in microseconds.
+/// Prefill work in one bucket, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sum {
-    part: u64,
+struct Bucket {
+    index: u64,
     all: u64,
     long: u64,
 }
 
 impl Meter {
-    /// Counts work that was sent, in microseconds of reading.
-    pub fn add(&mut self, now: Moment, service: &str, work: u64, is_long: bool) {
+    /// Adds prefill work that was sent, in microseconds.
+    pub fn add(&mut self, now: Moment, service: &str, prefill_us: u64, is_long: bool) {
         let service = digest(service.as_bytes());
         let at = match self.services.binary_search_by_key(&service, |(have, _)| *have) {
             Ok(at) => at,
@@ -273,37 +286,39 @@
                 at
             }
         };
-        let part = part(now);
-        let sums = &mut self.services[at].1;
-        sums.retain(|sum| sum.part + PARTS > part);
-        if sums.last().is_none_or(|sum| sum.part != part) {
-            sums.push(Sum {
-                part,
-                ..Sum::default()
+        let index = bucket_index(now);
+        let buckets = &mut self.services[at].1;
+        buckets.retain(|bucket| bucket.index + BUCKETS > index);
+        if buckets.last().is_none_or(|bucket| bucket.index != index) {
+            buckets.push(Bucket {
+                index,
+                ..Bucket::default()
             });
         }
-        if let Some(sum) = sums.last_mut() {
-            sum.all += work;
-            sum.long += if is_long { work } else { 0 };
+        if let Some(bucket) = buckets.last_mut() {
+            bucket.all += prefill_us;
+            bucket.long += if is_long { prefill_us } else { 0 };
         }
     }
 
-    /// Work a second by service.
+    /// Current rate for each service.
     pub fn flows(&self, now: Moment) -> Vec<Flow> {
-        let oldest = (part(now) + 1).saturating_sub(PARTS);
-        let flows = self.services.iter().map(|(service, sums)| {
-            let young = sums.iter().filter(|sum| sum.part >= oldest);
-            let (all, long) = young.fold((0, 0), |(all, long), sum| (all + sum.all, long + sum.long));
+        let oldest = (bucket_index(now) + 1).saturating_sub(BUCKETS);
+        let flows = self.services.iter().map(|(service, buckets)| {
+            let recent = buckets.iter().filter(|bucket| bucket.index >= oldest);
+            let (all, long) = recent.fold((0, 0), |(all, long), bucket| {
+                (all + bucket.all, long + bucket.long)
+            });
             Flow {
                 service: *service,
-                rate: all * 1_000 / SPAN_MS,
-                long: long * 1_000 / SPAN_MS,
+                rate: all * 1_000 / RATE_WINDOW_MS,
+                long: long * 1_000 / RATE_WINDOW_MS,
             }
         });
         flows.collect()
     }
 }
 
-fn part(now: Moment) -> u64 {
-    now.mono / 1_000 / (SPAN_MS / PARTS)
+fn bucket_index(now: Moment) -> u64 {
+    now.mono / 1_000 / (RATE_WINDOW_MS / BUCKETS)
 }
--- a/crates/core/src/proxy/mirror.rs
+++ b/crates/core/src/proxy/mirror.rs
@@ -1,15 +1,15 @@
-//! The store's keys as one host knows them, and what has changed in them.
+//! Replica of the store's keys on one host, and the changes to them.
 //!
-//! Each host keeps all keys but the operator's [document](super::document). One that reads the store puts its pages in here, one
-//! that asks such a host puts that host's changes in. Both know then up to which
-//! revision of the store they have seen everything, and of which moment that is,
-//! so either can answer the next host that asks.
+//! Each host keeps all keys except the operator's [document](super::document). A host that reads
+//! the store adds the pages of its listings; a host that asks a peer applies the changes it gets.
+//! Each knows up to which revision of the store its replica is complete, and as of which moment,
+//! so each can answer other hosts.
 //!
-//! Pages of a listing are not one snapshot: it is complete up to the revision of its
-//! first page. A key that was written and removed between two listings is never seen
-//! by the one who lists, but may be known to the one who asks, and no removal would
-//! be told. So each answer carries a checksum over all keys of the teller; where the
-//! asker's own does not come out the same, it asks for everything.
+//! A paged listing is not a snapshot: it is complete up to the revision of its first page. A key
+//! that is written and removed between two listings is never seen by the host that lists, but the
+//! host that asks it may have the key from elsewhere and would get no removal. Each answer
+//! therefore includes a checksum over all keys of the sender. If the receiver's differs after
+//! applying the changes, it requests all keys.
 
 use std::time::Duration;
 
@@ -20,57 +20,57 @@
 use crate::store::Entry;
 use crate::time::Moment;
 
-/// Removed keys that are remembered for hosts that ask: a zone's runners, replaced
-/// as a whole, several times over.
-const GONE: usize = 1_024;
+/// Number of removals that are kept for other hosts: enough to replace all runners of a zone
+/// several times.
+const MAX_REMOVALS: usize = 1_024;
 
-/// A key as the store holds it.
+/// A key and its value.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Item {
-    /// Its name.
+    /// Name of the key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// The store's revision at its last change.
+    /// Store revision of its last change.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// What was written.
+    /// Value of the key.
     #[prost(string, tag = "3")]
     pub value: String,
 }
 
-/// A key that no longer stands.
+/// A removed key.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Removal {
-    /// Its name.
+    /// Name of the key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// A revision of the store at which it did not stand.
+    /// A store revision at which the key did not exist.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
 }
 
-/// What one host tells another that has seen everything up to some revision.
+/// Changes that one host sends to another.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Changes {
-    /// Revision up to which the teller has seen everything.
+    /// Store revision up to which the sender's replica is complete.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Microseconds since the question left that the teller's knowledge comes from.
+    /// Microseconds since the request to the store was sent that confirmed the replica.
     #[prost(uint64, tag = "2")]
     pub age_us: u64,
-    /// Keys written since.
+    /// Keys written since the requested revision.
     #[prost(message, repeated, tag = "3")]
     pub items: Vec<Item>,
-    /// Keys removed since.
+    /// Keys removed since the requested revision.
     #[prost(message, repeated, tag = "4")]
     pub removed: Vec<Removal>,
-    /// Whether the items are all keys that stand.
+    /// Whether `items` contains all keys instead.
     #[prost(bool, tag = "5")]
     pub full: bool,
-    /// Checksum over all keys that the teller knows.
+    /// Checksum over all keys of the sender.
     #[prost(fixed64, tag = "6")]
     pub checksum: u64,
-    /// The operator's document, which is not among the keys.
+    /// State of the operator's document, which is not one of the keys.
     #[prost(message, optional, tag = "7")]
     pub document: Option<Notice>,
 }
@@ -78,35 +78,35 @@
 plain! {
     /// One page of a listing.
     pub struct Page {
-        /// Key behind which it begins; empty for the first page.
+        /// Key after which the page begins; empty for the first page.
         pub after: String,
-        /// Its keys, in order.
+        /// Entries in order of their keys.
         pub entries: Vec<Entry>,
-        /// Whether there are more keys behind it.
+        /// Whether there are more keys after this page.
         pub more: bool,
-        /// The store's revision at the time.
+        /// Store revision at the time of the answer.
         pub revision: u64,
-        /// When the question left.
+        /// When the request was sent.
         pub sent: Moment,
     }
 }
 
-/// All keys, as far as they are known.
+/// Replica of the store's keys.
 #[derive(Clone, Debug, Default)]
 pub struct Mirror {
-    /// Sorted by key.
+    /// Entries sorted by key.
     entries: Vec<Entry>,
-    /// Checksum over them.
-    sum: u64,
-    /// Revision up to which everything was seen; 0 before the first listing.
+    /// Checksum over all entries.
+    checksum: u64,
+    /// Store revision up to which the replica is complete; 0 before the first listing.
     revision: u64,
-    /// Moment as of which that is so.
+    /// Moment as of which the replica is complete.
     as_of: Option<Moment>,
-    /// Oldest revision since which removals are remembered.
-    since: u64,
-    /// Removed keys, oldest revision first.
-    gone: Vec<Removal>,
-    /// First page of the listing under way.
+    /// Oldest store revision since which all removals are kept.
+    removals_since: u64,
+    /// Removals, oldest revision first.
+    removals: Vec<Removal>,
+    /// Revision and time of the first page of the listing in progress.
     listing: Option<(u64, Moment)>,
 }
 
@@ -116,35 +116,35 @@
         self.entries.len()
     }
 
-    /// Whether no key is known.
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Keys under a prefix, in order.
+    /// Entries whose key has the given prefix, in order.
     pub fn with_prefix(&self, prefix: &str) -> &[Entry] {
         let from = self.entries.partition_point(|entry| entry.key.as_str() < prefix);
         let rest = &self.entries[from..];
         &rest[..rest.partition_point(|entry| entry.key.starts_with(prefix))]
     }
 
-    /// A key, if it stands.
+    /// Entry of a key.
     pub fn find(&self, key: &str) -> Option<&Entry> {
         let at = self.entries.binary_search_by(|entry| entry.key.as_str().cmp(key));
         at.ok().map(|at| &self.entries[at])
     }
 
-    /// Revision up to which everything was seen; 0 before the first listing.
+    /// Store revision up to which the replica is complete; 0 before the first listing.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Moment as of which everything was seen.
+    /// Moment as of which the replica is complete.
     pub fn as_of(&self) -> Option<Moment> {
         self.as_of
     }
 
-    /// Takes a page in; the last one completes its listing.
+    /// Adds a page of a listing; the last page completes the listing.
     pub fn add_page(&mut self, page: Page) {
         if page.after.is_empty() {
             self.listing = Some((page.revision, page.sent));
@@ -155,92 +155,95 @@
             Some(last) => self.entries.partition_point(|have| have.key <= last.key),
             None => self.entries.len(),
         };
-        let ends = last.is_none();
-        let stands = |entry: &&Entry| {
+        let is_last = last.is_none();
+        let is_kept = |entry: &&Entry| {
             let found = page.entries.binary_search_by(|have| have.key.cmp(&entry.key));
             found.is_ok()
         };
         let old = self.entries[from..to].iter();
-        let gone: Vec<String> = old
-            .filter(|entry| !stands(entry))
+        let removed_keys: Vec<String> = old
+            .filter(|entry| !is_kept(entry))
             .map(|entry| entry.key.clone())
             .collect();
-        for key in gone {
-            self.forget(key, page.revision);
+        for key in removed_keys {
+            self.record_removal(key, page.revision);
         }
-        self.sum ^= sum(&self.entries[from..to]) ^ sum(&page.entries);
+        self.checksum ^= checksum(&self.entries[from..to]) ^ checksum(&page.entries);
         self.entries.splice(from..to, page.entries);
-        if !ends {
+        if !is_last {
             return;
         }
         if let Some((revision, sent)) = self.listing.take() {
             if self.revision == 0 {
-                // What was removed before the last page came was never seen here.
-                self.since = page.revision;
+                // Removals before the last page of the first listing are unknown.
+                self.removals_since = page.revision;
             }
-            self.see(revision, sent);
+            self.confirm(revision, sent);
         }
     }
 
-    /// What has changed after a revision, for a host that has seen everything up
-    /// to it; everything if that cannot be told, nothing before the first listing.
+    /// Changes after a revision, for a host whose replica is complete up to it. Contains all keys
+    /// if the removals since then are not known; `None` before the first listing.
     pub fn changes(&self, now: Moment, after: u64) -> Option<Changes> {
         let as_of = self.as_of?;
-        let whole = after < self.since.max(1);
-        let items = self.entries.iter().filter(|entry| whole || entry.version > after);
-        let gone = self.gone.iter().filter(|gone| !whole && gone.revision > after);
+        let full = after < self.removals_since.max(1);
+        let items = self.entries.iter().filter(|entry| full || entry.version > after);
+        let removals = self
+            .removals
+            .iter()
+            .filter(|removal| !full && removal.revision > after);
         Some(Changes {
             revision: self.revision,
             age_us: now.since(as_of).as_micros() as u64,
             items: items.map(item).collect(),
-            removed: gone.cloned().collect(),
-            full: whole,
-            checksum: self.sum,
+            removed: removals.cloned().collect(),
+            full,
+            checksum: self.checksum,
             document: None,
         })
     }
 
-    /// Takes in what another host told when it was asked at `asked` for what came
-    /// after [`revision`](Self::revision); false if everything must be asked for.
+    /// Applies the answer to a request for the changes after [`revision`](Self::revision) that
+    /// was sent at `asked`. Returns false if all keys have to be requested.
     ///
-    /// The answer may have been under way for long, or have lain in a process that
-    /// was frozen. The age it tells is counted back from the moment of the
-    /// question, which errs on the old side by all such delays.
+    /// The answer may have been delayed on the network or in a frozen process. The age in it is
+    /// subtracted from the time of the request, so any delay makes the replica appear older,
+    /// never newer.
     pub fn apply(&mut self, asked: Moment, changes: Changes) -> bool {
         let as_of = asked.back(Duration::from_micros(changes.age_us));
         if changes.revision < self.revision {
-            // What is known here is newer, and so as good as of that moment.
-            self.see(changes.revision, as_of);
+            // This replica is newer, so it is also complete as of that moment.
+            self.confirm(changes.revision, as_of);
             return true;
         }
         let items: Vec<Entry> = changes.items.into_iter().map(entry).collect();
         if changes.full {
-            if sum(&items) != changes.checksum {
+            if checksum(&items) != changes.checksum {
                 return false;
             }
             self.entries = items;
-            self.gone.clear();
-            self.since = changes.revision;
+            self.removals.clear();
+            self.removals_since = changes.revision;
         } else {
-            self.put(items, changes.removed);
+            self.merge(items, changes.removed);
         }
-        self.sum = sum(&self.entries);
-        if self.sum != changes.checksum {
+        self.checksum = checksum(&self.entries);
+        if self.checksum != changes.checksum {
             return false;
         }
-        self.see(changes.revision, as_of);
+        self.confirm(changes.revision, as_of);
         true
     }
 
-    fn put(&mut self, items: Vec<Entry>, gone: Vec<Removal>) {
-        for gone in gone {
-            let found = self.entries.binary_search_by(|have| have.key.cmp(&gone.key));
+    fn merge(&mut self, items: Vec<Entry>, removals: Vec<Removal>) {
+        for removal in removals {
+            let found = self.entries.binary_search_by(|have| have.key.cmp(&removal.key));
             if let Ok(at) = found
-                && self.entries[at].version <= gone.revision
+                && self.entries[at].version <= removal.revision
             {
                 self.entries.remove(at);
             }
-            self.forget(gone.key, gone.revision);
+            self.record_removal(removal.key, removal.revision);
         }
         for entry in items {
             match self.entries.binary_search_by(|have| have.key.cmp(&entry.key)) {
@@ -250,25 +253,25 @@
         }
     }
 
-    fn see(&mut self, revision: u64, as_of: Moment) {
+    fn confirm(&mut self, revision: u64, as_of: Moment) {
         self.revision = self.revision.max(revision);
         if self.as_of.is_none_or(|have| as_of.reached(have)) {
             self.as_of = Some(as_of);
         }
     }
 
-    fn forget(&mut self, key: String, revision: u64) {
-        let at = self.gone.partition_point(|have| have.revision <= revision);
-        self.gone.insert(at, Removal { key, revision });
-        let over = self.gone.len().saturating_sub(GONE);
-        for gone in self.gone.drain(..over) {
-            self.since = self.since.max(gone.revision);
+    fn record_removal(&mut self, key: String, revision: u64) {
+        let at = self.removals.partition_point(|have| have.revision <= revision);
+        self.removals.insert(at, Removal { key, revision });
+        let over = self.removals.len().saturating_sub(MAX_REMOVALS);
+        for removal in self.removals.drain(..over) {
+            self.removals_since = self.removals_since.max(removal.revision);
         }
     }
 }
 
-/// Checksum over keys and their versions, whatever their order.
-fn sum(entries: &[Entry]) -> u64 {
+/// Checksum over keys and their versions, independent of their order.
+fn checksum(entries: &[Entry]) -> u64 {
     let one = |entry: &Entry| weight(digest(entry.key.as_bytes()), entry.version);
     entries.iter().map(one).fold(0, |sum, one| sum ^ one)
 }
--- a/crates/core/src/proxy/report.rs
+++ b/crates/core/src/proxy/report.rs
@@ -1,10 +1,9 @@
-//! Usage reports: one figure for each window, whoever reports it.
+//! Usage reports: one total per window, whichever host reports it.
 //!
-//! The holder of the duty adds up what the hosts published, writes the sum to
-//! the store under the window's own key if none stands there, and sends what
-//! stands. A successor adopts what was written, so that two reports of one
-//! window cannot differ, and an answer that was lost is answered by an exact
-//! repeat.
+//! The holder of the reporting duty adds up the counts that the hosts published, writes the total
+//! to the store under a key for that window unless the key exists, and reports the value in the
+//! store. A successor uses what its predecessor wrote, so two reports of one window cannot
+//! differ, and a report whose answer was lost is repeated exactly.
 
 use std::time::Duration;
 
@@ -14,29 +13,28 @@
 use crate::store::{Answer, Call, Entry};
 use crate::time::Moment;
 
-/// Store prefix of sealed windows.
+/// Prefix of the store keys of sealed windows.
 pub const SEALED_PREFIX: &str = "radishstair/sealed/";
-/// Wait after a window's end for the hosts to publish their counts of it.
-const GRACE_MS: u64 = 1_200;
-/// Kept back from the time by which a report is due: sealing, sending and one
-/// repeat of each fit in.
-const SPARE_MS: u64 = 1_900;
-/// Windows that a new holder still looks at beyond those whose report is not
-/// yet due: late is better than never.
-const BEHIND: u64 = 2;
-/// Windows after which a sealed one is removed from the store.
-const KEPT: u64 = 12;
-/// Wait for one answer before it counts as lost.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Pause after a report that was not accepted.
-const PAUSE: Duration = Duration::from_millis(700);
+/// Time after the end of a window for hosts to publish their counts, in milliseconds.
+const PUBLISH_GRACE_MS: u64 = 1_200;
+/// Time reserved before a report is due, in milliseconds: enough to seal and send it, with one
+/// retry of each.
+const DEADLINE_MARGIN_MS: u64 = 1_900;
+/// Number of overdue windows that a new holder still reports; a late report is better than none.
+const MAX_OVERDUE: u64 = 2;
+/// Number of windows after which a sealed window is removed from the store.
+const KEPT_WINDOWS: u64 = 12;
+/// Timeout of a call to the store or of a report.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause after a failed report or write.
+const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
 plain! {
-    /// What the shell is to do.
+    /// Next action of the I/O layer.
     pub enum Step {
-        /// Ask the store.
+        /// Send a call to the store.
         Store(Call),
-        /// Send the window while the grant covers the moment of sending.
+        /// Report the window, provided that the grant is still valid when it is sent.
         Report(Grant, Window),
     }
 }
@@ -57,24 +55,24 @@
 }
 
 plain! {
-    /// How windows are cut and when their reports are due.
+    /// Length of windows and deadline of reports.
     #[derive(Copy)]
     pub struct Schedule {
-        /// Length of a window in seconds.
+        /// Length of a window, in seconds.
         pub length_s: u64,
-        /// Seconds after its end by which the report must be there.
+        /// Time after the end of a window by which its report is due, in seconds.
         pub due_s: u64,
     }
 }
 
-/// The reporter's progress.
+/// State of the reporter.
 #[derive(Debug)]
 pub struct Reporter {
     state: State,
     writer: Writer<Window>,
     sealed: Vec<Sealed>,
     reported: Vec<u64>,
-    next: Moment,
+    retry_at: Moment,
 }
 
 impl Default for Reporter {
@@ -84,22 +82,22 @@
             writer: Writer::default(),
             sealed: Vec::new(),
             reported: Vec::new(),
-            next: Moment::default(),
+            retry_at: Moment::default(),
         }
     }
 }
 
 impl Reporter {
-    /// Takes the sealed windows that stand in the store.
+    /// Adds the sealed windows that were read from the store.
     pub fn load_sealed(&mut self, entries: &[Entry]) {
         for entry in entries {
             if let Some(window) = parse(entry) {
-                self.keep(window, entry.version);
+                self.add_sealed(window, entry.version);
             }
         }
     }
 
-    /// Not in charge: what is under way is forgotten, what was sealed or accepted is not.
+    /// Drops actions in progress after the duty is lost; keeps what was sealed or accepted.
     pub fn stand_down(&mut self) {
         *self = Self {
             sealed: std::mem::take(&mut self.sealed),
@@ -108,25 +106,26 @@
         };
     }
 
-    /// Moves on while in charge.
+    /// Returns the next action, if any, while this host holds the duty.
     pub fn tick(
         &mut self,
         now: Moment,
         civil_ms: u64,
-        plan: Schedule,
+        schedule: Schedule,
         grant: Grant,
         ledger: &Ledger,
     ) -> Option<Step> {
         self.give_up(now);
-        if self.state != State::Idle || self.writer.is_busy() || !now.reached(self.next) {
+        if self.state != State::Idle || self.writer.is_busy() || !now.reached(self.retry_at) {
             return None;
         }
-        let length_ms = plan.length_s * 1_000;
-        let present = civil_ms / length_ms.max(1);
-        let in_time = present.saturating_sub(plan.due_s / plan.length_s.max(1));
-        let first = in_time.saturating_sub(BEHIND);
-        // Those that may still come in time go first: after an outage a tick decides.
-        for number in (in_time..present).chain(first..in_time) {
+        let length_ms = schedule.length_s * 1_000;
+        let current = civil_ms / length_ms.max(1);
+        let in_time = current.saturating_sub(schedule.due_s / schedule.length_s.max(1));
+        let first = in_time.saturating_sub(MAX_OVERDUE);
+        // Reports that can still be on time go first: after an outage, a single tick can make the
+        // difference.
+        for number in (in_time..current).chain(first..in_time) {
             if self.reported.binary_search(&number).is_ok() {
                 continue;
             }
@@ -135,53 +134,54 @@
                 return Some(Step::Report(grant, window));
             }
             let end_ms = (number + 1) * length_ms;
-            let past_ms = civil_ms - end_ms;
-            let late = past_ms + SPARE_MS >= plan.due_s * 1_000;
-            if past_ms < GRACE_MS || !(late || is_whole(now, ledger, end_ms)) {
+            let elapsed_ms = civil_ms - end_ms;
+            let is_due = elapsed_ms + DEADLINE_MARGIN_MS >= schedule.due_s * 1_000;
+            if elapsed_ms < PUBLISH_GRACE_MS || !(is_due || is_complete(now, ledger, end_ms)) {
                 continue;
             }
-            // A window in which nothing ran is reported as well: nobody can tell a missing
-            // report from one of nothing. Before the first host there was nothing to run.
-            let window = sum(now, ledger, number);
+            // A window without requests is reported as well, because a missing report could not
+            // be told from an empty one. There was nothing to count before the first host
+            // started.
+            let window = total(now, ledger, number);
             if !window.counts.is_empty() || ledger.earliest_start_ms().is_some_and(|since| since < end_ms) {
                 let call = self.writer.write(now, key(number), window);
                 return call.map(Step::Store);
             }
         }
-        self.remove_old(now, present)
+        self.remove_old(now, current)
     }
 
-    /// The store's answer.
+    /// Handles an answer of the store.
     pub fn answer(&mut self, now: Moment, answer: &Answer) -> Option<Step> {
         match self.writer.answer(now, answer) {
             Some(Outcome::Ask(call)) => return Some(Step::Store(call)),
-            Some(Outcome::Stands(window, version)) => self.keep(window, version),
-            Some(Outcome::Missing | Outcome::Failed) => self.next = now + PAUSE,
-            // The removal of an old window, which is not repeated.
+            Some(Outcome::Stands(window, version)) => self.add_sealed(window, version),
+            Some(Outcome::Missing | Outcome::Failed) => self.retry_at = now + RETRY_PAUSE,
+            // Answer to the removal of an old window, which is not retried.
             None => self.state = State::Idle,
         }
         None
     }
 
-    /// What came of the report.
+    /// Records whether the report was accepted.
     pub fn record_result(&mut self, now: Moment, accepted: bool) {
         let State::Reporting { number, .. } = std::mem::replace(&mut self.state, State::Idle) else {
             return;
         };
         if !accepted {
-            self.next = now + PAUSE;
+            self.retry_at = now + RETRY_PAUSE;
             return;
         }
         if let Err(at) = self.reported.binary_search(&number) {
             self.reported.insert(at, number);
         }
-        let over = self.reported.len().saturating_sub(KEPT as usize * 2);
+        let over = self.reported.len().saturating_sub(KEPT_WINDOWS as usize * 2);
         self.reported.drain(..over);
     }
 
-    fn remove_old(&mut self, now: Moment, present: u64) -> Option<Step> {
+    fn remove_old(&mut self, now: Moment, current: u64) -> Option<Step> {
         let oldest = self.sealed.first()?;
-        if oldest.window.number + KEPT >= present {
+        if oldest.window.number + KEPT_WINDOWS >= current {
             return None;
         }
         let oldest = self.sealed.remove(0);
@@ -199,7 +199,7 @@
         found.ok().map(|at| &self.sealed[at].window)
     }
 
-    fn keep(&mut self, window: Window, version: u64) {
+    fn add_sealed(&mut self, window: Window, version: u64) {
         let found = self
             .sealed
             .binary_search_by(|have| have.window.number.cmp(&window.number));
@@ -209,28 +209,28 @@
     }
 
     fn give_up(&mut self, now: Moment) {
-        self.writer.give_up(now, PATIENCE);
+        self.writer.give_up(now, CALL_TIMEOUT);
         let since = match &self.state {
             State::Idle => return,
             State::Reporting { since, .. } | State::Removing { since } => *since,
         };
-        if now.since(since) >= PATIENCE {
+        if now.since(since) >= CALL_TIMEOUT {
             self.state = State::Idle;
         }
     }
 }
 
-/// Whether all runs that live have told their counts up to `end_ms`.
+/// Whether all live runs have published their counts up to `end_ms`.
 ///
-/// A host that is cut off for some seconds comes back with counts; sealed too
-/// early, the window would lack them for good.
-fn is_whole(now: Moment, ledger: &Ledger, end_ms: u64) -> bool {
+/// A host that was cut off for some seconds comes back with its counts. If the window were sealed
+/// before, they would be missing from it for good.
+fn is_complete(now: Moment, ledger: &Ledger, end_ms: u64) -> bool {
     let mut alive = ledger.runs(now).filter(|(_, alive)| *alive);
     alive.all(|(record, _)| record.until >= end_ms)
 }
 
-/// The sum over all runs.
-fn sum(now: Moment, ledger: &Ledger, number: u64) -> Window {
+/// Total of one window over all runs.
+fn total(now: Moment, ledger: &Ledger, number: u64) -> Window {
     let mut total = Window {
         number,
         ..Window::default()
--- a/crates/core/src/proxy/route.rs
+++ b/crates/core/src/proxy/route.rs
@@ -1,4 +1,4 @@
-//! The operator's document: routes, services, customers and limits.
+//! Routing table built from the operator's document: routes, services, customers and limits.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,23 +7,23 @@
 use sha2::{Digest, Sha256};
 
 plain! {
-    /// What may be repeated.
+    /// How a request may be retried.
     #[derive(Copy, Eq)]
     pub enum Mode {
-        /// Runs at most once for each attempt of the caller.
+        /// Runs at most once per attempt of the caller.
         Once,
         /// May run any number of times.
         Repeatable,
-        /// Answers with events; may go on at another runner if `resumable`.
+        /// Answers with a stream of events.
         Stream {
-            /// Whether it may go on after its last event.
+            /// Whether another runner can continue the stream after its last event.
             resumable: bool,
         },
     }
 }
 
 impl Mode {
-    /// Whether another runner may get the request after one may have run it.
+    /// Whether a request may be sent to another runner after one may have run it.
     pub fn is_idempotent(self) -> bool {
         matches!(self, Mode::Repeatable | Mode::Stream { resumable: true })
     }
@@ -32,7 +32,7 @@
 plain! {
     /// One of the services that a route is split over.
     pub struct Share {
-        /// Service.
+        /// Name of the service.
         pub service: String,
         /// Weight among the route's shares.
         pub weight: u32,
@@ -40,42 +40,42 @@
 }
 
 plain! {
-    /// How requests of one host and path prefix are handled.
+    /// Handling of the requests with a given host and path prefix.
     pub struct Route {
-        /// Its name.
+        /// Name of the route.
         pub name: String,
-        /// Name in the `Host` header, in lower case.
+        /// Value of the `Host` header, in lower case.
         pub host: String,
-        /// Prefix of the path, with a slash at both ends.
+        /// Path prefix, with a slash at both ends.
         pub prefix: String,
-        /// What may be repeated.
+        /// How its requests may be retried.
         pub mode: Mode,
-        /// Longest time to keep a caller waiting.
+        /// Maximum time to keep a caller waiting.
         pub timeout: Option<Duration>,
-        /// Most runners that one request may be sent to.
+        /// Maximum number of runners that a request may be sent to.
         pub attempts: u32,
-        /// Time within which an answer is worth most.
+        /// Target for the time to the answer.
         pub target_latency: Option<Duration>,
-        /// Longest pause between events of a stream that is on time.
+        /// Maximum gap between the events of a stream that counts as on time.
         pub max_event_gap: Option<Duration>,
-        /// Rank, 0 first.
+        /// Rank from 0, the most urgent.
         pub priority: u8,
-        /// Whether it needs no key.
+        /// Whether it needs no API key.
         pub public: bool,
-        /// Services that run it; never empty.
+        /// Services that run its requests; never empty.
         pub shares: Vec<Share>,
     }
 }
 
 impl Route {
-    /// Whether a service runs some of it.
+    /// Whether a service runs any of its requests.
     pub fn uses(&self, service: &str) -> bool {
         self.shares
             .iter()
             .any(|share| share.service == service && share.weight > 0)
     }
 
-    /// Service of one request, by its draw.
+    /// Service for one request, selected by the random number `draw`.
     pub fn pick_service(&self, draw: u64) -> &str {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
         let mut left = draw % total.max(1);
@@ -91,78 +91,78 @@
 }
 
 plain! {
-    /// What a model engine can hold.
+    /// Capacity of a model engine.
     #[derive(Copy)]
     pub struct Engine {
-        /// Requests it runs at once.
+        /// Maximum number of concurrent requests.
         pub slots: u32,
-        /// Tokens its memory holds.
+        /// Size of its KV cache, in tokens.
         pub kv_tokens: u64,
-        /// Whether one copies from another's memory what it has not read.
+        /// Whether it can copy cached prefixes from another runner.
         pub copies_prefix: bool,
     }
 }
 
 plain! {
-    /// How many runners may be ordered and what they cost.
+    /// Limits and prices of a service's runners.
     pub struct Scaling {
-        /// Fewest in a zone.
+        /// Minimum number per zone.
         pub minimum: u32,
-        /// Most in a zone.
+        /// Maximum number per zone.
         pub maximum: u32,
-        /// Time from an order until a runner serves.
+        /// Time from an order until the runner serves requests.
         pub boot_time: Duration,
-        /// Price of reclaimable runners as a share of the full one, if there are any.
+        /// Price of reclaimable runners relative to the full price; `None` if there are none.
         pub reclaimable_price: Option<f64>,
-        /// Price of a runner's second by zone.
+        /// Price per second of a runner in each zone.
         pub zone_prices: BTreeMap<String, f64>,
     }
 }
 
 plain! {
-    /// A set of runners that run the same.
+    /// A group of interchangeable runners.
     pub struct Service {
-        /// Its name.
+        /// Name of the service.
         pub name: String,
-        /// Connections that one runner takes from all hosts together.
+        /// Maximum number of connections that a runner accepts from all hosts together.
         pub connections: u32,
-        /// Its engine, if it serves a model.
+        /// Engine, if it serves a model.
         pub engine: Option<Engine>,
-        /// Whether runners may be ordered.
+        /// Limits for orders of runners; `None` if none may be ordered.
         pub scaling: Option<Scaling>,
     }
 }
 
 plain! {
-    /// Who calls.
+    /// A caller's account.
     pub struct Customer {
-        /// Its name.
+        /// Name of the customer.
         pub name: String,
-        /// Its keys, as the operator wrote them; dropped once hashed.
+        /// API keys from the document; emptied once they are hashed.
         pub keys: Vec<String>,
-        /// Rank that goes before the route's.
+        /// Rank among requests of equally urgent routes; the route's own if `None`.
         pub priority: Option<u8>,
     }
 }
 
 plain! {
-    /// What a caller may send, and how slowly.
+    /// Limits on callers' requests and connections.
     #[derive(Copy)]
     pub struct Limits {
-        /// Most bytes of a head.
+        /// Maximum size of a request head, in bytes.
         pub head_bytes: usize,
-        /// Most bytes of a body.
+        /// Maximum size of a request body, in bytes.
         pub body_bytes: usize,
-        /// Longest time for a head to come.
+        /// Maximum time to receive a request head.
         pub head_timeout: Duration,
-        /// Longest time that a connection may stay idle.
+        /// Maximum time that a connection may stay idle.
         pub idle_timeout: Duration,
     }
 }
 
 impl Default for Limits {
-    /// In force until a document says otherwise; the figures are those that
-    /// the first documents of the users carry.
+    /// Used until a document sets other limits; the values are those of the users' first
+    /// documents.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -175,26 +175,25 @@
 
 type KeyHash = [u8; 32];
 
-/// A document in force.
+/// Routing table of one version of the document.
 #[derive(Clone, Debug)]
 pub struct Table {
-    /// The operator's number; rises.
+    /// Operator's version number; increases.
     pub version: u64,
-    /// The store's revision of the document, by which two are ordered.
+    /// Store revision of the document, which orders two tables.
     pub revision: u64,
-    /// Limits on callers.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
     routes: Vec<Arc<Route>>,
     services: Vec<Service>,
     customers: Option<Vec<Customer>>,
     keys: Vec<(KeyHash, usize)>,
-    /// Pairs of the route's and the customer's priority, most urgent first.
+    /// Pairs of route and customer priority, most urgent first.
     ranks: Vec<(u8, u8)>,
 }
 
 impl Table {
-    /// Sorts and indexes the parts of a document. Without `customers` no
-    /// route needs a key.
+    /// Sorts and indexes the parts of a document. Without `customers`, no route needs a key.
     pub fn new(
         version: u64,
         revision: u64,
@@ -225,23 +224,23 @@
         }
     }
 
-    /// Urgency of a request towards an engine, 0 first, up to `last`.
+    /// Urgency of a request to an engine, from 0, the most urgent, to `last`.
     ///
-    /// An engine that runs out of memory puts the least urgent requests back,
-    /// in the middle of their streams. Ordered by customer first, it would put
-    /// back the short urgent streams of most customers and let the long ones of
-    /// a few run on, so here the route decides, and the customer among equals.
-    pub fn rank(&self, route: &Route, customer: Option<&Customer>, last: u8) -> u8 {
+    /// An engine that runs out of memory preempts the least urgent requests in the middle of
+    /// their streams. If requests were ordered by customer first, it would preempt the short
+    /// urgent streams of most customers while the long streams of a few continue. The route's
+    /// priority therefore goes first, and the customer's decides among equals.
+    pub fn rank(&self, route: &Route, customer: Option<&Customer>, lowest: u8) -> u8 {
         let pair = pair(route, customer);
         let at = self.ranks.partition_point(|have| *have < pair);
-        let most = self.ranks.len().saturating_sub(1).max(1);
-        match most <= usize::from(last) {
-            true => at.min(usize::from(last)) as u8,
-            false => (at * usize::from(last) / most) as u8,
+        let steps = self.ranks.len().saturating_sub(1).max(1);
+        match steps <= usize::from(lowest) {
+            true => at.min(usize::from(lowest)) as u8,
+            false => (at * usize::from(lowest) / steps) as u8,
         }
     }
 
-    /// The route of a host with the longest prefix that begins the path.
+    /// Route of a host with the longest prefix that matches the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.to_ascii_lowercase();
         let ends = path.rmatch_indices('/').map(|(at, _)| at);
@@ -255,19 +254,19 @@
         })
     }
 
-    /// Whether a route's requests must carry a key.
+    /// Whether requests on a route need an API key.
     pub fn requires_key(&self, route: &Route) -> bool {
         self.customers.is_some() && !route.public
     }
 
-    /// The holder of a key.
+    /// Customer that owns a key.
     pub fn customer(&self, key: &str) -> Option<&Customer> {
         let key = hash(key);
         let at = self.keys.binary_search_by(|(have, _)| have.cmp(&key)).ok()?;
         self.customers.as_ref()?.get(self.keys[at].1)
     }
 
-    /// A service by name.
+    /// Service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         let at = self
             .services
@@ -291,7 +290,7 @@
     (route.priority, own.unwrap_or(route.priority))
 }
 
-/// All pairs that there are; routes and customers of one priority make the same ones.
+/// All possible pairs; routes and customers with the same priorities have the same pair.
 fn ranks(routes: &[Arc<Route>], customers: &[Customer]) -> Vec<(u8, u8)> {
     let of_routes = distinct(routes.iter().map(|route| route.priority));
     let of_customers = distinct(customers.iter().filter_map(|customer| customer.priority));
--- a/crates/core/src/proxy/scaling.rs
+++ b/crates/core/src/proxy/scaling.rs
@@ -1,14 +1,15 @@
-//! How many runners are ordered for each zone, dependable and reclaimable.
+//! Number of runners to order in each zone, on-demand and reclaimable.
 //!
-//! Two figures are kept apart. What the flow needs follows from the time that runners
-//! spend on reading, as they were seen to take, and from the requests that run at once.
-//! What must be at hand follows from what can vanish: reclaimable runners cost a fraction and
-//! go by zone with seconds of notice, at times while none are to be had anywhere.
+//! Two numbers are computed. The first is what the traffic needs: it follows from the measured
+//! prefill time and from the number of concurrent requests. The second is the capacity to keep
+//! available, which depends on what may be lost: reclaimable runners cost a fraction of the
+//! price, but a whole zone of them may be reclaimed with seconds of notice, and at times none are
+//! available anywhere.
 //!
-//! So most are reclaimable while they are cheap: as many as the highest flow of the last half
-//! minute needs, and more, so that the other zones carry the flow when one is lost.
-//! Dependable ones are ordered where reclaimable ones are not to be had and those that are
-//! there cannot carry the flow of the moment, in the cheapest zones first.
+//! While reclaimable runners are cheap, most runners are reclaimable: as many as the peak of the
+//! last half minute needs, plus a reserve, so that the other zones can carry the traffic if one
+//! is lost. On-demand runners are ordered if reclaimable ones are not available and the present
+//! ones cannot carry the current traffic, cheapest zones first.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -19,58 +20,59 @@
 use crate::target::Targets;
 use crate::time::Moment;
 
-/// Part of a runner's time that goes to reading where all is well: the rest goes to
-/// generating, and prompts that come together must not wait for each other.
-const LOAD: f64 = 0.35;
-/// The same where more runners cost more than the waiting: after a loss, until others boot.
-const LOAD_TIGHT: f64 = 0.6;
-/// Part of a runner's places that are taken where all is well.
-const TAKEN: f64 = 0.6;
-/// Reserve of reclaimable runners, in dependable ones' price for each one needed.
-const RESERVE: f64 = 0.05;
-/// Most reserve, as a part of those needed.
-const RESERVE_MOST: f64 = 0.5;
-/// Price of reclaimable runners, as a part of the full one, from which they are not worth
-/// their vanishing.
-const CHEAP: f64 = 0.7;
-/// How long a peak of the flow counts: bursts come in series on bad days, and
+/// Target share of a runner's time spent on prefill in normal operation. The rest is for
+/// generating, and for prompts that arrive together not to wait for each other.
+const PREFILL_LOAD: f64 = 0.35;
+/// The same share when more runners cost more than the waiting: after a loss, until others have
+/// booted.
+const HIGH_PREFILL_LOAD: f64 = 0.6;
+/// Target share of a runner's slots that are taken in normal operation.
+const SLOT_USE: f64 = 0.6;
+/// Reserve of reclaimable runners, as the cost of on-demand runners per runner needed.
+const RESERVE_COST: f64 = 0.05;
+/// Maximum reserve, relative to the runners needed.
+const MAX_RESERVE: f64 = 0.5;
+/// Relative price from which reclaimable runners are not worth the risk of losing them.
+const MAX_RECLAIMABLE_PRICE: f64 = 0.7;
+/// Time for which a peak counts as current traffic: bursts come in series on bad days, and
 /// runners take four seconds to boot.
-const HOLD: Duration = Duration::from_secs(8);
-/// How long a peak counts for the cheap runners at hand.
-const HOLD_CHEAP: Duration = Duration::from_secs(30);
-/// How long those that were found count as needed; the flow that they carried is not known.
-const HOLD_FOUND: Duration = Duration::from_secs(15);
-/// Pause between two orders for the same thing that was refused or lost.
-const AGAIN: Duration = Duration::from_millis(1_500);
-/// Longest pause; it doubles with each refusal.
-const AGAIN_MOST: Duration = Duration::from_secs(6);
-/// Refusals in a row that are told apart.
-const REFUSED_MOST: u32 = 8;
-/// Time beyond the usual boot after which a runner that was ordered is not expected any more.
-const OVERDUE: Duration = Duration::from_millis(1_500);
-/// Time after which an order that stands is said again: an order whose answer
-/// was lost may be carried out late, over a newer one.
-const RESTATE: Duration = Duration::from_secs(15);
-/// Wait for one answer before it counts as lost.
-const PATIENCE: Duration = Duration::from_secs(3);
+const PEAK_WINDOW: Duration = Duration::from_secs(8);
+/// Time for which a peak counts for the reclaimable runners on standby.
+const STANDBY_WINDOW: Duration = Duration::from_secs(30);
+/// Time for which all runners found at the start count as needed, since the earlier traffic is
+/// unknown.
+const INITIAL_HOLD: Duration = Duration::from_secs(15);
+/// Pause after an order that was refused or lost.
+const RETRY_PAUSE: Duration = Duration::from_millis(1_500);
+/// Maximum pause; it doubles with each refusal.
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(6);
+/// Number of consecutive refusals up to which the pause depends on them.
+const MAX_REFUSALS: u32 = 8;
+/// Time after the usual boot time from which an ordered runner is no longer expected.
+const BOOT_GRACE: Duration = Duration::from_millis(1_500);
+/// Time after which a standing order is repeated: an order whose answer was lost may be carried
+/// out late and override a newer one.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(15);
+/// Timeout of an order.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(3);
 
 plain! {
-    /// A number of runners of one kind.
+    /// Number of runners of one kind to run.
     #[derive(Eq)]
     pub struct Order {
-        /// Service.
+        /// Name of the service.
         pub service: String,
         /// Availability zone.
         pub zone: String,
-        /// Whether runners that can be taken away are meant.
+        /// Whether the runners are reclaimable.
         pub reclaimable: bool,
-        /// Runners wanted.
+        /// Desired number of runners.
         pub count: u32,
     }
 }
 
 plain! {
-    /// What an order is for.
+    /// Kind of runners that an order is for.
     #[derive(Eq, PartialOrd, Ord)]
     struct Kind {
         service: String,
@@ -79,10 +81,10 @@
     }
 }
 
-/// The highest value of the last span of time.
+/// Maximum over a sliding time window.
 #[derive(Clone, Debug, Default)]
-struct High {
-    /// Values that no later one exceeds, oldest first.
+struct SlidingMax {
+    /// Values that no later value exceeds, oldest first.
     values: VecDeque<(Moment, u32)>,
 }
 
@@ -96,8 +98,8 @@
     }
 }
 
-impl High {
-    fn rise(&mut self, now: Moment, value: u32, span: Duration) -> u32 {
+impl SlidingMax {
+    fn push(&mut self, now: Moment, value: u32, span: Duration) -> u32 {
         while self.values.back().is_some_and(|(_, have)| *have <= value) {
             self.values.pop_back();
         }
@@ -109,32 +111,32 @@
     }
 }
 
-/// The highest flows of a service, in runners that do nothing but read, in thousandths.
+/// Peaks of a service's prefill work, in thousandths of a runner that only prefills.
 #[derive(Clone, Debug, Default)]
 struct Peak {
-    urgent: High,
-    usual: High,
-    /// When this planner first looked, and the runners that were there.
-    found: Option<(Moment, u32)>,
+    current: SlidingMax,
+    standby: SlidingMax,
+    /// When the planner started, and the number of runners then.
+    initial: Option<(Moment, u32)>,
 }
 
 plain! {
-    /// Runners that a service needs.
+    /// Number of runners that a service needs.
     #[derive(Copy)]
     struct Needed {
-        /// To carry what comes now, at the worst.
-        urgent: u32,
-        /// To have at hand for the bursts of this day, and for the loss of a zone.
-        usual: u32,
+        /// To carry the current traffic under high load.
+        current: u32,
+        /// To keep available for usual bursts and the loss of a zone.
+        standby: u32,
     }
 }
 
 plain! {
-    /// Runners of a zone that take new work.
+    /// Runners of a zone that accept new requests.
     struct Zone {
         name: String,
         cheap: u32,
-        dependable: u32,
+        on_demand: u32,
         running: u32,
     }
 }
@@ -144,7 +146,7 @@
         let mut zone = Self {
             name: name.to_string(),
             cheap: 0,
-            dependable: 0,
+            on_demand: 0,
             running: 0,
         };
         let runners = fleet.runners().map(|(_, runner)| runner);
@@ -156,7 +158,7 @@
             zone.running += runner.running();
             match runner.listed.reclaimable {
                 true => zone.cheap += 1,
-                false => zone.dependable += 1,
+                false => zone.on_demand += 1,
             }
         }
         zone
@@ -164,31 +166,31 @@
 }
 
 plain! {
-    /// What is known of an order besides its number.
+    /// State of an order besides its count.
     #[derive(Copy, Default)]
     struct Progress {
-        /// Refusals in a row.
-        refused: u32,
-        /// When it was accepted last with a higher number, while those runners boot.
-        rose: Option<Moment>,
-        /// Runners that were there at the last look.
-        seen: u32,
+        /// Consecutive refusals.
+        refusals: u32,
+        /// When an order that increased the count was last accepted, while its runners boot.
+        raised_at: Option<Moment>,
+        /// Number of runners at the last tick.
+        last_count: u32,
     }
 }
 
-/// Orders that were sent, while in charge.
+/// Orders of the host that holds the ordering duty.
 #[derive(Debug, Default)]
 pub struct Planner {
     targets: Targets<Kind, Progress>,
     peaks: Services<Peak>,
-    /// When an order was sent whose answer has not come.
+    /// When the order was sent that has no answer yet.
     sending: Option<Moment>,
 }
 
 impl Planner {
-    /// The next order to send, while in charge.
+    /// Next order to send, while this host holds the duty.
     ///
-    /// `flow` tells how much reading a service gets, in microseconds a second.
+    /// `flow` returns the prefill work that is sent to a service, in microseconds per second.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -196,7 +198,7 @@
         fleet: &Fleet,
         flow: impl Fn(&str) -> u64,
     ) -> Option<Order> {
-        if self.sending.is_some_and(|since| now.since(since) < PATIENCE) {
+        if self.sending.is_some_and(|since| now.since(since) < ORDER_TIMEOUT) {
             return None;
         }
         for service in table.services() {
@@ -204,10 +206,10 @@
                 self.plan(now, service, scaling, fleet, flow(&service.name));
             }
         }
-        let target = self.targets.due(now, Some(RESTATE))?;
+        let target = self.targets.due(now, Some(REPEAT_INTERVAL))?;
         self.sending = Some(now);
-        let pause = AGAIN * 2u32.saturating_pow(target.more.refused);
-        target.next = now + pause.min(AGAIN_MOST);
+        let pause = RETRY_PAUSE * 2u32.saturating_pow(target.more.refusals);
+        target.next = now + pause.min(MAX_RETRY_PAUSE);
         let Kind {
             service,
             zone,
@@ -221,7 +223,7 @@
         })
     }
 
-    /// What came of the order.
+    /// Records whether an order was accepted.
     pub fn record_result(&mut self, now: Moment, order: &Order, accepted: bool) {
         if self.sending.take().is_none() {
             return;
@@ -230,14 +232,14 @@
             .targets
             .of(Kind::new(&order.service, &order.zone, order.reclaimable));
         if !accepted {
-            target.more.refused = (target.more.refused + 1).min(REFUSED_MOST);
+            target.more.refusals = (target.more.refusals + 1).min(MAX_REFUSALS);
             return;
         }
-        target.more.refused = 0;
+        target.more.refusals = 0;
         if target.accepted.is_none_or(|have| have < order.count) {
-            target.more.rose = Some(now);
+            target.more.raised_at = Some(now);
         }
-        // What is wanted may have changed since; that is due at once.
+        // If the target has changed since, the new one is due at once.
         if target.want == order.count {
             target.accept(now, order.count);
         }
@@ -254,98 +256,102 @@
             .collect();
         let needed = self.needed(now, service, &zones, price, flow);
         let count = zones.len() as u32;
-        let is_cheap = price < CHEAP;
-        let (each, mut lacking, parts) = if is_cheap {
-            let each = needed.usual.div_ceil(count);
-            let lacking = self.lacking(now, service, scaling, &zones, needed.urgent);
-            // Not all in one zone, if there are others: it may be cut off next.
+        let is_cheap = price < MAX_RECLAIMABLE_PRICE;
+        let (each, mut missing, parts) = if is_cheap {
+            let each = needed.standby.div_ceil(count);
+            let missing = self.missing(now, service, scaling, &zones, needed.current);
+            // Spread over at least two zones, if there are, as one may be cut off next.
             (
                 each.clamp(scaling.minimum, scaling.maximum),
-                lacking,
+                missing,
                 count.min(2),
             )
         } else {
-            (0, needed.usual.max(scaling.minimum * count), count)
+            (0, needed.standby.max(scaling.minimum * count), count)
         };
-        let most = lacking.div_ceil(parts);
+        let most = missing.div_ceil(parts);
         for zone in zones {
-            // A zone's bound holds for both kinds together; cheap runners that
-            // are there must not give way to dependable ones.
+            // A zone's maximum holds for both kinds together; reclaimable runners that are
+            // present must not be given up for on-demand ones.
             let room = scaling.maximum.saturating_sub(zone.cheap);
-            let dependable = lacking.min(most).min(room);
-            lacking -= dependable;
-            let cheap = each.min(scaling.maximum - dependable);
-            for (reclaimable, wanted) in [(false, dependable), (true, cheap)] {
+            let on_demand = missing.min(most).min(room);
+            missing -= on_demand;
+            let cheap = each.min(scaling.maximum - on_demand);
+            for (reclaimable, wanted) in [(false, on_demand), (true, cheap)] {
                 let kind = Kind::new(&service.name, &zone.name, reclaimable);
                 self.targets.of(kind).want(wanted);
             }
         }
     }
 
-    /// Runners that reclaimable ones cannot make up for.
+    /// Number of runners needed beyond the reclaimable ones.
     ///
-    /// Those that boot will carry their part; until they do, no dependable one that is there
-    /// is given back for them.
-    fn lacking(
+    /// Runners that are booting are counted, but until they are up, on-demand runners that are
+    /// present are kept.
+    fn missing(
         &mut self,
         now: Moment,
         service: &Service,
         scaling: &Scaling,
         zones: &[Zone],
-        urgent: u32,
+        current: u32,
     ) -> u32 {
         let expected = zones
             .iter()
             .map(|zone| self.expected(now, service, scaling, zone));
-        let after_boot = urgent.saturating_sub(expected.sum());
+        let after_boot = current.saturating_sub(expected.sum());
         let here: u32 = zones.iter().map(|zone| zone.cheap).sum();
-        let dependable: u32 = zones.iter().map(|zone| zone.dependable).sum();
-        after_boot.max(urgent.saturating_sub(here).min(dependable))
+        let on_demand: u32 = zones.iter().map(|zone| zone.on_demand).sum();
+        after_boot.max(current.saturating_sub(here).min(on_demand))
     }
 
-    /// Reclaimable runners of a zone that are there or will be after a boot.
+    /// Reclaimable runners of a zone that are present or booting.
     fn expected(&mut self, now: Moment, service: &Service, scaling: &Scaling, zone: &Zone) -> u32 {
         let target = self.targets.of(Kind::new(&service.name, &zone.name, true));
-        // Some have vanished: what was ordered before may have gone with them.
-        let vanished = zone.cheap < target.more.seen;
-        target.more.seen = zone.cheap;
+        // Some were reclaimed, and runners ordered before may be among them.
+        let vanished = zone.cheap < target.more.last_count;
+        target.more.last_count = zone.cheap;
         let ordered = target.accepted.unwrap_or(0);
-        let boots = |rose: &Moment| now.since(*rose) < scaling.boot_time + OVERDUE;
-        target.more.rose = target.more.rose.filter(boots);
+        let boots = |raised_at: &Moment| now.since(*raised_at) < scaling.boot_time + BOOT_GRACE;
+        target.more.raised_at = target.more.raised_at.filter(boots);
         if vanished || zone.cheap >= ordered {
-            target.more.rose = None;
+            target.more.raised_at = None;
         }
-        match target.more.rose {
+        match target.more.raised_at {
             Some(_) => ordered,
             None => zone.cheap,
         }
     }
 
-    /// Runners that the highest flow needed, lately and for longer.
+    /// Number of runners needed for the recent peaks.
     fn needed(&mut self, now: Moment, service: &Service, zones: &[Zone], price: f64, flow: u64) -> Needed {
-        let found: u32 = zones.iter().map(|zone| zone.dependable + zone.cheap).sum();
+        let initial: u32 = zones.iter().map(|zone| zone.on_demand + zone.cheap).sum();
         let running: u32 = zones.iter().map(|zone| zone.running).sum();
         let slots = service.engine.map_or(u32::MAX, |engine| engine.slots.max(1));
         let peak = self.peaks.get_or_default(&service.name);
         let reading = (flow / 1_000) as u32;
-        let urgent = f64::from(peak.urgent.rise(now, reading, HOLD)) / 1e3;
-        let usual = f64::from(peak.usual.rise(now, reading, HOLD_CHEAP)) / 1e3;
-        // What was found was sized for the usual load by whoever came before.
-        let (began, found) = *peak.found.get_or_insert((now, found));
-        let found = if now.since(began) < HOLD_FOUND { found } else { 0 };
-        let places = f64::from(running) / (f64::from(slots) * TAKEN);
-        let reserve = 1.0 + (RESERVE / price.max(RESERVE)).min(RESERVE_MOST);
+        let current = f64::from(peak.current.push(now, reading, PEAK_WINDOW)) / 1e3;
+        let standby = f64::from(peak.standby.push(now, reading, STANDBY_WINDOW)) / 1e3;
+        // The runners found were ordered by a predecessor for the usual load.
+        let (started, initial) = *peak.initial.get_or_insert((now, initial));
+        let initial = if now.since(started) < INITIAL_HOLD {
+            initial
+        } else {
+            0
+        };
+        let by_slots = f64::from(running) / (f64::from(slots) * SLOT_USE);
+        let reserve = 1.0 + (RESERVE_COST / price.max(RESERVE_COST)).min(MAX_RESERVE);
         let others = (zones.len() as f64 - 1.0).max(1.0);
-        let after_loss = usual / LOAD_TIGHT * zones.len() as f64 / others;
-        let wanted = (usual / LOAD * reserve).max(after_loss).max(places);
+        let after_loss = standby / HIGH_PREFILL_LOAD * zones.len() as f64 / others;
+        let wanted = (standby / PREFILL_LOAD * reserve).max(after_loss).max(by_slots);
         Needed {
-            urgent: (urgent / LOAD_TIGHT).max(places).ceil() as u32,
-            usual: (wanted.ceil() as u32).max(found),
+            current: (current / HIGH_PREFILL_LOAD).max(by_slots).ceil() as u32,
+            standby: (wanted.ceil() as u32).max(initial),
         }
     }
 }
 
-/// Zones, the cheapest first.
+/// Zones in order of price, cheapest first.
 fn by_price(scaling: &Scaling) -> Vec<&String> {
     let mut zones: Vec<(&String, f64)> = scaling
         .zone_prices
--- a/crates/core/src/proxy/services.rs
+++ b/crates/core/src/proxy/services.rs
@@ -1,6 +1,6 @@
-//! What is kept of each service, by its name.
+//! Map from services to values.
 
-/// One `T` a service, sorted by name.
+/// One value per service, sorted by name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Services<T> {
     rows: Vec<(String, T)>,
@@ -13,12 +13,12 @@
 }
 
 impl<T: Default> Services<T> {
-    /// What is kept of a service, if anything was.
+    /// Value of a service, if there is one.
     pub fn get(&self, service: &str) -> Option<&T> {
         self.find(service).ok().map(|at| &self.rows[at].1)
     }
 
-    /// What is kept of a service; the default for one that is new.
+    /// Value of a service, created with the default if there is none.
     pub fn get_or_default(&mut self, service: &str) -> &mut T {
         let at = self.find(service).unwrap_or_else(|at| {
             self.rows.insert(at, (service.to_string(), T::default()));
--- a/crates/core/src/proxy/usage.rs
+++ b/crates/core/src/proxy/usage.rs
@@ -1,26 +1,26 @@
-//! Requests that began to run, by usage window and customer.
+//! Counts of started requests by usage window and customer.
 //!
-//! Each run of a host publishes its presence in the store, which all hosts read,
-//! and its counts as one record, overwritten as they grow, which only the reporter
-//! reads; it tells its peers the same more often. Counts of one run only grow, so of
-//! two copies the one that reaches further is right, and runs add up. A host that
-//! dies loses what it counted since its peers last heard of it.
+//! Each run of a host publishes its presence in the store, which all hosts read, and one record
+//! with its counts, which is overwritten as they grow and read only by the reporter. It sends the
+//! same record to its peers more often. The counts of a run only increase, so of two copies the
+//! later one is right, and the counts of different runs are added. If a host dies, the requests
+//! that it counted since its last packet to a peer are lost.
 
 use std::time::Duration;
 
 use crate::id::Incarnation;
 use crate::time::Moment;
 
-/// Windows that a record keeps: enough for a reporter that takes over late.
-const KEPT: usize = 8;
+/// Number of windows in a record; enough for a reporter that takes over late.
+const KEPT_WINDOWS: usize = 8;
 
 record! {
     /// Counts of one window.
     #[derive(Default)]
     pub struct Window {
-        /// Its number since the Unix epoch.
+        /// Number of the window since the Unix epoch.
         pub number: u64,
-        /// Customer and requests, sorted by customer.
+        /// Requests by customer, sorted by customer.
         pub counts: Vec<(String, u64)>,
     }
 }
@@ -39,47 +39,47 @@
 }
 
 record! {
-    /// What a run of a host publishes of itself.
+    /// Counts that a run of a host publishes.
     pub struct Record {
-        /// Its host.
+        /// Name of the host.
         pub host: String,
-        /// The run.
+        /// Run of the host.
         pub incarnation: Incarnation,
-        /// Civil time in milliseconds at its start; a later run of the same
-        /// host tells that this one has ended.
+        /// Start of the run, in milliseconds of Unix time; a later run of the same host implies
+        /// that this one has ended.
         pub began: u64,
-        /// Address and port where peers reach it.
+        /// Address and port for requests from peers.
         pub peer: String,
-        /// Civil time in milliseconds up to which its counts are whole.
+        /// Unix time in milliseconds up to which the counts are complete.
         pub until: u64,
-        /// Set when it stops and will count no more.
+        /// Whether the run is stopping and will count no more.
         #[serde(default)]
         pub ended: bool,
-        /// Its counts, oldest window first.
+        /// Counts by window, oldest first.
         pub windows: Vec<Window>,
     }
 }
 
 record! {
-    /// That a run of a host is there.
+    /// Presence of a run of a host.
     #[derive(Eq)]
     pub struct Presence {
-        /// Its host.
+        /// Name of the host.
         pub host: String,
-        /// The run.
+        /// Run of the host.
         pub incarnation: Incarnation,
-        /// Civil time in milliseconds at its start.
+        /// Start of the run, in milliseconds of Unix time.
         pub began: u64,
-        /// Address and port where peers reach it.
+        /// Address and port for requests from peers.
         pub peer: String,
-        /// Set when it stops.
+        /// Whether the run is stopping.
         #[serde(default)]
         pub ended: bool,
     }
 }
 
 impl Record {
-    /// The run without its counts.
+    /// Presence of the run, without its counts.
     pub fn presence(&self) -> Presence {
         Presence {
             host: self.host.clone(),
@@ -91,7 +91,7 @@
     }
 }
 
-/// Records of all runs, as the store and the peers tell them.
+/// Records of all known runs, from the store and from peers.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     rows: Vec<Row>,
@@ -100,49 +100,50 @@
 #[derive(Clone, Debug)]
 struct Row {
     record: Record,
-    changed: Moment,
-    /// Version of its counts in the store.
+    last_alive: Moment,
+    /// Store version of its record.
     version: u64,
 }
 
-/// Time after its last change for which a run counts as alive: peers hear of it
-/// each second, and its record in the store comes every window.
-const ALIVE: Duration = Duration::from_secs(8);
-/// Time after which a run that is gone is forgotten.
-const GONE: Duration = Duration::from_secs(60);
+/// Time after its last sign of life for which a run counts as alive: peers get its record every
+/// second, and the store gets it once a window.
+const ALIVE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Time after its last sign of life at which a run is removed.
+const REMOVE_AFTER: Duration = Duration::from_secs(60);
 
 impl Ledger {
-    /// Takes a record in as its run has just told it, unless one that reaches further is
-    /// known; the run lives.
+    /// Adds a record that its run has just sent, which also proves that the run is alive. A
+    /// record older than the known one is ignored.
     pub fn receive(&mut self, now: Moment, record: Record) {
         let run = record.incarnation;
         if self.load(now, record)
             && let Ok(at) = self.find(run)
         {
-            self.rows[at].changed = now;
+            self.rows[at].last_alive = now;
         }
     }
 
-    /// Takes a record in that was read in the store, where it may have lain since its run
-    /// died; whether it reaches further than what was known.
+    /// Adds a record that was read from the store; returns whether it is newer than the known
+    /// one.
     ///
-    /// A host that has just come into charge reads all of them for the first time. Taken for
-    /// signs of life, the windows of the last seconds would wait for the dead.
+    /// The record may be from a run that has died since. A host that takes over the reporting
+    /// duty reads all records for the first time. If they counted as signs of life, the latest
+    /// windows would wait for dead runs.
     pub fn load(&mut self, now: Moment, record: Record) -> bool {
         match self.find(record.incarnation) {
             Ok(at) => {
                 let have = &mut self.rows[at];
-                let further = (record.until, record.ended) > (have.record.until, have.record.ended);
-                if further {
+                let is_newer = (record.until, record.ended) > (have.record.until, have.record.ended);
+                if is_newer {
                     have.record = record;
                 }
-                return further;
+                return is_newer;
             }
             Err(at) => self.rows.insert(
                 at,
                 Row {
                     record,
-                    changed: now,
+                    last_alive: now,
                     version: 0,
                 },
             ),
@@ -150,7 +151,7 @@
         true
     }
 
-    /// Takes a run's presence in; what it counted is not known by this.
+    /// Adds a run's presence, which says nothing about its counts.
     pub fn add_presence(&mut self, now: Moment, presence: Presence) {
         if let Ok(at) = self.find(presence.incarnation) {
             self.rows[at].record.ended |= presence.ended;
@@ -177,44 +178,48 @@
         );
     }
 
-    /// A run has written its counts anew, in this version: it lives.
+    /// Records that a run has written this version of its record, which proves that it is alive.
     pub fn touch(&mut self, now: Moment, incarnation: Incarnation, version: u64) {
         if let Ok(at) = self.find(incarnation)
             && self.rows[at].version < version
         {
             self.rows[at].version = version;
-            self.rows[at].changed = now;
+            self.rows[at].last_alive = now;
         }
     }
 
-    /// The store was away for `gap`: silence in that time means nothing.
+    /// Extends the deadlines of all runs by an outage of the store, in which silence has no
+    /// meaning.
     pub fn extend_deadlines(&mut self, gap: Duration) {
         for row in &mut self.rows {
-            row.changed = row.changed + gap;
+            row.last_alive = row.last_alive + gap;
         }
     }
 
-    /// All records, each with whether its run lives.
+    /// All records, each with whether its run is alive.
     pub fn runs(&self, now: Moment) -> impl Iterator<Item = (&Record, bool)> {
         let alive = move |row: &Row| {
             let record = &row.record;
-            !record.ended && now.since(row.changed) < ALIVE && !self.is_replaced(record)
+            !record.ended && now.since(row.last_alive) < ALIVE_TIMEOUT && !self.is_replaced(record)
         };
         self.rows.iter().map(move |row| (&row.record, alive(row)))
     }
 
-    /// Civil time in milliseconds at the start of the first run that is known.
+    /// Start of the earliest known run, in milliseconds of Unix time.
     pub fn earliest_start_ms(&self) -> Option<u64> {
         self.rows.iter().map(|row| row.record.began).min()
     }
 
-    /// Takes out the runs that are long gone, and returns them.
+    /// Removes and returns the runs without a sign of life for long.
     pub fn remove_expired(&mut self, now: Moment) -> Vec<Record> {
-        let gone = |row: &mut Row| now.since(row.changed) >= GONE;
-        self.rows.extract_if(.., gone).map(|row| row.record).collect()
+        let is_expired = |row: &mut Row| now.since(row.last_alive) >= REMOVE_AFTER;
+        self.rows
+            .extract_if(.., is_expired)
+            .map(|row| row.record)
+            .collect()
     }
 
-    /// Where a run's row stands, or would.
+    /// Position of a run's row, or where to insert it.
     fn find(&self, run: Incarnation) -> Result<usize, usize> {
         self.rows.binary_search_by_key(&run, |row| row.record.incarnation)
     }
@@ -226,19 +231,19 @@
     }
 }
 
-/// Counts of this host.
+/// Request counts of this host.
 #[derive(Clone, Debug, Default)]
 pub struct Counter {
     windows: Vec<Window>,
 }
 
 impl Counter {
-    /// Counts a request that began to run.
+    /// Counts a request that has started to run.
     pub fn add(&mut self, window: u64, customer: &str) {
         self.window(window).add(customer, 1);
     }
 
-    /// The counts so far.
+    /// Counts by window, oldest first.
     pub fn windows(&self) -> &[Window] {
         &self.windows
     }
@@ -259,11 +264,11 @@
         &mut self.windows[at]
     }
 
-    /// Drops the oldest windows; the new place of the one at `at`.
+    /// Drops the oldest windows; returns the new position of the window at `at`.
     fn trim(&mut self, at: usize) -> usize {
-        let over = self.windows.len().saturating_sub(KEPT);
-        let over = over.min(at);
-        self.windows.drain(..over);
-        at - over
+        let excess = self.windows.len().saturating_sub(KEPT_WINDOWS);
+        let excess = excess.min(at);
+        self.windows.drain(..excess);
+        at - excess
     }
 }
