--- a/crates/core/src/proxy/latency.rs
+++ b/crates/core/src/proxy/latency.rs
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Latency {
     first_event: Regression<5>,
-    event_gap: Regression<2>,
+    gap: Regression<2>,
     /// Gap between events of a stream during the prefill of a long prompt, in milliseconds.
     stall_ms: f64,
     /// Average time that a request stays on its runner, in milliseconds.
@@ -94,7 +94,7 @@
     fn default() -> Self {
         Self {
             first_event: Regression::new(FIRST_EVENT_PRIOR_MS, FIRST_EVENT_WEIGHT),
-            event_gap: Regression::new(GAP_PRIOR_MS, GAP_WEIGHT),
+            gap: Regression::new(GAP_PRIOR_MS, GAP_WEIGHT),
             stall_ms: STALL_PRIOR_MS,
             residence_ms: RESIDENCE_PRIOR_MS,
         }
@@ -126,7 +126,7 @@
     /// Gap between two events of a stream with `beside` concurrent requests, while no prompt is
     /// prefilled.
     pub fn event_gap(&self, concurrent: f64) -> Duration {
-        millis(self.event_gap.predict(&[1.0, concurrent]))
+        millis(self.gap.predict(&[1.0, concurrent]))
     }
 
     /// Gap between events of a stream during the prefill of a long prompt.
@@ -165,7 +165,7 @@
     pub fn observe_event_gap(&mut self, gap: Duration, concurrent: u32, prefilling: bool) {
         if !prefilling {
             let features = [1.0, f64::from(concurrent)];
-            self.event_gap.observe(&features, ms(gap), 1.0);
+            self.gap.observe(&features, ms(gap), 1.0);
             return;
         }
         let step = STALL_STEP * self.stall_ms.max(MIN_STALL_MS);
--- a/crates/core/src/proxy/report.rs
+++ b/crates/core/src/proxy/report.rs
@@ -142,7 +142,7 @@
             // A window without requests is reported as well, because a missing report could not
             // be told from an empty one. There was nothing to count before the first host
             // started.
-            let window = total(now, ledger, number);
+            let window = window_total(now, ledger, number);
             if !window.counts.is_empty() || ledger.earliest_start_ms().is_some_and(|since| since < end_ms) {
                 let call = self.writer.write(now, key(number), window);
                 return call.map(Step::Store);
@@ -230,7 +230,7 @@
 }
 
 /// Total of one window over all runs.
-fn total(now: Moment, ledger: &Ledger, number: u64) -> Window {
+fn window_total(now: Moment, ledger: &Ledger, number: u64) -> Window {
     let mut total = Window {
         number,
         ..Window::default()
--- a/tests/suite/proxy.rs
+++ b/tests/suite/proxy.rs
@@ -1,4 +1,4 @@
-//! Decisions of the opaque front, without sockets.
+//! Tests of the opaque proxy's decisions, without network I/O.
 
 mod document;
 mod events;
--- a/tests/suite/proxy/document.rs
+++ b/tests/suite/proxy/document.rs
@@ -1,4 +1,4 @@
-//! The operator's document, told from host to host by its version.
+//! Tests of the operator's document and of the notices about it between hosts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,8 @@
     document
 }
 
-/// Guards against a proof that grows with the document: whoever has the text is told a version.
+/// Guards against confirmations that grow with the document: a host that has the text gets only
+/// the version.
 #[test]
 fn a_host_that_has_the_text_is_told_its_version_only() {
     let mut reader = host(7, 1_000, at(0));
@@ -36,7 +37,8 @@
     assert_eq!(asker.receive(at(600), notice), Update::Current(at(500)));
 }
 
-/// Guards against readers' links that a large text fills, once for each host that asks.
+/// Guards against readers' links being saturated by a large text that is sent to each host that
+/// asks.
 #[test]
 fn a_large_text_is_not_told_along_with_its_version() {
     let mut asker = host(6, 1_000, at(0));
@@ -52,7 +54,7 @@
     assert!(matches!(asker.receive(at(600), asked_for), Update::Text(..)));
 }
 
-/// Guards against a proof of the newer version that is taken for one of the older text.
+/// Guards against a confirmation of a newer version being counted for the older text.
 #[test]
 fn a_version_that_has_to_be_read_proves_nothing_of_the_known_one() {
     let mut asker = host(6, 10, at(0));
@@ -66,7 +68,7 @@
     assert_eq!(asker.age(at(1_500)), Some(Duration::from_millis(300)));
 }
 
-/// Guards against an older text that comes back, read late or told by a peer behind.
+/// Guards against an older text coming back, from a late read or an outdated peer.
 #[test]
 fn an_older_text_is_not_taken() {
     let mut document = host(7, 10, at(500));
@@ -81,7 +83,7 @@
     );
 }
 
-/// Guards against a host that knows no text and tells its peers that it does.
+/// Guards against a host without a text sending notices.
 #[test]
 fn a_host_without_a_text_tells_nothing() {
     let mut document = Document::default();
@@ -91,7 +93,7 @@
     );
 }
 
-/// Rows of a document, as the operator writes them.
+/// A document with `count` rows, as the operator writes them.
 fn rows(version: u64, count: u32, changed: Option<u32>) -> String {
     let row = |at| {
         let timeout = if changed == Some(at) { 900 } else { 2_000 };
@@ -101,7 +103,7 @@
     format!("{{\"version\":{version},\"routes\":[{}]}}", rows.join(","))
 }
 
-/// Guards against a difference that makes another text, or is taken for another former one.
+/// Guards against a difference that yields a wrong text, or that is applied to another old text.
 #[test]
 fn a_difference_makes_the_new_text_of_the_former_one_only() {
     let texts = [
@@ -125,7 +127,7 @@
     }
 }
 
-/// Guards against a change of one row that costs each host the whole document.
+/// Guards against a change of one row making each host transfer the whole document.
 #[test]
 fn a_small_change_of_a_large_document_comes_along_with_its_version() {
     let entry = |version, value| {
@@ -154,6 +156,6 @@
             .expect("a text")
             .delta
             .is_none(),
-        "not kept"
+        "version 5 is not kept"
     );
 }
--- a/tests/suite/proxy/events.rs
+++ b/tests/suite/proxy/events.rs
@@ -1,9 +1,9 @@
-//! Cutting streams into whole events.
+//! Tests of splitting a byte stream into whole events.
 
 use quickcheck::quickcheck;
 use radishstair_entry::proxy::events::Cutter;
 
-fn cut(pieces: &[&[u8]]) -> (Vec<u8>, Vec<u64>, bool) {
+fn split(pieces: &[&[u8]]) -> (Vec<u8>, Vec<u64>, bool) {
     let mut cutter = Cutter::default();
     let (mut bytes, mut ids) = (Vec::new(), Vec::new());
     for piece in pieces {
@@ -14,17 +14,17 @@
     (bytes, ids, cutter.is_empty())
 }
 
-/// A runner dies in the middle of an event. The caller must not get the torn
-/// piece, as the next runner starts with the whole event.
+/// If a runner dies in the middle of an event, the caller must not get the partial event, as the
+/// next runner sends it from the start.
 #[test]
 fn a_torn_event_is_held_back() {
-    let (bytes, ids, whole) = cut(&[b"id: 1\ndata: a\n\nid: 2\nda"]);
+    let (bytes, ids, whole) = split(&[b"id: 1\ndata: a\n\nid: 2\nda"]);
     assert_eq!(bytes, b"id: 1\ndata: a\n\n");
     assert_eq!(ids, [1]);
     assert!(!whole);
 }
 
-/// Events come through unchanged, wherever the bytes are cut.
+/// Events pass unchanged, wherever the byte stream is split.
 #[test]
 fn cuts_change_nothing() {
     fn holds(cuts: Vec<u8>, count: u8) -> bool {
@@ -33,19 +33,19 @@
             .collect();
         let mut rest = text.as_bytes();
         let mut pieces = Vec::new();
-        for cut in cuts {
-            let (piece, tail) = rest.split_at(usize::from(cut % 7).min(rest.len()));
+        for split in cuts {
+            let (piece, tail) = rest.split_at(usize::from(split % 7).min(rest.len()));
             pieces.push(piece);
             rest = tail;
         }
         pieces.push(rest);
         let ids: Vec<u64> = (0..u64::from(count % 20)).collect();
-        cut(&pieces) == (text.as_bytes().to_vec(), ids, true)
+        split(&pieces) == (text.as_bytes().to_vec(), ids, true)
     }
     quickcheck(holds as fn(Vec<u8>, u8) -> bool);
 }
 
-/// A runner that never ends an event must not fill this host's memory.
+/// An event without an end must not exhaust this host's memory.
 #[test]
 fn an_endless_event_is_refused() {
     let mut cutter = Cutter::default();
--- a/tests/suite/proxy/fixtures.rs
+++ b/tests/suite/proxy/fixtures.rs
@@ -1,4 +1,4 @@
-//! A small document, fleet and state to decide on.
+//! Fixtures: a small document, runners and a host's state.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use radishstair_core::proxy::{Bounds, RequestHead, State};
 use radishstair_core::time::Moment;
 
-/// The bounds of the users' sites.
+/// Guarantees as on the users' sites.
 pub fn bounds() -> Bounds {
     Bounds {
         revocation_ms: 5_000,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A service; with an engine if `slots` is given.
+/// A service, with an engine if `slots` is given.
 pub fn service(name: &str, slots: Option<u32>) -> Service {
     Service {
         name: name.into(),
@@ -56,7 +56,7 @@
     }
 }
 
-/// A customer with some keys.
+/// A customer with the given keys.
 pub fn customer(name: &str, keys: &[&str]) -> Customer {
     Customer {
         name: name.into(),
@@ -65,7 +65,7 @@
     }
 }
 
-/// A document with the two usual routes, for these customers.
+/// A document with one stream route and one route of requests that run at most once.
 pub fn table(revision: u64, customers: Vec<Customer>) -> Table {
     let routes = vec![
         route("notes", "/notes/", Mode::Stream { resumable: true }, "engines"),
@@ -82,7 +82,7 @@
     )
 }
 
-/// A listed runner.
+/// A runner that accepts requests.
 pub fn runner(id: &str, service: &str, zone: &str) -> Listed {
     let port = 1_000 + (radishstair_core::id::digest(id.as_bytes()) % 50_000) as u16;
     Listed {
@@ -97,7 +97,7 @@
     }
 }
 
-/// A host with a document known to be the newest at `now`.
+/// A host whose document was confirmed to be current at `now`.
 pub fn state(now: Moment, customers: Vec<Customer>) -> State {
     let mut state = State::new(bounds(), "zone-a");
     state.configure(table(1, customers));
@@ -105,7 +105,7 @@
     state
 }
 
-/// A request for the stream route with a key.
+/// A request to the stream route with a key.
 pub fn ask(key: &str) -> RequestHead<'_> {
     RequestHead {
         host: "books.example",
@@ -115,16 +115,16 @@
     }
 }
 
-/// A document with engines of which up to `most` a zone may be ordered, reclaimable ones at a
-/// part of the price, and the price of each zone.
-pub fn priced(service_name: &str, most: u32, cheap: f64, zones: &[(&str, f64)]) -> Table {
+/// A document with one engine service of up to `limit` runners per zone, the relative price of
+/// reclaimable runners and the price of each zone.
+pub fn priced(service_name: &str, limit: u32, reclaimable_price: f64, zones: &[(&str, f64)]) -> Table {
     let mut engines = service(service_name, Some(32));
     let prices = zones.iter().map(|(zone, price)| (zone.to_string(), *price));
     engines.scaling = Some(Scaling {
         minimum: 1,
-        maximum: most,
+        maximum: limit,
         boot_time: Duration::from_secs(4),
-        reclaimable_price: Some(cheap),
+        reclaimable_price: Some(reclaimable_price),
         zone_prices: prices.collect(),
     });
     Table::new(1, 1, Vec::new(), vec![engines], None, Limits::default())
--- a/tests/suite/proxy/fleet.rs
+++ b/tests/suite/proxy/fleet.rs
@@ -1,4 +1,4 @@
-//! Runners that come and go, as one host believes.
+//! Tests of the list of runners and of their health as one host sees it.
 
 use radishstair_core::proxy::fleet::{Attempt, Fleet, Idle, Liveness, Stage};
 use radishstair_core::time::Moment;
@@ -21,10 +21,9 @@
     ids.iter().map(|id| runner(id, "engines", "zone-a")).collect()
 }
 
-/// Callers are refused though all runners live. The store was away, the
-/// runners' entries lapsed in it, and the first list after its return is empty.
-/// Missing entries mean nothing until live runners have had time to be listed
-/// again; one that is still missing then is gone.
+/// Guards against refusing callers after an outage of the store, during which the entries of live
+/// runners expired. Missing entries are ignored until live runners have had time to register
+/// again; a runner that is still missing then is gone.
 #[test]
 fn entries_that_lapsed_with_the_store_are_waited_for() {
     let mut fleet = Fleet::new("zone-a");
@@ -38,7 +37,8 @@
     assert_eq!(open(&fleet, 8_500), ["a"]);
 }
 
-/// Guards against a runner gone during a cut that gets requests until one more list has come.
+/// Guards against sending requests to a runner that left during an outage until one more list
+/// arrives.
 #[test]
 fn an_entry_that_stays_away_after_a_cut_is_gone_in_time() {
     let mut fleet = Fleet::new("zone-a");
@@ -48,8 +48,8 @@
     assert_eq!(open(&fleet, 8_500), ["a"]);
 }
 
-/// Requests go to a runner that has left. Its entry is removed while the store
-/// is sound; that is its leave, and it counts at once.
+/// Guards against sending requests to a runner that has left: an entry removed while the store is
+/// available counts at once.
 #[test]
 fn an_entry_that_is_removed_from_a_sound_store_is_gone() {
     let mut fleet = Fleet::new("zone-a");
@@ -60,7 +60,7 @@
     assert_eq!(open(&fleet, 4_001), ["b"]);
 }
 
-/// A runner that says it is leaving gets nothing new, and still counts as there.
+/// A runner that is shutting down gets no new requests but still counts as present.
 #[test]
 fn a_draining_runner_gets_nothing_new() {
     let mut fleet = Fleet::new("zone-a");
@@ -72,8 +72,8 @@
     assert!(fleet.get(a).expect("it is there").is_leaving());
 }
 
-/// The list lags behind a crash by seconds. A runner that refuses connections
-/// rests, longer each time, and is tried again.
+/// The list lags seconds behind a crash. A runner that refuses connections is avoided, longer
+/// each time, and then tried again.
 #[test]
 fn an_unreachable_runner_rests_and_comes_back() {
     let mut fleet = Fleet::new("zone-a");
@@ -89,9 +89,8 @@
     assert_eq!(open(&fleet, 2_000), ["a"]);
 }
 
-/// A caller's answer comes from another service. A runner has gone and another
-/// process answers at its address; it gets nothing until the list says anew who
-/// is there.
+/// Guards against an answer from the wrong service: a runner has gone, and another process
+/// answers at its address. The runner gets no requests until its entry changes.
 #[test]
 fn a_replaced_runner_gets_nothing_until_it_is_listed_anew() {
     let mut fleet = Fleet::new("zone-a");
@@ -103,14 +102,18 @@
     let mut again = listed(&["a"]);
     again[0].started_ms = 2;
     let address = again[0].address;
-    let void = fleet.update(at(9_500), again);
-    assert_eq!(void, [address, address], "its connections are another process's");
+    let replaced = fleet.update(at(9_500), again);
+    assert_eq!(
+        replaced,
+        [address, address],
+        "its connections belong to another process"
+    );
     assert_eq!(open(&fleet, 9_600), ["a"]);
 }
 
-/// A posting meets a connection that the runner is just closing, and nobody can
-/// tell whether it ran. Such requests use only connections that are nearly
-/// fresh; others use them for longer, but not to the end.
+/// Guards against a request that may run at most once being sent on a connection that the runner
+/// is closing, when it is unknown whether it ran. Such requests use only recently used
+/// connections; others use them for longer, but not until the timeout.
 #[test]
 fn postings_use_only_fresh_connections() {
     let idle = Idle {
@@ -123,9 +126,9 @@
     assert!(!idle.is_usable(at(9_400), false));
 }
 
-/// Callers wait for one dead connection after the other. A zone is cut off:
-/// after two of its runners could not be reached, the others are not tried
-/// either, but a zone that seems cut off is better than none.
+/// Guards against callers that wait for one dead connection after the other when a zone is cut
+/// off. After two unreachable runners, the others of the zone are avoided too, unless there is no
+/// other zone.
 #[test]
 fn a_zone_that_cannot_be_reached_rests_as_a_whole() {
     let mut fleet = Fleet::new("zone-a");
@@ -138,33 +141,37 @@
     fleet.record_attempt(at(30), key(&fleet, "b2"), Attempt::Unreachable);
     assert_eq!(open(&fleet, 40), ["a"]);
     fleet.record_attempt(at(50), key(&fleet, "a"), Attempt::Unreachable);
-    assert_eq!(open(&fleet, 60), ["b3"], "better than none");
+    assert_eq!(open(&fleet, 60), ["b3"], "no other zone is left");
     fleet.record_attempt(at(70), key(&fleet, "b3"), Attempt::Succeeded);
-    assert_eq!(open(&fleet, 500), ["a", "b1", "b2", "b3"], "it is reached again");
+    assert_eq!(
+        open(&fleet, 500),
+        ["a", "b1", "b2", "b3"],
+        "the zone is reachable again"
+    );
 }
 
-/// A runner with a long queue is asked for a connection by each request that waits for it,
-/// and passes its limit. One request asks for all: after 0.8 s without a word, and again
-/// after as long; a word from the runner to anyone puts it off.
+/// Guards against exceeding a runner's connection limit because each waiting request probes it.
+/// One request probes for all, after 0.8 s of silence and again after as long; any answer of the
+/// runner postpones the probe.
 #[test]
 fn one_request_asks_for_all_that_wait() {
     let mut fleet = Fleet::new("zone-a");
     fleet.update(at(0), listed(&["a"]));
     let key = fleet.find("a").expect("listed");
-    let rest = |ms| Liveness::Recent(Duration::from_millis(ms));
-    assert_eq!(fleet.liveness(at(0), key, at(0)), rest(800));
+    let recent = |ms| Liveness::Recent(Duration::from_millis(ms));
+    assert_eq!(fleet.liveness(at(0), key, at(0)), recent(800));
     fleet.record_contact(at(500), key);
-    assert_eq!(fleet.liveness(at(800), key, at(0)), rest(500));
+    assert_eq!(fleet.liveness(at(800), key, at(0)), recent(500));
     assert_eq!(fleet.liveness(at(1_300), key, at(0)), Liveness::Silent);
     for _ in 0..50 {
-        assert_eq!(fleet.liveness(at(1_301), key, at(0)), rest(799));
+        assert_eq!(fleet.liveness(at(1_301), key, at(0)), recent(799));
     }
     assert_eq!(fleet.liveness(at(2_100), key, at(0)), Liveness::Silent);
 }
 
-/// Requests wait for their runner behind a cut until the route's time-out. Once one of
-/// them has found the path cut, all that were sent before know; one connection that failed,
-/// as where packets are lost, tells them nothing.
+/// Guards against requests that wait until the route's timeout behind a network cut. Once one
+/// request has found the path down, all that were sent before stop waiting. A single failed
+/// connection, which packet loss can cause, does not stop them.
 #[test]
 fn all_that_wait_learn_of_a_cut() {
     let mut fleet = Fleet::new("zone-a");
@@ -180,9 +187,9 @@
     ));
 }
 
-/// A runner that has left goes on getting requests from a host that has just started. Its
-/// entry was in the host's first list and is removed a second later, in a sound store; only
-/// a pause of the store's answers would make that doubtful.
+/// Guards against a host that has just started sending requests to a runner that has left. The
+/// entry was in the host's first list and is removed a second later; only a gap between the
+/// store's answers would make the removal doubtful.
 #[test]
 fn a_host_that_has_just_started_believes_a_removal() {
     let mut fleet = Fleet::new("zone-a");
--- a/tests/suite/proxy/freshness.rs
+++ b/tests/suite/proxy/freshness.rs
@@ -1,4 +1,4 @@
-//! Withdrawn keys and old documents.
+//! Tests of withdrawn keys and outdated documents.
 
 use std::time::Duration;
 
@@ -15,10 +15,9 @@
     Moment::at_ms(START + ms)
 }
 
-/// The caller's key is withdrawn while its host is cut off from the store; its
-/// request must not run. The host admits the request by its old document and
-/// looks for a runner; meanwhile the cut heals and the new document arrives. The
-/// proof is fresh again, but the admission is still the old document's.
+/// Guards against running a request whose key was withdrawn while the host was cut off from the
+/// store. The old document admits the request; before it is sent, the new document arrives. The
+/// document is fresh again, but the admission is based on the old one.
 #[test]
 fn an_admission_does_not_outlive_its_key() {
     let mut state = state(at(0), vec![customer("ana", &["key-a"])]);
@@ -28,13 +27,13 @@
     state.freshness.renew(at(9_200));
     let refusal = state
         .may_send(at(9_250), &admission, &ask)
-        .expect_err("the key is gone");
+        .expect_err("the key was withdrawn");
     assert_eq!(refusal.kind, Kind::UnknownKey);
 }
 
-/// A host that is cut off from the store never hears that a key was withdrawn.
-/// It serves while its last proof is young, and then refuses, saying truly that
-/// the request has not run.
+/// A host that is cut off from the store does not learn that a key was withdrawn. It accepts keys
+/// while its last confirmation is recent and then refuses requests, with an answer that says that
+/// they did not run.
 #[test]
 fn keys_are_trusted_only_while_the_proof_is_young() {
     let state = state(at(0), vec![customer("ana", &["key-a"])]);
@@ -43,14 +42,14 @@
     assert!(state.may_send(at(2_900), &admission, &ask).is_ok());
     let refusal = state
         .may_send(at(3_100), &admission, &ask)
-        .expect_err("the proof is old");
+        .expect_err("the confirmation is too old");
     assert_eq!(refusal.kind, Kind::Stale);
     assert_eq!(refusal.ran, radishstair_core::error::Ran::NotRun);
 }
 
-/// A key that was just added is not known to a host that has not read the newer
-/// document yet. "Unknown key" would be final for the caller, so it is said
-/// only while the document is known to be the newest.
+/// A host that has not read the newest document does not have a key that was just added. "Unknown
+/// key" would be final for the caller, so it is returned only while the document is confirmed to
+/// be current.
 #[test]
 fn unknown_keys_are_refused_for_good_only_by_the_newest_document() {
     let state = state(at(0), vec![customer("ana", &["key-a"])]);
@@ -63,8 +62,7 @@
     assert_eq!(kind(2_000).err(), Some(Kind::Stale));
 }
 
-/// Two reads overtake each other, and the older document comes last. A request
-/// on a route that it lacks would be refused again.
+/// Guards against an older document replacing a newer one when two reads complete out of order.
 #[test]
 fn an_older_document_never_comes_back() {
     let mut state = state(at(0), vec![customer("ana", &["key-a"])]);
@@ -73,8 +71,8 @@
     assert!(state.admit(at(10), &ask("key-b")).is_ok());
 }
 
-/// A process that was frozen between its read and the answer must not count the
-/// proof from the answer: the document may have changed while it slept.
+/// Guards against counting the confirmation from the arrival of the answer: the document may have
+/// changed while the process was frozen between the request and the answer.
 #[test]
 fn a_proof_counts_from_before_the_question() {
     let mut state = state(at(0), vec![customer("ana", &["key-a"])]);
@@ -84,10 +82,10 @@
     assert!(!state.is_fresh(at(4_000)));
 }
 
-/// The store turns one host away. By its peers' proof it can serve, but it is one
-/// failure from refusing everybody: it tells the balancer and its callers to go
-/// elsewhere, and serves those who come. Where no host has a proof, there is no
-/// better place, and nobody is sent about.
+/// A host that the store refuses can still serve requests by its peers' confirmations, but one
+/// more failure would make it refuse every caller. It reports not ready and hands off its
+/// callers, but serves those that come. If no host has a confirmation, there is no better host to
+/// send them to.
 #[test]
 fn a_host_without_its_own_way_to_the_store_hands_its_callers_over() {
     let mut state = state(at(0), vec![customer("ana", &["key-a"])]);
@@ -96,17 +94,20 @@
     assert!(state.is_ready(at(2_000)) && !state.should_hand_off(at(2_000)));
     state.freshness.renew(at(2_600));
     assert!(!state.is_ready(at(2_700)) && state.should_hand_off(at(2_700)));
-    assert!(state.admit(at(2_700), &ask("key-a")).is_ok(), "it refuses nobody");
+    assert!(
+        state.admit(at(2_700), &ask("key-a")).is_ok(),
+        "requests are still served"
+    );
     assert!(
         !state.should_hand_off(at(6_000)),
-        "its peers have no proof either"
+        "its peers have no confirmation either"
     );
     state.store_contact.renew(at(6_100));
     state.freshness.renew(at(6_100));
     assert!(state.is_ready(at(6_200)) && !state.should_hand_off(at(6_200)));
 }
 
-/// Guards against requests without a key that go where a change, known but not read, forbids.
+/// Guards against requests without a key being routed by a document that is known to be outdated.
 #[test]
 fn an_old_document_is_not_served_for_long_once_a_newer_one_is_known() {
     let mut state = state(at(0), vec![customer("ana", &["key-a"])]);
@@ -128,7 +129,7 @@
         path: "/open/1",
         ..ask("key-a")
     };
-    let admission = state.admit(at(9_000), &open).expect("no key, no proof");
+    let admission = state.admit(at(9_000), &open).expect("no key is needed");
     assert!(
         state.may_send(at(9_000), &admission, &open).is_ok(),
         "the store is away"
@@ -137,7 +138,7 @@
     state.is_behind = true;
     assert!(
         state.may_send(at(10_900), &admission, &open).is_ok(),
-        "there is time yet"
+        "within the bound"
     );
     let refused = |result: Result<(), Refusal>| result.map_err(|refusal| refusal.kind);
     let kind = refused(state.may_send(at(11_100), &admission, &open));
--- a/tests/suite/proxy/latency.rs
+++ b/tests/suite/proxy/latency.rs
@@ -1,4 +1,4 @@
-//! Loads under which the router must go by what it sees of its runners.
+//! Tests of placement and scaling under simulated load, where decisions depend on measurements.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::fixtures::priced;
-use super::model::{Play, SERVICE};
+use super::model::{SERVICE, Simulation};
 
-/// Engines three times slower or faster than assumed answer a few hundred requests, one in
-/// three of which met a queue that nobody knew of. The reading time that is learnt is right
-/// within a quarter; assumed, it would be wrong by half and more.
+/// Engines that are three times slower or faster than the prior answer a few hundred requests,
+/// one third of which met an unknown queue. The learnt prefill time is within a quarter of the
+/// true one; the prior would be off by half or more.
 #[test]
 fn reading_speed_is_learnt_through_unknown_queues() {
     for (seed, thousand_ms) in [(1, 5.0), (2, 16.0), (3, 35.0)] {
@@ -34,62 +34,70 @@
             let took = 35.0 + thousand_ms * prompt as f64 / 1e3 + queue;
             latency.observe_first_event(&conditions, Duration::from_secs_f64(took / 1e3));
         }
-        let learnt = latency.prefill(4_000, 0).as_secs_f64() * 1e3;
-        let right = thousand_ms * 4.0;
-        assert!((learnt / right - 1.0).abs() < 0.25, "{learnt} for {right} ms");
+        let learned = latency.prefill(4_000, 0).as_secs_f64() * 1e3;
+        let expected = thousand_ms * 4.0;
+        assert!(
+            (learned / expected - 1.0).abs() < 0.25,
+            "learned {learned} ms, expected {expected} ms"
+        );
     }
 }
 
-/// The busiest of six engines takes eight times as long for everything and says that it is
-/// well; its queue looks as short as the others'. Its requests are late. Seen to lag, it gets
-/// less than half of what it had, the time until that is known included.
+/// The busiest of six engines becomes eight times slower but reports that it is healthy, and its
+/// queue looks as short as the others'. It must get less than half of its former requests,
+/// including the time until it is detected.
 #[test]
 fn a_straggler_gets_few() {
     for seed in 0..5 {
-        let play = Play {
+        let simulation = Simulation {
             seed,
-            ..Play::default()
+            ..Simulation::default()
         };
-        let sound = play.clone().run();
-        let busiest = (0..6).max_by_key(|at| sound.at[*at]).expect("some");
-        let slow = with_straggler(play, busiest);
-        let seen = slow.clone().run();
-        let blind = Play {
-            judges_engines: false,
+        let healthy = simulation.clone().run();
+        let busiest = (0..6)
+            .max_by_key(|at| healthy.at[*at])
+            .expect("there are engines");
+        let slow = with_straggler(simulation, busiest);
+        let detecting = slow.clone().run();
+        let blind = Simulation {
+            detects_slow_engines: false,
             ..slow
         }
         .run();
-        let part = seen.part_at(busiest);
-        assert!(part < sound.part_at(busiest) / 2.0, "seed {seed}: {part}");
-        assert!(part < blind.part_at(busiest), "seed {seed}: {part}");
-        assert!(seen.part_timely() > blind.part_timely(), "seed {seed}");
+        let share = detecting.share_at(busiest);
+        assert!(share < healthy.share_at(busiest) / 2.0, "seed {seed}: {share}");
+        assert!(share < blind.share_at(busiest), "seed {seed}: {share}");
+        assert!(detecting.share_on_time() > blind.share_on_time(), "seed {seed}");
     }
 }
 
-/// The same play with one engine that takes eight times as long.
-fn with_straggler(mut play: Play, engine: usize) -> Play {
-    play.reads_in_ms[engine] *= 8.0;
-    play
+/// The same simulation with one engine that is eight times slower.
+fn with_straggler(mut simulation: Simulation, engine: usize) -> Simulation {
+    simulation.prefill_ms_per_1k[engine] *= 8.0;
+    simulation
 }
 
-/// The straggler's answers are slow, not the others'. Taken into the common latency they would
-/// make all runners look slow, and more of them would be paid for.
+/// Guards against the straggler's samples entering the common latency model, which would make all
+/// runners look slow and order too many.
 #[test]
 fn a_straggler_does_not_slow_the_common_pace() {
     for engine in 0..6 {
-        let play = with_straggler(Play::default(), engine);
-        let latency = play
+        let simulation = with_straggler(Simulation::default(), engine);
+        let latency = simulation
             .run()
             .state
             .latencies
             .get_or_default(SERVICE)
             .prefill_ms_per_1k();
-        assert!(latency < 14.0, "{latency} ms a thousand tokens, {engine} slow");
+        assert!(
+            latency < 14.0,
+            "{latency} ms per thousand tokens, engine {engine} slow"
+        );
     }
 }
 
-/// Runners wanted by the planner, reclaimable and dependable, for a flow.
-fn wanted(planner: &mut Planner, now: Moment, fleet: &Fleet, price: f64, flow: u64) -> (u32, u32) {
+/// Reclaimable and on-demand runners ordered for a rate of prefill work.
+fn ordered(planner: &mut Planner, now: Moment, fleet: &Fleet, price: f64, flow: u64) -> (u32, u32) {
     let zones = [("zone-a", 1.0), ("zone-b", 1.0), ("zone-c", 1.0)];
     let table = priced(SERVICE, 20, price, &zones);
     let mut latest = BTreeMap::new();
@@ -104,59 +112,64 @@
     (sum(true), sum(false))
 }
 
-/// The same callers before engines that read a third as fast and twice as fast. Counted in
-/// tokens, the slow ones were as few as the usual ones and callers waited; the fast ones were
-/// paid for in vain. Counted in the time that they take, there are more, and fewer.
+/// Guards against scaling by tokens: with engines that prefill at a third of the speed, callers
+/// waited, and with engines twice as fast, too many were ordered. Scaling by prefill time must
+/// order more and fewer.
 #[test]
 fn slow_engines_are_more_and_fast_ones_fewer() {
-    let flow = |reads_in_ms| {
-        let play = Play {
+    let flow = |prefill_ms_per_1k| {
+        let simulation = Simulation {
             zones: vec!["zone-a"; 12],
-            reads_in_ms: vec![reads_in_ms; 12],
+            prefill_ms_per_1k: vec![prefill_ms_per_1k; 12],
             rate: |_| 80.0,
-            ..Play::default()
+            ..Simulation::default()
         };
-        play.run().flow.rate
+        simulation.run().flow.rate
     };
     let runners = |flow| {
         let fleet = Fleet::new("zone-a");
-        wanted(&mut Planner::default(), Moment::at_ms(100_000), &fleet, 0.2, flow).0
+        ordered(&mut Planner::default(), Moment::at_ms(100_000), &fleet, 0.2, flow).0
     };
     let usual = runners(flow(9.0));
     let slow = runners(flow(27.0));
     let fast = runners(flow(4.5));
-    assert!(slow >= usual * 2, "{slow} slow ones for {usual}");
-    assert!(fast * 4 <= usual * 3, "{fast} fast ones for {usual}");
+    assert!(slow >= usual * 2, "{slow} slow runners for {usual}");
+    assert!(fast * 4 <= usual * 3, "{fast} fast runners for {usual}");
 }
 
-/// Reclaimable runners at nine tenths of the price save little and vanish at the worst time.
-/// Dependable ones are ordered in their place, and no reserve is paid for.
+/// Reclaimable runners at nine tenths of the price save little and may be lost at the worst time.
+/// On-demand runners are ordered instead, without a reserve.
 #[test]
 fn reclaimable_runners_are_taken_only_while_they_are_cheap() {
     let fleet = Fleet::new("zone-a");
     let at = Moment::at_ms(100_000);
-    let (cheap, dependable) = wanted(&mut Planner::default(), at, &fleet, 0.2, 3_000_000);
-    assert!(cheap >= 9 && dependable <= 6, "{cheap} and {dependable}");
-    let (cheap, dependable) = wanted(&mut Planner::default(), at, &fleet, 0.9, 3_000_000);
-    assert!(cheap == 0 && dependable >= 6, "{cheap} and {dependable}");
+    let (cheap, on_demand) = ordered(&mut Planner::default(), at, &fleet, 0.2, 3_000_000);
+    assert!(
+        cheap >= 9 && on_demand <= 6,
+        "{cheap} reclaimable, {on_demand} on-demand"
+    );
+    let (cheap, on_demand) = ordered(&mut Planner::default(), at, &fleet, 0.9, 3_000_000);
+    assert!(
+        cheap == 0 && on_demand >= 6,
+        "{cheap} reclaimable, {on_demand} on-demand"
+    );
 }
 
-/// A zone's reclaimable runners are taken away while none are to be had. Each order is
-/// refused; said again every second and a half for half a minute they only cost calls. They
-/// back off, and dependable ones stand in meanwhile.
+/// Guards against repeating refused orders every 1.5 s while a zone has no reclaimable runners.
+/// Orders back off, and on-demand runners are ordered meanwhile.
 #[test]
 fn refused_orders_back_off() {
     let table = priced(SERVICE, 20, 0.2, &[("zone-a", 1.0)]);
     let fleet = Fleet::new("zone-a");
     let mut planner = Planner::default();
-    let (mut refused, mut dependable) = (0, 0);
+    let (mut refused, mut on_demand) = (0, 0);
     for ms in (0..30_000).step_by(250) {
         let now = Moment::at_ms(100_000 + ms);
         while let Some(order) = planner.tick(now, &table, &fleet, |_| 3_000_000) {
             planner.record_result(now, &order, !order.reclaimable);
             match order.reclaimable {
                 true => refused += 1,
-                false => dependable = order.count,
+                false => on_demand = order.count,
             }
             if order.reclaimable {
                 break;
@@ -164,15 +177,16 @@
         }
     }
     assert!((3..=8).contains(&refused), "{refused} orders were refused");
-    assert!(dependable >= 4, "{dependable} dependable ones");
+    assert!(on_demand >= 4, "{on_demand} on-demand runners");
 }
 
-/// Two bursts at once, one on a single subject: its runner and the others kept for long
-/// prompts fill up. Nine in ten are in time, as the burst spreads by the waits that it causes.
+/// Two bursts at once, one of them on a single prefix, fill its home runner and the others
+/// reserved for long prompts. Nine of ten requests are on time, as their cost makes the burst
+/// spread.
 #[test]
 fn a_burst_on_a_hot_subject_spreads_in_time() {
     for seed in 0..5 {
-        let play = Play {
+        let simulation = Simulation {
             seed,
             zones: vec!["zone-a"; 8],
             rate: |ms| {
@@ -182,58 +196,62 @@
                     25.0
                 }
             },
-            subject: |draw| if draw % 3 == 0 { 100 } else { 100 + draw % 60 },
-            ..Play::default()
+            prefix: |draw| if draw % 3 == 0 { 100 } else { 100 + draw % 60 },
+            ..Simulation::default()
         };
-        let outcome = play.run();
+        let outcome = simulation.run();
         assert!(
-            outcome.part_timely() > 0.9,
+            outcome.share_on_time() > 0.9,
             "seed {seed}: {}",
-            outcome.part_timely()
+            outcome.share_on_time()
         );
     }
 }
 
-/// Two runners in the zone, two more far away. One is kept for each kind, and what comes is
-/// served near by until the wait there is worth the way; most bytes stay in the zone.
+/// With two runners in the host's zone and two in another, each kind of prompt has one nearby.
+/// Requests stay in the zone until waiting there costs more than leaving it, so most traffic
+/// stays in the zone.
 #[test]
 fn few_runners_a_zone_keep_most_near() {
     for seed in 0..5 {
-        let play = Play {
+        let simulation = Simulation {
             seed,
             zones: vec!["zone-a", "zone-a", "zone-b", "zone-b"],
             rate: |_| 10.0,
-            ..Play::default()
+            ..Simulation::default()
         };
-        let outcome = play.run();
-        let near = outcome.part_at(0) + outcome.part_at(1);
-        assert!(near > 0.7, "seed {seed}: {near} near");
+        let outcome = simulation.run();
+        let same_zone = outcome.share_at(0) + outcome.share_at(1);
+        assert!(same_zone > 0.7, "seed {seed}: {same_zone} in the zone");
         assert!(
-            outcome.part_timely() > 0.95,
+            outcome.share_on_time() > 0.95,
             "seed {seed}: {}",
-            outcome.part_timely()
+            outcome.share_on_time()
         );
     }
 }
 
-/// The zone's runners vanish in the middle of the day and come back. Callers go to the other
-/// zone at once and come home afterwards; hardly any is late.
+/// The runners of the host's zone disappear and come back. Requests go to the other zone at once
+/// and return afterwards, and hardly any is late.
 #[test]
 fn a_lost_zone_spills_over_and_comes_back() {
     for seed in 0..5 {
-        let play = Play {
+        let simulation = Simulation {
             seed,
             zones: vec!["zone-a", "zone-a", "zone-a", "zone-b", "zone-b", "zone-b"],
             listed: |ms, at| at >= 3 || !(10_000..18_000).contains(&ms),
-            ..Play::default()
+            ..Simulation::default()
         };
-        let outcome = play.run();
-        let near: f64 = (0..3).map(|at| outcome.part_at(at)).sum();
-        assert!((0.55..0.75).contains(&near), "seed {seed}: {near} near");
+        let outcome = simulation.run();
+        let same_zone: f64 = (0..3).map(|at| outcome.share_at(at)).sum();
+        assert!(
+            (0.55..0.75).contains(&same_zone),
+            "seed {seed}: {same_zone} in the zone"
+        );
         assert!(
-            outcome.part_timely() > 0.95,
+            outcome.share_on_time() > 0.95,
             "seed {seed}: {}",
-            outcome.part_timely()
+            outcome.share_on_time()
         );
     }
 }
--- a/tests/suite/proxy/lease.rs
+++ b/tests/suite/proxy/lease.rs
@@ -1,4 +1,4 @@
-//! The duty's lease, on the terms of a platform that checks fencing numbers.
+//! Tests of a duty's lease, for a platform that checks fencing tokens.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     Moment::at_ms(100_000 + ms)
 }
 
-/// The store's record, by compare-and-swap.
+/// A store with one record and compare-and-swap.
 #[derive(Default)]
 struct Store {
     version: u64,
@@ -56,30 +56,30 @@
     Lease::with(Incarnation(run), "duty".into(), terms)
 }
 
-/// Two hosts report one window. The holder is frozen and its lease runs out; a
-/// successor takes over with a higher number, but not before; the former
-/// holder wakes and does not act.
+/// Guards against two hosts reporting one window. The holder is frozen until its lease expires; a
+/// successor takes over with a higher fencing token, and not before; the former holder must not
+/// act after it resumes.
 #[test]
 fn one_holds_the_duty_at_a_time_and_fences_rise() {
     let mut store = Store::default();
     let (mut first, mut second) = (candidate(1), candidate(2));
     assert_eq!(step(&mut first, &mut store, 0), Some(1));
-    let mut taken = None;
+    let mut takeover = None;
     for ms in (100..10_000).step_by(250) {
         if let Some(fence) = step(&mut second, &mut store, ms) {
-            taken = Some((ms, fence));
+            takeover = Some((ms, fence));
             break;
         }
     }
-    let (ms, fence) = taken.expect("a successor takes over");
+    let (ms, fence) = takeover.expect("a successor takes over");
     assert!(ms >= 3_000, "the term is respected: {ms}");
     assert_eq!(fence, 2);
     assert_eq!(first.grant(at(ms)), None);
     assert_eq!(step(&mut first, &mut store, ms + 10), None);
 }
 
-/// A listing that left before a renewal shows the holder an older record. It
-/// keeps its duty, as its own write told it more.
+/// A listing that was requested before a renewal returns the holder's older record. The holder
+/// keeps the duty, as its own write is newer.
 #[test]
 fn an_old_listing_does_not_end_a_duty() {
     let mut store = Store::default();
--- a/tests/suite/proxy/limits.rs
+++ b/tests/suite/proxy/limits.rs
@@ -1,4 +1,4 @@
-//! Repeats, routes and orders.
+//! Tests of retry budgets, routes and orders for runners.
 
 use radishstair_core::proxy::budget::Budgets;
 use radishstair_core::proxy::fleet::Fleet;
@@ -12,9 +12,8 @@
     Moment::at_ms(100_000 + ms)
 }
 
-/// A service falls over after an outage: every host repeats what failed. In
-/// every span of the window's length, all hosts together stay inside the ratio
-/// and the slack, though none asks another.
+/// Guards against a retry storm after an outage, in which every host retries failed requests. In
+/// each window, all hosts together stay within the ratio and the slack without communicating.
 #[test]
 fn hosts_stay_inside_the_shared_budget_without_talking() {
     let bounds = bounds();
@@ -35,15 +34,15 @@
     }
     for from in (0..50_000).step_by(100) {
         let span = from..from + bounds.repeat_window_s * 1_000;
-        let asked = requests.iter().filter(|ms| span.contains(ms)).count() as f64;
-        let again = repeats.iter().filter(|ms| span.contains(ms)).count() as f64;
-        let allowed = asked * bounds.repeat_ratio + bounds.repeat_slack;
-        assert!(again <= allowed, "{again} of {allowed} from {from} ms");
+        let requested = requests.iter().filter(|ms| span.contains(ms)).count() as f64;
+        let retried = repeats.iter().filter(|ms| span.contains(ms)).count() as f64;
+        let allowed = requested * bounds.repeat_ratio + bounds.repeat_slack;
+        assert!(retried <= allowed, "{retried} of {allowed} from {from} ms");
     }
-    assert!(repeats.len() > 300, "it is used: {}", repeats.len());
+    assert!(repeats.len() > 300, "too few retries: {}", repeats.len());
 }
 
-/// The longest prefix that begins the path wins, for its own host only.
+/// The longest matching path prefix wins, for its own host only.
 #[test]
 fn routes_are_found_by_host_and_longest_prefix() {
     let routes = vec![
@@ -59,7 +58,7 @@
     assert_eq!(name("other.example", "/books/1"), None);
 }
 
-/// A split route's requests fall by weight, and a share without weight gets none.
+/// Requests of a split route follow the weights; a share with weight 0 gets none.
 #[test]
 fn splits_follow_their_weights() {
     let mut split = route("split", "/", Mode::Repeatable, "a");
@@ -76,8 +75,8 @@
     assert_eq!((count("a"), count("b"), count("c")), (900, 100, 0));
 }
 
-/// An engine out of memory puts the least urgent back. A route's priority goes
-/// first, the customer's decides among equals, and all fit into ten ranks.
+/// An engine out of memory preempts the least urgent requests. The route's priority goes first,
+/// the customer's decides among equals, and all pairs fit into ten ranks.
 #[test]
 fn ranks_keep_routes_apart() {
     let mut urgent = route("urgent", "/u/", Mode::Repeatable, "a");
@@ -114,7 +113,7 @@
     priced("engines", 10, 0.22, &[("zone-a", 1.2), ("zone-b", 0.9)])
 }
 
-/// Orders for a flow of so many microseconds of reading a second.
+/// Orders for `flow` microseconds of prefill work per second.
 fn orders(planner: &mut Planner, ms: u64, fleet: &Fleet, flow: u64) -> Vec<Order> {
     let table = engines();
     let mut sent = Vec::new();
@@ -125,9 +124,8 @@
     sent
 }
 
-/// A burst finds too few cheap runners, again and again, if they are given back
-/// between bursts. They stay for half a minute after the flow that needed them,
-/// and grow with it.
+/// Guards against too few reclaimable runners in each burst because they are given up between
+/// bursts. Their number grows with the peak and is kept for half a minute after it.
 #[test]
 fn cheap_runners_follow_the_peaks() {
     let mut planner = Planner::default();
@@ -144,15 +142,18 @@
             .find(|order| order.zone == "zone-b" && order.reclaimable);
         of_zone.map(|order| order.count)
     };
-    assert_eq!(cheap(&orders(&mut planner, 0, &fleet, 0)), Some(4), "as found");
+    assert_eq!(
+        cheap(&orders(&mut planner, 0, &fleet, 0)),
+        Some(4),
+        "as many as at the start"
+    );
     assert_eq!(cheap(&orders(&mut planner, 5_000, &fleet, 4_000_000)), Some(8));
     assert_eq!(cheap(&orders(&mut planner, 20_000, &fleet, 700_000)), Some(8));
     assert_eq!(cheap(&orders(&mut planner, 36_000, &fleet, 700_000)), Some(2));
 }
 
-/// Both zones lose their cheap runners under load and callers wait. Dependable
-/// ones are ordered for all that is lacking, not all in one zone, and given back
-/// when the cheap ones carry the flow again.
+/// Both zones lose their reclaimable runners under load. On-demand runners are ordered for all
+/// that are missing, in more than one zone, and given up when the reclaimable ones are back.
 #[test]
 fn lost_cheap_runners_are_made_up_for() {
     let cheap = |zones: &[&str]| {
--- a/tests/suite/proxy/mirror.rs
+++ b/tests/suite/proxy/mirror.rs
@@ -1,4 +1,4 @@
-//! What hosts know of the store, read in pages or told by a peer.
+//! Tests of the replica of the store's keys, filled from listings or from peers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Keys that are written and removed.
+/// Number of keys that are written and removed.
 const KEYS: u32 = 24;
-/// Keys of a page.
-const PAGE: usize = 4;
+/// Number of keys in a page.
+const PAGE_SIZE: usize = 4;
 
-/// A store whose every former state can be looked up.
+/// A store that keeps all former states.
 struct Store {
     rng: ChaCha8Rng,
     states: Vec<BTreeMap<String, u64>>,
@@ -47,14 +47,14 @@
         }
     }
 
-    /// A listing in pages, with changes between them.
+    /// Lists the store in pages, with changes between them.
     fn list(&mut self, sent: Moment, mirror: &mut Mirror) {
         let mut after = String::new();
         loop {
             let state = self.states.last().expect("there is one");
             let rest: Vec<(&String, &u64)> = state.iter().filter(|(key, _)| **key > after).collect();
-            let more = rest.len() > PAGE;
-            let entries: Vec<Entry> = rest.into_iter().take(PAGE).map(entry).collect();
+            let more = rest.len() > PAGE_SIZE;
+            let entries: Vec<Entry> = rest.into_iter().take(PAGE_SIZE).map(entry).collect();
             let last = entries.last().map(|entry| entry.key.clone());
             mirror.add_page(Page {
                 after: after.clone(),
@@ -72,9 +72,9 @@
         }
     }
 
-    /// Whether a host knows everything up to its revision, and nothing that never
-    /// was.
-    fn is_known(&self, mirror: &Mirror) -> bool {
+    /// Whether each key of a replica is in a state that the store had at or after the replica's
+    /// revision.
+    fn is_consistent(&self, mirror: &Mirror) -> bool {
         let upto = mirror.revision();
         if upto > self.revision() {
             return false;
@@ -100,13 +100,13 @@
     Moment::at_ms(1_000_000 + ms)
 }
 
-fn tell(hosts: &[Mirror], teller: usize, after: u64) -> Changes {
-    hosts[teller].changes(at(60), after).expect("it has listed")
+fn answer(hosts: &[Mirror], sender: usize, after: u64) -> Changes {
+    hosts[sender].changes(at(60), after).expect("it has listed")
 }
 
-/// A reader and two hosts that ask it or each other, all having listed the store
-/// once; `spoil` is what becomes of answers on their way.
-fn play(seed: u64, spoil: impl Fn(&mut Changes)) -> Result<(), String> {
+/// Simulates a reader and two hosts that ask it or each other, after each has listed the store
+/// once. `corrupt` alters answers on their way.
+fn simulate(seed: u64, corrupt: impl Fn(&mut Changes)) -> Result<(), String> {
     let mut store = Store::new(seed);
     let mut hosts = [Mirror::default(), Mirror::default(), Mirror::default()];
     for (at_host, host) in hosts.iter_mut().enumerate() {
@@ -115,19 +115,19 @@
     for step in 10..60 {
         let changes = store.rng.random_range(0..6);
         store.change(changes);
-        let (asker, teller) = (store.rng.random_range(0..3), store.rng.random_range(0..3));
+        let (asker, sender) = (store.rng.random_range(0..3), store.rng.random_range(0..3));
         if asker == 0 {
             store.list(at(step), &mut hosts[0]);
-        } else if asker != teller {
-            let mut told = tell(&hosts, teller, hosts[asker].revision());
-            spoil(&mut told);
-            if !hosts[asker].apply(at(step), told) {
-                let told = tell(&hosts, teller, 0);
-                assert!(hosts[asker].apply(at(step), told), "everything is enough");
+        } else if asker != sender {
+            let mut answered = answer(&hosts, sender, hosts[asker].revision());
+            corrupt(&mut answered);
+            if !hosts[asker].apply(at(step), answered) {
+                let answered = answer(&hosts, sender, 0);
+                assert!(hosts[asker].apply(at(step), answered), "all keys always suffice");
             }
         }
         for (at_host, host) in hosts.iter().enumerate() {
-            if !store.is_known(host) {
+            if !store.is_consistent(host) {
                 return Err(format!("seed {seed}, step {step}: host {at_host}"));
             }
         }
@@ -135,37 +135,34 @@
     Ok(())
 }
 
-/// A runner leaves, and a host that asks a peer goes on sending to it; or a key
-/// that was written anew is dropped for its former self. Pages of a listing are
-/// seconds apart and each host has seen the store at other moments; whoever tells
-/// what came after a revision must leave nothing out and take nothing back.
+/// Guards against a host that asks its peers keeping a removed key, or dropping a key that was
+/// written again. Pages of a listing are seconds apart, and each host lists the store at other
+/// times; the changes after a revision must be complete and must not bring back older entries.
 #[test]
 fn hosts_that_ask_know_what_hosts_that_read_know() {
     for seed in 0..400 {
-        play(seed, |_| {}).expect("all is known");
+        simulate(seed, |_| {}).expect("replicas are consistent");
     }
 }
 
-/// Part of an answer is left out on its way. The checksum shows it, and the host
-/// asks for everything.
+/// If part of an answer is missing, the checksum detects it and the host requests all keys.
 #[test]
 fn an_answer_that_lacks_something_is_not_taken() {
     for seed in 0..40 {
-        play(seed, |changes| changes.removed.clear()).expect("all is known");
-        play(seed, |changes| drop(changes.items.pop())).expect("all is known");
+        simulate(seed, |changes| changes.removed.clear()).expect("replicas are consistent");
+        simulate(seed, |changes| drop(changes.items.pop())).expect("replicas are consistent");
     }
 }
 
-/// The checker must see a host that believes to know more than it does.
+/// The checker must detect a host that claims a newer revision than it has.
 #[test]
 fn a_host_that_knows_too_little_is_seen() {
-    let caught = (0..40).filter(|seed| play(*seed, |changes| changes.revision += 20).is_err());
+    let caught = (0..40).filter(|seed| simulate(*seed, |changes| changes.revision += 20).is_err());
     assert!(caught.count() > 0);
 }
 
-/// A peer answers, and its answer lies for seconds in a process that was frozen. A
-/// key was withdrawn meanwhile. The answer proves only what was so before the
-/// question, less the age that the peer told.
+/// Guards against an answer that waits in a frozen process while a key is withdrawn. The answer
+/// is only valid as of the request minus the age in the answer.
 #[test]
 fn a_late_answer_proves_only_what_was_true_before_the_question() {
     let mut store = Store::new(1);
@@ -173,14 +170,16 @@
     store.list(at(0), &mut reader);
     store.list(at(1), &mut asker);
     store.list(at(4_000), &mut reader);
-    let told = reader.changes(at(4_700), asker.revision()).expect("it can tell");
-    asker.apply(at(4_500), told);
+    let answered = reader
+        .changes(at(4_700), asker.revision())
+        .expect("it has listed");
+    asker.apply(at(4_500), answered);
     let as_of = asker.as_of().expect("it has listed");
     assert_eq!(at(4_500).since(as_of), Duration::from_millis(700));
 }
 
-/// A host that has just started never saw what was removed before. It tells all
-/// keys rather than leave a removal out.
+/// A host that has just started has not seen earlier removals. It sends all keys rather than omit
+/// a removal.
 #[test]
 fn a_host_that_has_just_started_tells_everything() {
     let mut store = Store::new(2);
--- a/tests/suite/proxy/model.rs
+++ b/tests/suite/proxy/model.rs
@@ -1,7 +1,7 @@
-//! Engines in memory: each reads prompts one after the other and then writes, at speeds that
-//! the router does not know.
+//! Simulated engines that prefill prompts one after the other and then generate, at speeds
+//! unknown to the router.
 //!
-//! One host places what arrives, learns from the first events, and sees what is late.
+//! One host places the requests, learns from the first events, and counts the late ones.
 
 use std::time::Duration;
 
@@ -15,51 +15,51 @@
 
 use super::fixtures::{bounds, runner, table};
 
-/// Service of the engines.
+/// Name of the engines' service.
 pub const SERVICE: &str = "engines";
-/// Time between the reads of the list.
-const LIST_EVERY_MS: u64 = 600;
-/// Time that a request goes on after its first event.
-const WRITES_MS: u64 = 800;
-/// Time until the first event besides reading.
-const FIRST_MS: f64 = 40.0;
-/// Tokens of a prompt that belong to the request alone.
-const OWN: u64 = 2_900;
-/// Tokens that requests about a subject share.
-const SHARED: u64 = 6_300;
+/// Time between two reads of the list.
+const LIST_INTERVAL_MS: u64 = 600;
+/// Time from the first event of a request to its end.
+const GENERATE_MS: u64 = 800;
+/// Time to the first event besides the prefill.
+const BASE_MS: f64 = 40.0;
+/// Tokens of a prompt that are not shared.
+const OWN_TOKENS: u64 = 2_900;
+/// Tokens of a prompt that requests with the same prefix share.
+const SHARED_TOKENS: u64 = 6_300;
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone)]
-pub struct Play {
-    /// Seed of all draws.
+pub struct Simulation {
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Zones of the engines, one entry each; the host is in the first zone.
+    /// Zone of each engine; the host is in the first one.
     pub zones: Vec<&'static str>,
-    /// Milliseconds in which each engine reads a thousand tokens.
-    pub reads_in_ms: Vec<f64>,
-    /// Requests a second at a moment, in milliseconds.
+    /// Prefill time of a thousand tokens on each engine, in milliseconds.
+    pub prefill_ms_per_1k: Vec<f64>,
+    /// Requests per second at a time in milliseconds.
     pub rate: fn(u64) -> f64,
-    /// Subject of a request, drawn from a number.
-    pub subject: fn(u64) -> u64,
-    /// Whether the host tells slow engines from others.
-    pub judges_engines: bool,
-    /// Engines that are listed at a moment.
+    /// Prefix of a request, from a random number.
+    pub prefix: fn(u64) -> u64,
+    /// Whether the host detects slow engines.
+    pub detects_slow_engines: bool,
+    /// Whether an engine is listed at a time in milliseconds.
     pub listed: fn(u64, usize) -> bool,
     /// Length in milliseconds.
     pub length_ms: u64,
-    /// Time within which a first event is on time.
+    /// Time within which a first event is on time, in milliseconds.
     pub target_ms: u64,
 }
 
-impl Default for Play {
+impl Default for Simulation {
     fn default() -> Self {
         Self {
             seed: 1,
             zones: vec!["zone-a"; 6],
-            reads_in_ms: vec![9.0; 12],
+            prefill_ms_per_1k: vec![9.0; 12],
             rate: |_| 20.0,
-            subject: |draw| 100 + draw % 60,
-            judges_engines: true,
+            prefix: |draw| 100 + draw % 60,
+            detects_slow_engines: true,
             listed: |_, _| true,
             length_ms: 30_000,
             target_ms: 400,
@@ -67,30 +67,30 @@
     }
 }
 
-/// What came of a play.
+/// Results of a simulation.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Requests that were placed.
-    pub asked: u32,
-    /// First events that came in time.
-    pub timely: u32,
-    /// Requests at each engine.
+    /// Requests that arrived.
+    pub arrived: u32,
+    /// First events that were on time.
+    pub on_time: u32,
+    /// Requests placed on each engine.
     pub at: Vec<u32>,
-    /// The host at the end.
+    /// Final state of the host.
     pub state: State,
-    /// Highest flow that was told.
+    /// Highest rate of prefill work.
     pub flow: Flow,
 }
 
 impl Outcome {
-    /// Part of the requests that were in time.
-    pub fn part_timely(&self) -> f64 {
-        f64::from(self.timely) / f64::from(self.asked.max(1))
+    /// Share of the requests that were on time.
+    pub fn share_on_time(&self) -> f64 {
+        f64::from(self.on_time) / f64::from(self.arrived.max(1))
     }
 
-    /// Part of the requests at an engine.
-    pub fn part_at(&self, engine: usize) -> f64 {
-        f64::from(self.at[engine]) / f64::from(self.asked.max(1))
+    /// Share of the requests that were placed on an engine.
+    pub fn share_at(&self, engine: usize) -> f64 {
+        f64::from(self.at[engine]) / f64::from(self.arrived.max(1))
     }
 }
 
@@ -100,36 +100,36 @@
     demand: Demand,
     sent: u64,
     first: Option<u64>,
-    ends: u64,
+    ends_at: u64,
 }
 
-/// An engine: when it has read all that it was sent, and the subjects in its memory.
+/// When an engine finishes its queued prefills, and the prefixes in its cache.
 #[derive(Default)]
 struct Engine {
-    free: f64,
-    kept: Vec<u64>,
+    free_at: f64,
+    cached: Vec<u64>,
 }
 
 struct World {
-    play: Play,
+    simulation: Simulation,
     rng: ChaCha8Rng,
     state: State,
     engines: Vec<Engine>,
     keys: Vec<Option<Key>>,
     running: Vec<Running>,
-    seen: Seen,
+    counts: Counts,
 }
 
-/// What was counted so far.
+/// Counts so far.
 #[derive(Default)]
-struct Seen {
-    asked: u32,
-    timely: u32,
+struct Counts {
+    arrived: u32,
+    on_time: u32,
     at: Vec<u32>,
 }
 
-impl Play {
-    /// Plays it.
+impl Simulation {
+    /// Runs the simulation.
     pub fn run(self) -> Outcome {
         let mut state = State::new(bounds(), self.zones[0]);
         state.configure(table(1, Vec::new()));
@@ -140,14 +140,14 @@
             engines: (0..count).map(|_| Engine::default()).collect(),
             keys: vec![None; count],
             running: Vec::new(),
-            seen: Seen {
+            counts: Counts {
                 at: vec![0; count],
-                ..Seen::default()
+                ..Counts::default()
             },
-            play: self,
+            simulation: self,
         };
         let mut highest = world.state.flow(Moment::at_ms(0), SERVICE);
-        for ms in 0..world.play.length_ms {
+        for ms in 0..world.simulation.length_ms {
             world.step(ms);
             let flow = world.state.flow(moment(ms), SERVICE);
             if flow.rate > highest.rate {
@@ -155,9 +155,9 @@
             }
         }
         Outcome {
-            asked: world.seen.asked,
-            timely: world.seen.timely,
-            at: world.seen.at,
+            arrived: world.counts.arrived,
+            on_time: world.counts.on_time,
+            at: world.counts.at,
             state: world.state,
             flow: highest,
         }
@@ -170,19 +170,19 @@
 
 impl World {
     fn step(&mut self, ms: u64) {
-        if ms.is_multiple_of(LIST_EVERY_MS) {
+        if ms.is_multiple_of(LIST_INTERVAL_MS) {
             self.list(ms);
         }
         self.finish(ms);
-        let arrivals = (self.play.rate)(ms) / 1e3;
+        let arrivals = (self.simulation.rate)(ms) / 1e3;
         if self.rng.random_bool(arrivals.min(1.0)) {
             self.arrive(ms);
         }
     }
 
     fn list(&mut self, ms: u64) {
-        let zones = self.play.zones.clone();
-        let here = |at: &usize| (self.play.listed)(ms, *at);
+        let zones = self.simulation.zones.clone();
+        let here = |at: &usize| (self.simulation.listed)(ms, *at);
         let items: Vec<Listed> = (0..zones.len())
             .filter(here)
             .map(|at| runner(&format!("e{at}"), SERVICE, zones[at]))
@@ -195,53 +195,57 @@
 
     fn arrive(&mut self, ms: u64) {
         let draw = self.rng.random();
-        let demand = demand((self.play.subject)(draw), self.rng.random());
+        let demand = demand((self.simulation.prefix)(draw), self.rng.random());
         let Some(choice) = self.state.place(moment(ms), &demand, &[]) else {
-            self.seen.asked += 1;
+            self.counts.arrived += 1;
             return;
         };
         let at = self.keys.iter().position(|key| *key == Some(choice.key));
         let at = at.expect("a known engine");
         let engine = &mut self.engines[at];
-        let subject = demand.segments[1].id;
-        // What another engine has read is copied in no time.
-        let kept = engine.kept.contains(&subject) || choice.source.is_some();
-        let tokens = if kept { OWN } else { OWN + SHARED };
-        engine.kept.push(subject);
-        let reading = tokens as f64 / 1e3 * self.play.reads_in_ms[at];
-        engine.free = engine.free.max(ms as f64) + reading;
-        let first = (engine.free + FIRST_MS) as u64;
-        self.seen.asked += 1;
-        self.seen.at[at] += 1;
+        let prefix = demand.segments[1].id;
+        // Copying a prefix from another engine takes no time.
+        let cached = engine.cached.contains(&prefix) || choice.source.is_some();
+        let tokens = if cached {
+            OWN_TOKENS
+        } else {
+            OWN_TOKENS + SHARED_TOKENS
+        };
+        engine.cached.push(prefix);
+        let prefill = tokens as f64 / 1e3 * self.simulation.prefill_ms_per_1k[at];
+        engine.free_at = engine.free_at.max(ms as f64) + prefill;
+        let first = (engine.free_at + BASE_MS) as u64;
+        self.counts.arrived += 1;
+        self.counts.at[at] += 1;
         self.running.push(Running {
             choice,
             demand,
             sent: ms,
             first: Some(first),
-            ends: first + WRITES_MS,
+            ends_at: first + GENERATE_MS,
         });
     }
 
-    /// Takes what the engines have done by now.
+    /// Processes first events and ends of requests up to now.
     fn finish(&mut self, ms: u64) {
         for run in &mut self.running {
             if run.first.is_some_and(|first| first <= ms) {
                 run.first = None;
                 let took = Duration::from_millis(ms - run.sent);
-                self.seen.timely += u32::from(took.as_millis() as u64 <= self.play.target_ms);
+                self.counts.on_time += u32::from(took.as_millis() as u64 <= self.simulation.target_ms);
                 self.state
                     .fleet
                     .finish_prefill(run.choice.key, run.choice.prefill_us);
                 self.state
                     .record_first_event(run.choice.key, &run.choice.conditions, took);
-                if !self.play.judges_engines {
+                if !self.simulation.detects_slow_engines {
                     self.state.fleet.get_mut(run.choice.key).expect("known").slowdown = 1.0;
                 }
             }
         }
         let state = &mut self.state;
         self.running.retain(|run| {
-            let on = run.ends > ms;
+            let on = run.ends_at > ms;
             if !on {
                 state
                     .fleet
@@ -252,15 +256,19 @@
     }
 }
 
-fn demand(subject: u64, own: u64) -> Demand {
+fn demand(prefix: u64, own: u64) -> Demand {
     let part = |id, tokens| Segment { id, tokens };
     Demand {
         service: SERVICE.into(),
-        prompt: SHARED + OWN,
+        prompt: SHARED_TOKENS + OWN_TOKENS,
         output: 50,
         copies_prefix: true,
         bytes: 18_000,
-        segments: vec![part(1, 2_500), part(subject, SHARED - 2_500), part(own, OWN)],
+        segments: vec![
+            part(1, 2_500),
+            part(prefix, SHARED_TOKENS - 2_500),
+            part(own, OWN_TOKENS),
+        ],
         ..Demand::default()
     }
 }
--- a/tests/suite/proxy/placement.rs
+++ b/tests/suite/proxy/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go under load.
+//! Tests of placement under load.
 
 use radishstair_core::id::Incarnation;
 use radishstair_core::proxy::State;
@@ -32,10 +32,10 @@
     fleet
 }
 
-fn choose(fleet: &Fleet, memory: &Index, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
+fn choose(fleet: &Fleet, index: &Index, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
     let known = Inputs {
         fleet,
-        prefixes: memory,
+        prefixes: index,
         latency: &Latency::default(),
         partition: &Partition::default(),
     };
@@ -48,7 +48,7 @@
     state
 }
 
-fn demand(prompt: u64, subject: u64) -> Demand {
+fn demand(prompt: u64, prefix: u64) -> Demand {
     Demand {
         service: "engines".into(),
         prompt,
@@ -57,7 +57,7 @@
         segments: vec![
             Segment { id: 1, tokens: 100 },
             Segment {
-                id: subject,
+                id: prefix,
                 tokens: prompt / 2,
             },
             Segment {
@@ -69,145 +69,160 @@
     }
 }
 
-/// Short streams pause while long prompts are read beside them. With all
-/// runners idle each kind goes to the runners kept for it.
+/// Long prompts stall short streams on the same runner. With all runners idle, each kind goes to
+/// the runners reserved for it.
 #[test]
 fn long_and_short_prompts_go_apart() {
     let fleet = fleet(14);
-    let memory = Index::default();
-    for subject in 10..60 {
-        let long = choose(&fleet, &memory, at(1), &demand(12_000, subject), &[]).expect("one");
-        let short = choose(&fleet, &memory, at(1), &demand(800, subject), &[]).expect("one");
-        assert!(fleet.get(long.key).expect("known").for_long_prompts);
-        assert!(!fleet.get(short.key).expect("known").for_long_prompts);
+    let index = Index::default();
+    for prefix in 10..60 {
+        let long =
+            choose(&fleet, &index, at(1), &demand(12_000, prefix), &[]).expect("a runner is available");
+        let short = choose(&fleet, &index, at(1), &demand(800, prefix), &[]).expect("a runner is available");
+        assert!(fleet.get(long.key).expect("it is known").for_long_prompts);
+        assert!(!fleet.get(short.key).expect("it is known").for_long_prompts);
     }
 }
 
-/// A burst of long prompts fills the runners kept for them; their callers would
-/// wait past their target beside idle runners. They cross over once the wait
-/// costs more than the harm done there.
+/// Guards against long prompts waiting beside idle runners when a burst fills those reserved for
+/// them. They cross over once waiting costs more than the stalls they cause.
 #[test]
 fn a_burst_of_long_prompts_crosses_over() {
     let mut fleet = fleet(6);
-    let memory = Index::default();
+    let index = Index::default();
     let mut crossed = 0;
-    for subject in 0..200 {
-        let choice = choose(&fleet, &memory, at(1), &demand(12_000, subject), &[]).expect("one");
-        crossed += u32::from(!fleet.get(choice.key).expect("known").for_long_prompts);
+    for prefix in 0..200 {
+        let choice =
+            choose(&fleet, &index, at(1), &demand(12_000, prefix), &[]).expect("a runner is available");
+        crossed += u32::from(!fleet.get(choice.key).expect("it is known").for_long_prompts);
         fleet.start_request(choice.key, choice.prefill_us, 12_100);
     }
     assert!((20..100).contains(&crossed), "{crossed} of 200 crossed over");
 }
 
-/// The beginning of a prompt is read again and again. Requests about a subject
-/// go where its beginning was read, on all hosts alike, without talk.
+/// Guards against computing a prefix again and again: requests with the same prefix go to the
+/// same runner on all hosts, without communication.
 #[test]
 fn hosts_agree_on_the_home_of_a_subject() {
     let (one, other) = (fleet(14), fleet(14));
-    let memory = Index::default();
-    for subject in 0..100 {
-        let demand = demand(12_000, subject);
+    let index = Index::default();
+    for prefix in 0..100 {
+        let demand = demand(12_000, prefix);
         let home = |fleet: &Fleet| {
-            let choice = choose(fleet, &memory, at(1), &demand, &[]).expect("one");
-            fleet.get(choice.key).expect("known").listed.id.clone()
+            let choice = choose(fleet, &index, at(1), &demand, &[]).expect("a runner is available");
+            fleet.get(choice.key).expect("it is known").listed.id.clone()
         };
         assert_eq!(home(&one), home(&other));
     }
 }
 
-/// A runner joins and would be the home of some subjects. Their beginnings lie on the
-/// runners that have read them; moved, thousands of tokens would be read again for
-/// nothing. They stay while their runner is there, on all hosts that were told.
+/// Guards against moving prefixes when a runner joins that would be the home of some of them:
+/// thousands of tokens would be computed again for nothing. A prefix stays on the runner that has
+/// it cached, on all hosts that got the announcement, until that runner leaves.
 #[test]
 fn subjects_stay_where_they_were_read_when_a_runner_joins() {
     let (mut one, mut other) = (host(14), host(14));
-    let wanted: Vec<_> = (100..200).map(|subject| demand(12_000, subject)).collect();
+    let demands: Vec<_> = (100..200).map(|prefix| demand(12_000, prefix)).collect();
     let place = |state: &mut State, demand, ms| {
-        let choice = state.place(at(ms), demand, &[]).expect("one");
+        let choice = state.place(at(ms), demand, &[]).expect("a runner is available");
         state
             .fleet
             .finish_request(choice.key, choice.prefill_us, demand.kv_tokens());
-        state.fleet.get(choice.key).expect("known").listed.id.clone()
+        state
+            .fleet
+            .get(choice.key)
+            .expect("it is known")
+            .listed
+            .id
+            .clone()
     };
-    let first: Vec<_> = wanted.iter().map(|demand| place(&mut one, demand, 1)).collect();
+    let first: Vec<_> = demands.iter().map(|demand| place(&mut one, demand, 1)).collect();
     let packet = one.packet(at(2), Incarnation(1), 1);
-    let mut told: Vec<u64> = packet.prefixes.iter().map(|holder| holder.prefix).collect();
-    told.sort_unstable();
-    told.dedup();
-    // The first part, which all of them share, is told as well.
+    let mut announced: Vec<u64> = packet.prefixes.iter().map(|holder| holder.prefix).collect();
+    announced.sort_unstable();
+    announced.dedup();
+    // The first segment, which all of them share, is announced as well.
     let subjects = std::iter::once(1).chain(100..200);
-    assert_eq!(told, subjects.collect::<Vec<u64>>(), "each subject is told");
+    assert_eq!(
+        announced,
+        subjects.collect::<Vec<u64>>(),
+        "each prefix is announced"
+    );
     other.receive(at(3), Incarnation(2), packet);
     for state in [&mut one, &mut other] {
         state.fleet.update(at(4), listed(20));
-        let then: Vec<_> = wanted.iter().map(|demand| place(state, demand, 5)).collect();
+        let then: Vec<_> = demands.iter().map(|demand| place(state, demand, 5)).collect();
         assert_eq!(first, then);
     }
-    let mut stranger = host(20);
-    let moved = wanted
+    let mut uninformed = host(20);
+    let moved = demands
         .iter()
         .zip(&first)
-        .filter(|(demand, first)| place(&mut stranger, demand, 5) != **first);
-    assert!(moved.count() > 10, "a host that was not told moves some");
+        .filter(|(demand, first)| place(&mut uninformed, demand, 5) != **first);
+    assert!(moved.count() > 10, "a host without the announcement moves some");
     let mut left = listed(20);
     left.retain(|runner| runner.id != first[0]);
     one.fleet.update(at(2_000), left.clone());
     one.fleet.update(at(4_000), left);
     assert_ne!(
-        place(&mut one, &wanted[0], 4_100),
+        place(&mut one, &demands[0], 4_100),
         first[0],
         "its runner has left"
     );
 }
 
-/// One subject gets most of the traffic and its home falls behind. Requests
-/// leave it when the wait there costs more than reading the beginning anew, and
-/// those that follow find the second place.
+/// One prefix gets most of the traffic, and its home runner falls behind. Requests leave it when
+/// waiting there costs more than computing the prefix again, and later ones find the second
+/// runner.
 #[test]
 fn a_hot_subject_spreads_over_a_few_runners() {
     let mut fleet = fleet(14);
-    let mut memory = Index::default();
+    let mut index = Index::default();
     let mut used = Vec::new();
     for _ in 0..40 {
         let demand = demand(12_000, 5);
-        let choice = choose(&fleet, &memory, at(1), &demand, &[]).expect("one");
+        let choice = choose(&fleet, &index, at(1), &demand, &[]).expect("a runner is available");
         fleet.start_request(choice.key, choice.prefill_us, demand.kv_tokens());
-        memory.record(at(1), 5, choice.key);
+        index.record(at(1), 5, choice.key);
         used.push(choice.key);
     }
     used.sort_unstable();
     used.dedup();
-    assert!((2..=8).contains(&used.len()), "{} runners", used.len());
+    assert!((2..=8).contains(&used.len()), "{} runners used", used.len());
 }
 
-/// A subject is hot and its runner falls behind; elsewhere its beginning would be read
-/// again, for as long as its readers wait. The others copy it from the runner that has
-/// read it, so each is placed by load and none reads it twice.
+/// Guards against computing a popular prefix again on each runner that it spreads to. Other
+/// runners copy it from one that has it cached, so each request is placed by load and none
+/// computes it twice.
 #[test]
 fn what_one_runner_has_read_others_copy() {
     let mut state = host(14);
-    let first = state.place(at(1), &demand(12_000, 5), &[]).expect("one");
-    assert_eq!(first.source, None, "nobody has read it");
+    let first = state
+        .place(at(1), &demand(12_000, 5), &[])
+        .expect("a runner is available");
+    assert_eq!(first.source, None, "no runner has it cached");
     let mut used = vec![first.key];
     for _ in 0..12 {
-        let choice = state.place(at(2_000), &demand(12_000, 5), &[]).expect("one");
+        let choice = state
+            .place(at(2_000), &demand(12_000, 5), &[])
+            .expect("a runner is available");
         match used.contains(&choice.key) {
             true => assert_ne!(choice.source, Some(choice.key)),
             false => assert!(choice.source.is_some_and(|source| used.contains(&source))),
         }
         assert!(
             choice.prefill_us < first.prefill_us,
-            "the beginning is not read again"
+            "the prefix is not computed again"
         );
         used.push(choice.key);
     }
     used.sort_unstable();
     used.dedup();
-    assert!(used.len() >= 6, "{} runners", used.len());
+    assert!(used.len() >= 6, "{} runners used", used.len());
 }
 
-/// Engines without a link between their memories: a source would be named in vain. The
-/// subject stays where it was read, as reading it again is dear.
+/// Without copies between engines no source is set, and a prefix stays where it is cached, as
+/// computing it again is expensive.
 #[test]
 fn without_copies_a_subject_stays() {
     let mut state = host(14);
@@ -215,138 +230,173 @@
         copies_prefix: false,
         ..demand(12_000, 5)
     };
-    let first = state.place(at(1), &alone, &[]).expect("one");
+    let first = state.place(at(1), &alone, &[]).expect("a runner is available");
     for ms in [2_000, 2_100, 2_200] {
-        let choice = state.place(at(ms), &alone, &[]).expect("one");
+        let choice = state.place(at(ms), &alone, &[]).expect("a runner is available");
         assert_eq!((choice.key, choice.source), (first.key, None));
     }
 }
 
-/// A zone is cut off without a sign. Runners that are told to copy from it wait a part of a
-/// second for each request, and each request sent there waits for a connection. Its hosts fall
-/// silent first: from then on it is no source, and what would go there stays.
+/// A zone is cut off without an error. Each copy from it costs a fraction of a second, and each
+/// request sent there a connection timeout. Its hosts go silent first; from then on it is no
+/// source of copies, and requests stay in their zone.
 #[test]
 fn a_zone_that_falls_silent_is_no_source_and_no_way() {
     let mut state = host(4);
-    let hear = |state: &mut State, number, ms| {
+    let receive = |state: &mut State, number, ms| {
         let far = Fleet::new("zone-1");
         let packet = gossip::packet(Incarnation(7), number, &far, Vec::new());
         state.receive(at(ms), Incarnation(1), packet);
     };
-    hear(&mut state, 1, 0);
-    // Only the other zone's runners have read it.
-    let near: Vec<Key> = ["r0", "r2"]
-        .map(|id| state.fleet.find(id).expect("known"))
+    receive(&mut state, 1, 0);
+    // Only runners in the other zone have it cached.
+    let same_zone: Vec<Key> = ["r0", "r2"]
+        .map(|id| state.fleet.find(id).expect("it is known"))
         .to_vec();
-    let first = state.place(at(1), &demand(12_000, 5), &near).expect("one");
-    assert_eq!(state.fleet.get(first.key).expect("known").listed.zone, "zone-1");
+    let first = state
+        .place(at(1), &demand(12_000, 5), &same_zone)
+        .expect("a runner is available");
+    assert_eq!(
+        state.fleet.get(first.key).expect("it is known").listed.zone,
+        "zone-1"
+    );
     let far: Vec<Key> = ["r1", "r3"]
-        .map(|id| state.fleet.find(id).expect("known"))
+        .map(|id| state.fleet.find(id).expect("it is known"))
         .to_vec();
-    hear(&mut state, 2, 2_000);
-    let heard = state.place(at(2_100), &demand(12_000, 5), &far).expect("one");
-    assert_eq!(heard.source, Some(first.key), "while its hosts are heard");
-    let mut again = host(4);
-    hear(&mut again, 1, 0);
-    again.place(at(1), &demand(12_000, 5), &near).expect("one");
-    let silent = again.place(at(2_100), &demand(12_000, 5), &far).expect("one");
-    assert_eq!(silent.source, None, "once they are silent");
+    receive(&mut state, 2, 2_000);
+    let heard = state
+        .place(at(2_100), &demand(12_000, 5), &far)
+        .expect("a runner is available");
+    assert_eq!(heard.source, Some(first.key), "while its hosts send packets");
+    let mut restarted = host(4);
+    receive(&mut restarted, 1, 0);
+    restarted
+        .place(at(1), &demand(12_000, 5), &same_zone)
+        .expect("a runner is available");
+    let silent = restarted
+        .place(at(2_100), &demand(12_000, 5), &far)
+        .expect("a runner is available");
+    assert_eq!(silent.source, None, "once its hosts are silent");
     let plain = Demand {
         prompt: 0,
         segments: Vec::new(),
         ..demand(1_000, 5)
     };
-    for key in near {
-        // No place is free near by.
-        (0..20).for_each(|_| again.fleet.start_request(key, 0, 0));
+    for key in same_zone {
+        // No slot is free in the zone.
+        (0..20).for_each(|_| restarted.fleet.start_request(key, 0, 0));
     }
-    let runner = |state: &State, key| state.fleet.get(key).expect("known").listed.zone.clone();
-    let choice = again.place(at(2_200), &plain, &[]).expect("one");
-    assert_eq!(runner(&again, choice.key), "zone-0");
-    hear(&mut again, 3, 2_300);
-    let choice = again.place(at(2_301), &plain, &[]).expect("one");
-    assert_eq!(runner(&again, choice.key), "zone-1", "heard again");
+    let runner = |state: &State, key| state.fleet.get(key).expect("it is known").listed.zone.clone();
+    let choice = restarted
+        .place(at(2_200), &plain, &[])
+        .expect("a runner is available");
+    assert_eq!(runner(&restarted, choice.key), "zone-0");
+    receive(&mut restarted, 3, 2_300);
+    let choice = restarted
+        .place(at(2_301), &plain, &[])
+        .expect("a runner is available");
+    assert_eq!(
+        runner(&restarted, choice.key),
+        "zone-1",
+        "its hosts are heard again"
+    );
 }
 
-/// Eighty hosts in three zones, all told alike, know each other's load when it is seconds
-/// old, and choose the same runners. A zone's own hosts are told more often, other zones
-/// less, and nobody hears more than twice as much as where all are told alike.
+/// Guards against reports that are seconds old because eighty hosts in three zones send to all
+/// others alike, so that all choose the same runners. A host sends more often within its zone
+/// than to others, and no host receives more than twice as many packets as before.
 #[test]
 fn a_zones_own_hosts_are_told_first() {
     assert_eq!(
         gossip::zone_interval(8, 8),
         gossip::interval(8),
-        "few hosts tell all"
+        "few hosts send to all alike"
     );
     assert!((1..=20).all(|number| gossip::is_cross_zone(number, 8)));
-    let (near, hosts) = (27, 80);
-    let pause = gossip::zone_interval(near, hosts);
+    let (same_zone, hosts) = (27, 80);
+    let pause = gossip::zone_interval(same_zone, hosts);
     assert!(pause * 2 < gossip::interval(hosts));
     let far_packets = (1..=240)
         .filter(|number| gossip::is_cross_zone(*number, hosts))
         .count() as f64;
     let part_far = far_packets / 240.0;
-    let heard = (f64::from(near - 1) + f64::from(hosts - near) * part_far) / pause.as_secs_f64();
+    let heard = (f64::from(same_zone - 1) + f64::from(hosts - same_zone) * part_far) / pause.as_secs_f64();
     let alike = f64::from(hosts - 1) / gossip::interval(hosts).as_secs_f64();
-    assert!(heard < alike * 2.0, "{heard} packets a second for {alike}");
+    assert!(
+        heard < alike * 2.0,
+        "{heard} packets per second, {alike} if sent to all alike"
+    );
     let records = (1..=240).filter(|number| gossip::has_record_cross_zone(*number, hosts));
     assert!(records.clone().count() >= 16);
     assert!(records.clone().all(|number| gossip::is_cross_zone(number, hosts)));
 }
 
-/// Two requests about a new subject come together. What the first runner is just reading
-/// cannot be copied yet; the second one follows it there instead of reading it elsewhere.
+/// A prefix that a runner is still computing cannot be copied yet. A second request with it goes
+/// to the same runner instead of computing it elsewhere.
 #[test]
 fn what_is_just_being_read_is_not_copied() {
     let mut state = host(14);
-    let first = state.place(at(1), &demand(12_000, 5), &[]).expect("one");
-    let second = state.place(at(20), &demand(12_000, 5), &[]).expect("one");
+    let first = state
+        .place(at(1), &demand(12_000, 5), &[])
+        .expect("a runner is available");
+    let second = state
+        .place(at(20), &demand(12_000, 5), &[])
+        .expect("a runner is available");
     assert_eq!((second.key, second.source), (first.key, None));
 }
 
-/// A runner starts again under its id, with empty memory. Told to copy from it, others
-/// would read everything anew; it counts as having read nothing.
+/// A runner that restarted under its id has an empty cache. It must not be a source of copies, as
+/// the others would compute everything again.
 #[test]
 fn a_runner_that_started_again_has_read_nothing() {
     let mut state = host(2);
-    let first = state.place(at(1), &demand(12_000, 5), &[]).expect("one");
-    let mut again = listed(2);
-    again.iter_mut().for_each(|runner| runner.started_ms += 1_000);
-    state.fleet.update(at(1_000), again);
+    let first = state
+        .place(at(1), &demand(12_000, 5), &[])
+        .expect("a runner is available");
+    let mut restarted = listed(2);
+    restarted.iter_mut().for_each(|runner| runner.started_ms += 1_000);
+    state.fleet.update(at(1_000), restarted);
     let second = state
         .place(at(2_000), &demand(12_000, 5), &[first.key])
-        .expect("one");
+        .expect("a runner is available");
     assert_eq!(second.source, None);
 }
 
-/// A runner fails four of ten requests at once, while it says that it is well. It is
-/// always the one with the least to do, so a third of all requests and more went there;
-/// now it gets less than a sound one until it has answered well for a while.
+/// A runner fails four of ten requests at once while it reports that it is healthy. As it always
+/// has the lowest load, it used to get a third of all requests and more. It must get less than a
+/// sound runner until it has answered well for a while.
 #[test]
 fn a_runner_that_fails_its_requests_gets_few() {
     for prompt in [0, 12_000] {
-        let (judged, blind) = (
-            sent_to_a_grey_runner(prompt, true),
-            sent_to_a_grey_runner(prompt, false),
+        let (detecting, blind) = (
+            requests_on_failing_runner(prompt, true),
+            requests_on_failing_runner(prompt, false),
+        );
+        assert!(
+            (1..50).contains(&detecting),
+            "{detecting} of 300 on one of six runners, prompt {prompt}"
         );
         assert!(
-            (1..50).contains(&judged),
-            "{judged} of 300 at one of six, prompt {prompt}"
+            blind > detecting * 2,
+            "{blind} without detection, prompt {prompt}"
         );
-        assert!(blind > judged * 2, "{blind} without judging, prompt {prompt}");
     }
 }
 
-/// Requests of 300 that one of six runners gets which fails four of ten at once.
-fn sent_to_a_grey_runner(prompt: u64, judges: bool) -> u32 {
+/// Number of requests, of 300, on one of six runners that fails four of ten at once.
+fn requests_on_failing_runner(prompt: u64, detects: bool) -> u32 {
     let mut fleet = fleet(6);
-    let memory = Index::default();
+    let index = Index::default();
     let mut draws = ChaCha8Rng::seed_from_u64(4);
     let mut running = std::collections::VecDeque::new();
-    // In the host's zone and kept for long prompts, so that both kinds may go there.
+    // In the host's zone and reserved for long prompts, so that both kinds may go there.
     let fits = |runner: &Runner| runner.for_long_prompts && runner.listed.zone == "zone-0";
-    let grey_key = fleet.runners().find(|(_, runner)| fits(runner)).expect("one").0;
-    let mut grey = 0;
+    let failing_key = fleet
+        .runners()
+        .find(|(_, runner)| fits(runner))
+        .expect("a runner is available")
+        .0;
+    let mut failing = 0;
     for draw in 0..300 {
         let demand = match prompt {
             0 => Demand {
@@ -354,22 +404,22 @@
                 draw,
                 ..Demand::default()
             },
-            // Nothing shared, so that nothing draws it to a home.
+            // Without a shared prefix there is no home runner.
             _ => Demand {
                 segments: Vec::new(),
                 ..demand(prompt, draw)
             },
         };
-        let choice = choose(&fleet, &memory, at(1), &demand, &[]).expect("one");
+        let choice = choose(&fleet, &index, at(1), &demand, &[]).expect("a runner is available");
         fleet.start_request(choice.key, choice.prefill_us, demand.kv_tokens());
-        let at_grey = choice.key == grey_key;
-        grey += u32::from(at_grey);
-        if at_grey && draws.random_bool(0.4) {
+        let on_failing = choice.key == failing_key;
+        failing += u32::from(on_failing);
+        if on_failing && draws.random_bool(0.4) {
             fleet.finish_request(choice.key, choice.prefill_us, demand.kv_tokens());
             fleet.record_attempt(
                 at(1),
                 choice.key,
-                if judges {
+                if detects {
                     Attempt::Failed
                 } else {
                     Attempt::Succeeded
@@ -384,16 +434,16 @@
             fleet.record_attempt(at(1), choice.key, Attempt::Succeeded);
         }
     }
-    grey
+    failing
 }
 
-/// Each host sees only its own part of the load and all send to the same
-/// runner. What a peer tells counts like one's own, replaces what it said
-/// before, and is forgotten when it falls silent.
+/// Guards against all hosts choosing the same runner because each sees only its own load. A
+/// peer's load counts like this host's, replaces its previous report, and is dropped when the
+/// peer goes silent.
 #[test]
 fn the_peers_load_counts() {
     let mut busy = fleet(4);
-    let target = busy.find("r0").expect("known");
+    let target = busy.find("r0").expect("it is known");
     busy.start_request(target, 50_000, 60_000);
     let mut mine = fleet(4);
     let mut peers = Peers::default();
@@ -401,7 +451,7 @@
     let news = |number, fleet: &Fleet| gossip::packet(peer, number, fleet, Vec::new());
     peers.receive(at(0), me, news(2, &busy), &mut mine, 2);
     let load = |fleet: &Fleet| {
-        let runner = fleet.get(target).expect("known");
+        let runner = fleet.get(target).expect("it is known");
         (runner.running(), runner.backlog(), runner.kv_tokens())
     };
     assert_eq!(load(&mine), (1, Duration::from_millis(50), 60_000));
@@ -409,15 +459,16 @@
     assert_eq!(
         load(&mine),
         (1, Duration::from_millis(50), 60_000),
-        "old news says nothing"
+        "an older packet is ignored"
     );
     let third = gossip::packet(Incarnation(3), 1, &fleet(4), Vec::new());
     peers.receive(at(60_000), me, third, &mut mine, 2);
-    assert_eq!(load(&mine), (0, Duration::ZERO, 0), "a silent peer is forgotten");
+    assert_eq!(load(&mine), (0, Duration::ZERO, 0), "a silent peer is dropped");
     assert_eq!(Load::default().running, 0);
 }
 
-/// The order for runners follows the work of the last seconds, not of hours.
+/// The rate covers the last seconds only, so orders for runners do not follow the traffic of
+/// hours.
 #[test]
 fn the_flow_is_of_the_last_seconds() {
     let mut meter = Meter::default();
--- a/tests/suite/proxy/readers.rs
+++ b/tests/suite/proxy/readers.rs
@@ -1,4 +1,4 @@
-//! Who reads the store, and whom the others ask.
+//! Tests of the choice of readers and of the hosts that the others ask.
 
 use std::time::Duration;
 
@@ -14,20 +14,19 @@
     Readers::default().preferred(Moment::at_ms(1_000), me.address, hosts)
 }
 
-/// Each call to the store costs, and hundreds of hosts that read it twice a second
-/// would fill it. A few read, and whoever asks, asks one of them, in whatever order
-/// it has heard of its peers.
+/// Guards against overloading the store with calls of hundreds of hosts. A few hosts read it, and
+/// all hosts choose the same ones, whatever the order of their list of peers.
 #[test]
 fn a_few_hosts_read_and_all_agree_on_them() {
-    for (count, few) in [(1, 1), (2, 2), (9, 2), (73, 5), (240, 12)] {
+    for (count, expected) in [(1, 1), (2, 2), (9, 2), (73, 5), (240, 12)] {
         let hosts = hosts(count);
-        let mut turned = hosts.clone();
-        turned.reverse();
+        let mut reversed = hosts.clone();
+        reversed.reverse();
         let reads = |host: &&Host| first(**host, &hosts) == Source::Store;
         let readers: Vec<Host> = hosts.iter().filter(reads).copied().collect();
-        assert_eq!(readers.len(), few, "{count} hosts");
+        assert_eq!(readers.len(), expected, "{count} hosts");
         for host in &hosts {
-            match first(*host, &turned) {
+            match first(*host, &reversed) {
                 Source::Store => assert!(readers.contains(host)),
                 Source::Peer(peer) => {
                     assert!(readers.iter().any(|reader| reader.address == peer));
@@ -38,8 +37,7 @@
     }
 }
 
-/// A host that is not yet known to live is not asked and knows nobody's answer to be
-/// fresh; it reads the store.
+/// A host that is not in its list of live hosts yet, or whose list is empty, reads the store.
 #[test]
 fn a_host_that_has_just_started_reads() {
     let all = hosts(9);
@@ -47,16 +45,15 @@
     assert_eq!(first(all[3], &all[4..]), Source::Store);
 }
 
-/// The reader that a host asks has died or is frozen. Waiting for it in each round
-/// would make the host's proof old, so the host asks another, then the store, and
-/// the first one again after a while.
+/// Guards against the data getting old while a host waits for a dead or frozen reader in each
+/// round. It asks another reader, then the store, and the first reader again after a while.
 #[test]
 fn a_silent_reader_is_passed_over() {
     let all = hosts(9);
     let me = *all
         .iter()
         .find(|host| first(**host, &all) != Source::Store)
-        .expect("not all read");
+        .expect("not all hosts are readers");
     let me = me.address;
     let mut share = Readers::default();
     let now = Moment::at_ms(1_000);
@@ -71,8 +68,8 @@
     assert_eq!(share.preferred(later, me, &all), Source::Peer(asked[0]));
 }
 
-/// The store turns away the hosts that read and serves others. A reader that gets no
-/// answer asks the other reader first, then any host, one after the other.
+/// The store refuses the readers and serves other hosts. A reader without an answer asks the
+/// other reader first, then any host, one after the other.
 #[test]
 fn a_host_that_the_store_turns_away_asks_its_peers() {
     let all = hosts(4);
@@ -89,20 +86,20 @@
         asked.push(peer);
         share.mark_unresponsive(now, peer);
     }
-    assert_eq!(asked.len(), 3, "all but itself");
+    assert_eq!(asked.len(), 3, "all other hosts");
 }
 
-/// A runner that has left gets requests for more than two seconds. The host's peer lost
-/// the store just before the runner left, and goes on answering with what it knew. Its
-/// word is good while it is as young as a reader's can be, and then only if it has
-/// learnt something since.
+/// Guards against requests to a runner that left more than two seconds ago. The host's peer lost
+/// the store just before the runner left and keeps answering with old data. Its answers are
+/// accepted up to the age that a reader's data can have, and beyond a round only if they are
+/// newer than before.
 #[test]
 fn a_peer_that_has_lost_the_store_is_not_believed_for_long() {
     let at = |ms: u64| Moment::at_ms(10_000 + ms);
     let known = at(0);
     assert!(
         readers::is_recent(at(600), known, Some(known)),
-        "it reads every 0.6 s"
+        "readers read every 0.6 s"
     );
     assert!(
         !readers::is_recent(at(1_200), known, Some(known)),
@@ -110,12 +107,12 @@
     );
     assert!(
         readers::is_recent(at(1_200), at(100), Some(known)),
-        "it has, and took its time"
+        "a newer answer may take longer"
     );
     assert!(!readers::is_recent(at(1_500), at(100), Some(known)));
 }
 
-/// Guards against a large document that comes to everybody through slow links.
+/// Guards against a large document reaching all hosts through slow links.
 #[test]
 fn hosts_with_fast_links_read_and_are_asked_within_their_zone() {
     let mut all = hosts(80);
--- a/tests/suite/proxy/refresh.rs
+++ b/tests/suite/proxy/refresh.rs
@@ -1,4 +1,5 @@
-//! Fleets whose document changes while the store is away, over links of their real width.
+//! Simulations of a document that changes during an outage of the store, with links of realistic
+//! bandwidth.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,17 +13,17 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Bytes a millisecond of a slow host's link, and of the store's.
-const SLOW: u64 = 1_250;
-const STORE: u64 = 125_000;
-/// Bytes of a small answer.
-const SMALL: u64 = 200;
-/// While the store is away a question is given up after that long.
-const GIVEN_UP_MS: u64 = 1_200;
-/// The store is away from, and until, in milliseconds.
-const AWAY: std::ops::Range<u64> = 10_000..18_000;
+/// Bandwidth of a slow host's link and of the store's, in bytes per millisecond.
+const SLOW_LINK: u64 = 1_250;
+const STORE_LINK: u64 = 125_000;
+/// Size of an answer without a text, in bytes.
+const SMALL_ANSWER: u64 = 200;
+/// Timeout of requests while the store is away.
+const TIMEOUT_MS: u64 = 1_200;
+/// Outage of the store, in milliseconds.
+const OUTAGE: std::ops::Range<u64> = 10_000..18_000;
 
-/// One host and what it waits for.
+/// One host and its pending requests.
 struct Node {
     host: Host,
     document: Document,
@@ -30,29 +31,29 @@
     share: Readers,
     /// When its link is free, in milliseconds.
     link_free: u64,
-    /// Questions of an earlier life are not answered.
-    life: u32,
-    /// Whether a question is under way.
-    asks: bool,
+    /// Number of restarts; events of earlier runs are dropped.
+    run_number: u32,
+    /// Whether a request is pending.
+    is_pending: bool,
     /// Whether the listing was answered meanwhile, which ends the next pause.
-    woken: bool,
+    is_woken: bool,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// Looks whether the document is due.
-    Look,
-    /// The store's answer has come whole: the document as it was, and when it was asked.
-    Answered(Arc<Entry>, u64),
-    /// The question was given up.
+    /// Checks whether the document is due.
+    Check,
+    /// The store's answer has arrived: the document, and when it was requested.
+    StoreAnswered(Arc<Entry>, u64),
+    /// The request has timed out.
     Failed(Step),
-    /// Asks its peer what is new.
+    /// Asks a peer for news.
     Round,
-    /// The peer's answer has come.
-    Told(usize, u64),
+    /// The peer's answer has arrived: the peer, and when it was asked.
+    PeerAnswered(usize, u64),
     /// The store has answered the listing again.
-    Regained,
-    /// Starts anew, knowing nothing.
+    StoreRecovered,
+    /// Restarts without any data.
     Restart,
 }
 
@@ -65,15 +66,15 @@
     serial: u64,
     store_free: u64,
     document: Arc<Entry>,
-    /// An answer that has not come whole after that long is given up.
-    patience: u64,
+    /// Timeout of a transfer, in milliseconds.
+    timeout: u64,
 }
 
 fn at(ms: u64) -> Moment {
     Moment::at_ms(1_000_000 + ms)
 }
 
-/// A text that has nothing in common with those of other versions.
+/// A text that has no rows in common with other versions.
 fn text(version: u64, bytes: usize) -> Arc<Entry> {
     Arc::new(Entry {
         key: "document".into(),
@@ -96,9 +97,9 @@
             plan: Schedule::default(),
             share: Readers::default(),
             link_free: 0,
-            life: 0,
-            asks: false,
-            woken: false,
+            run_number: 0,
+            is_pending: false,
+            is_woken: false,
         };
         let mut world = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -109,11 +110,11 @@
             serial: 0,
             store_free: 0,
             document: text(1, bytes),
-            patience: 12_000,
+            timeout: 12_000,
         };
         for node in 0..count {
             let begin = world.rng.random_range(0..600);
-            world.plan(begin, node, Event::Look);
+            world.plan(begin, node, Event::Check);
             world.plan(begin, node, Event::Round);
         }
         world
@@ -121,9 +122,9 @@
 
     fn plan(&mut self, after: u64, node: usize, event: Event) {
         self.serial += 1;
-        let life = self.nodes[node].life;
+        let run_number = self.nodes[node].run_number;
         self.events
-            .insert((self.now + after, self.serial), (node, life, event));
+            .insert((self.now + after, self.serial), (node, run_number, event));
     }
 
     fn run(&mut self, until: u64) {
@@ -131,49 +132,53 @@
             if entry.key().0 > until {
                 break;
             }
-            let ((now, _), (node, life, event)) = entry.remove_entry();
+            let ((now, _), (node, run_number, event)) = entry.remove_entry();
             self.now = now;
-            if life == self.nodes[node].life {
-                self.happen(node, event);
+            if run_number == self.nodes[node].run_number {
+                self.handle(node, event);
             }
         }
         self.now = until;
     }
 
-    fn happen(&mut self, node: usize, event: Event) {
+    fn handle(&mut self, node: usize, event: Event) {
         match event {
-            Event::Look => self.look(node),
-            Event::Answered(document, asked) => self.answered(node, document, asked),
+            Event::Check => self.check(node),
+            Event::StoreAnswered(document, asked) => self.answered(node, document, asked),
             Event::Failed(step) => {
                 let draw = self.rng.random();
                 let state = &mut self.nodes[node];
-                state.asks = false;
+                state.is_pending = false;
                 let pause = state.plan.failed(step, Failure::Lost, true, draw);
-                let pause = if state.woken { 0 } else { pause.as_millis() as u64 };
-                self.plan(pause, node, Event::Look);
+                let pause = if state.is_woken {
+                    0
+                } else {
+                    pause.as_millis() as u64
+                };
+                self.plan(pause, node, Event::Check);
             }
-            Event::Regained => {
-                self.nodes[node].woken = self.nodes[node].asks;
-                self.plan(0, node, Event::Look);
+            Event::StoreRecovered => {
+                self.nodes[node].is_woken = self.nodes[node].is_pending;
+                self.plan(0, node, Event::Check);
             }
             Event::Round => self.round(node),
-            Event::Told(peer, asked) => self.told(node, peer, asked),
+            Event::PeerAnswered(peer, asked) => self.peer_answered(node, peer, asked),
             Event::Restart => {
                 let node_state = &mut self.nodes[node];
-                node_state.life += 1;
+                node_state.run_number += 1;
                 node_state.document = Document::default();
                 node_state.plan = Schedule::default();
-                node_state.asks = false;
-                self.plan(0, node, Event::Look);
+                node_state.is_pending = false;
+                self.plan(0, node, Event::Check);
                 self.plan(0, node, Event::Round);
             }
         }
     }
 
-    fn look(&mut self, node: usize) {
+    fn check(&mut self, node: usize) {
         let now = at(self.now);
         let state = &mut self.nodes[node];
-        if state.asks {
+        if state.is_pending {
             return;
         }
         let standing = Status {
@@ -182,26 +187,26 @@
             age: state.document.age(now),
         };
         let step = state.plan.step(standing);
-        state.asks = !matches!(step, Step::Wait(_));
+        state.is_pending = !matches!(step, Step::Wait(_));
         if let Step::Wait(pause) = step {
-            self.plan((pause.as_millis() as u64).max(1), node, Event::Look);
-        } else if AWAY.contains(&self.now) {
-            self.plan(GIVEN_UP_MS, node, Event::Failed(step));
+            self.plan((pause.as_millis() as u64).max(1), node, Event::Check);
+        } else if OUTAGE.contains(&self.now) {
+            self.plan(TIMEOUT_MS, node, Event::Failed(step));
         } else {
             let same = step == Step::Revalidate && state.document.version() == self.document.version;
             let bytes = match same {
-                true => SMALL,
+                true => SMALL_ANSWER,
                 false => self.document.value.len() as u64,
             };
-            let left = self.now.max(self.store_free) + bytes / STORE;
-            self.store_free = left;
-            let come = left.max(self.nodes[node].link_free) + bytes / SLOW;
-            self.nodes[node].link_free = come;
-            let took = come + 4 - self.now;
-            if took > self.patience {
-                self.plan(self.patience, node, Event::Failed(step));
+            let leaves = self.now.max(self.store_free) + bytes / STORE_LINK;
+            self.store_free = leaves;
+            let arrives = leaves.max(self.nodes[node].link_free) + bytes / SLOW_LINK;
+            self.nodes[node].link_free = arrives;
+            let took = arrives + 4 - self.now;
+            if took > self.timeout {
+                self.plan(self.timeout, node, Event::Failed(step));
             } else {
-                let answer = Event::Answered(self.document.clone(), self.now);
+                let answer = Event::StoreAnswered(self.document.clone(), self.now);
                 self.plan(took, node, answer);
             }
         }
@@ -210,10 +215,10 @@
     fn answered(&mut self, node: usize, document: Arc<Entry>, asked: u64) {
         let took = Duration::from_millis(self.now - asked);
         let state = &mut self.nodes[node];
-        state.asks = false;
+        state.is_pending = false;
         state.document.replace(at(asked), document);
         let pause = state.plan.answered(took);
-        self.plan((pause.as_millis() as u64).max(1), node, Event::Look);
+        self.plan((pause.as_millis() as u64).max(1), node, Event::Check);
     }
 
     fn round(&mut self, node: usize) {
@@ -223,26 +228,30 @@
         if let Source::Peer(peer) = state.share.preferred(now, state.host.address, hosts) {
             let peer = hosts.iter().position(|host| host.address == peer);
             let asked = self.now;
-            self.plan(5, node, Event::Told(peer.expect("it lives"), asked));
+            self.plan(
+                5,
+                node,
+                Event::PeerAnswered(peer.expect("it is in the list"), asked),
+            );
         }
         self.plan(ROUND_INTERVAL.as_millis() as u64, node, Event::Round);
     }
 
-    fn told(&mut self, node: usize, peer: usize, asked: u64) {
+    fn peer_answered(&mut self, node: usize, peer: usize, asked: u64) {
         let have = self.nodes[node].document.version();
         let notice = self.nodes[peer].document.notice(at(self.now), have, INLINE_BYTES);
         let Some(notice) = notice else {
             return;
         };
         match self.nodes[node].document.receive(at(asked), notice) {
-            Update::Newer(_) => self.plan(0, node, Event::Look),
+            Update::Newer(_) => self.plan(0, node, Event::Check),
             Update::Text(..) => unreachable!("the document is large"),
             Update::Current(as_of) => self.nodes[node].document.confirm(as_of),
             Update::Outdated => {}
         }
     }
 
-    /// Hosts that lack the document or a proof younger than `bound`.
+    /// Number of hosts that lack the document or a confirmation younger than `bound`.
     fn stale(&self, bound: Duration) -> usize {
         let fresh = |node: &&Node| {
             let age = node.document.age(at(self.now));
@@ -252,13 +261,13 @@
     }
 }
 
-/// Plays an outage of eight seconds in which hosts restart, with a change at its end.
+/// Simulates an outage of eight seconds in which hosts restart, with a change at its end.
 ///
-/// Two seconds after it every host is to be fresh, beside the time in which the text passes
-/// the links: each host's own, and the store's for all.
-fn play(mut world: World) -> Result<(), &'static str> {
+/// Two seconds after the outage every host must be fresh, not counting the time to transfer the
+/// text over each host's link, and over the store's link for all hosts.
+fn simulate(mut world: World) -> Result<(), &'static str> {
     let (hosts, bytes) = (world.nodes.len(), world.document.value.len());
-    let passing = bytes as u64 / SLOW + (hosts * bytes) as u64 / STORE;
+    let transfer_ms = bytes as u64 / SLOW_LINK + (hosts * bytes) as u64 / STORE_LINK;
     let fresh = |world: &World, when| match world.stale(Duration::from_secs(3)) {
         0 => Ok(()),
         _ => Err(when),
@@ -271,38 +280,38 @@
             world.plan(when, node, Event::Restart);
         }
     }
-    world.run(AWAY.end - 1);
+    world.run(OUTAGE.end - 1);
     world.document = text(2, bytes);
     for node in 0..hosts {
         let when = world.rng.random_range(1..700);
-        world.plan(when, node, Event::Regained);
+        world.plan(when, node, Event::StoreRecovered);
     }
-    world.run(AWAY.end + 2_000 + passing);
+    world.run(OUTAGE.end + 2_000 + transfer_ms);
     fresh(&world, "soon after the outage")?;
-    world.run(AWAY.end + 30_000);
+    world.run(OUTAGE.end + 30_000);
     fresh(&world, "long after the outage")
 }
 
-/// Guards against an overload of links that outlives the outage which caused it.
+/// Guards against link overload that outlives the outage that caused it.
 #[test]
 fn a_fleet_is_fresh_soon_after_the_store_is_back() {
     for seed in 0..100 {
-        assert_eq!(play(World::new(seed, 80, 400_000)), Ok(()), "seed {seed}");
+        assert_eq!(simulate(World::new(seed, 80, 400_000)), Ok(()), "seed {seed}");
     }
 }
 
-/// Guards against the same at the size of two years, with the largest document.
+/// Guards against the same with the fleet size expected in two years and the largest document.
 #[test]
 fn a_large_fleet_is_fresh_soon_after_the_store_is_back() {
     for seed in 0..6 {
-        assert_eq!(play(World::new(seed, 300, 1_048_576)), Ok(()), "seed {seed}");
+        assert_eq!(simulate(World::new(seed, 300, 1_048_576)), Ok(()), "seed {seed}");
     }
 }
 
-/// The checker must see a fleet that throws away what has come after a fixed time.
+/// The checker must detect hosts that drop a transfer after a fixed time.
 #[test]
 fn a_limit_that_does_not_know_the_size_is_seen() {
     let mut world = World::new(1, 80, 1_048_576);
-    world.patience = 700;
-    assert_eq!(play(world), Err("before the outage"));
+    world.timeout = 700;
+    assert_eq!(simulate(world), Err("before the outage"));
 }
--- a/tests/suite/proxy/schedule.rs
+++ b/tests/suite/proxy/schedule.rs
@@ -1,9 +1,8 @@
-//! Several hosts, one store and one desk under seeded schedules.
+//! Simulations of several hosts, one store and one desk under random schedules.
 //!
-//! Answers of the store are late or lost after the write, the store is away,
-//! hosts are frozen, killed and started again, keys are withdrawn while requests
-//! are on their way. After every step the promises are checked that hold
-//! whatever happens.
+//! Answers of the store are late or lost after a write, the store is away, hosts are frozen,
+//! killed and restarted, and keys are withdrawn while requests are in flight. Invariants are
+//! checked after every step.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,21 +25,21 @@
 const LENGTH_MS: u64 = 60_000;
 /// Time between two steps.
 const STEP_MS: u64 = 50;
-/// Where schedules begin; a multiple of a window's length.
+/// Start of the schedules; a multiple of a window's length.
 const START: u64 = 1_000_000;
-/// Customer whose key is withdrawn.
+/// Key that is withdrawn.
 const KEY: &str = "key-a";
-const PLAN: Schedule = Schedule {
+const SCHEDULE: Schedule = Schedule {
     length_s: 5,
     due_s: 10,
 };
 
-/// The store: versions by compare-and-swap.
+/// A store with versions and compare-and-swap.
 #[derive(Default)]
 struct Store {
     revision: u64,
     items: BTreeMap<String, (u64, String)>,
-    /// Document in force: its revision and whether the key stands in it.
+    /// Revision of the document, and whether it contains the key.
     document: (u64, bool),
     away_until: u64,
 }
@@ -104,13 +103,13 @@
     state: State,
     own_version: u64,
     published: u64,
-    /// A report that waits to be sent: number, fence and window.
+    /// A report that waits to be sent: when it is sent, the grant and the window.
     sending: Option<(u64, radishstair_core::lease::Grant, Window)>,
-    /// A request that was admitted and waits to be sent.
+    /// An admitted request that waits to be sent, and when it is sent.
     waiting: Option<(u64, Admission)>,
     mirror: Mirror,
-    /// A question to a peer: when it was asked.
-    asking: Option<u64>,
+    /// When the pending request to a peer was sent.
+    asked_at: Option<u64>,
     /// A peer's answer, and when it arrives.
     told: Option<(u64, Changes)>,
 }
@@ -133,7 +132,7 @@
             sending: None,
             waiting: None,
             mirror: Mirror::default(),
-            asking: None,
+            asked_at: None,
             told: None,
         }
     }
@@ -156,38 +155,38 @@
 }
 
 #[derive(Default)]
-struct Seen {
-    /// Figures that the desk accepted, by window.
-    figures: BTreeMap<u64, Vec<(String, u64)>>,
+struct Observed {
+    /// Totals that the desk accepted, by window.
+    totals: BTreeMap<u64, Vec<(String, u64)>>,
     fence: u64,
-    /// Requests that began, by window.
-    truth: BTreeMap<u64, u64>,
+    /// Requests that started, by window.
+    started: BTreeMap<u64, u64>,
     sent_keyed: u64,
     withdrawn_at: Option<u64>,
 }
 
-/// What a hand-broken variant leaves out.
+/// Which mechanism a broken variant leaves out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// Windows are not sealed in the store.
+    /// Sealed windows disappear from the store.
     Unsealed,
-    /// Requests leave without the look before the send.
-    Unlooked,
-    /// What a peer tells counts from its arrival.
-    Unaged,
+    /// Requests are sent without the check before the send.
+    Unchecked,
+    /// The age of a peer's answer is counted from its arrival.
+    ArrivalTime,
 }
 
-struct Play {
+struct Simulation {
     rng: ChaCha8Rng,
     store: Store,
     hosts: Vec<Host>,
-    seen: Seen,
+    observed: Observed,
     runs: u64,
     fault: Fault,
 }
 
-impl Play {
+impl Simulation {
     fn new(seed: u64, fault: Fault) -> Self {
         let hosts = (0..4).map(|at| Host::start(&format!("h{at}"), at + 1, START));
         Self {
@@ -198,15 +197,15 @@
                 ..Store::default()
             },
             hosts: hosts.collect(),
-            seen: Seen::default(),
+            observed: Observed::default(),
             runs: 4,
             fault,
         }
     }
 
-    fn play(mut self) -> Seen {
+    fn run_schedule(mut self) -> Observed {
         for ms in (START..START + LENGTH_MS).step_by(STEP_MS as usize) {
-            self.trouble(ms);
+            self.inject_faults(ms);
             for at in 0..self.hosts.len() {
                 if ms >= self.hosts[at].frozen_until {
                     self.step(ms, at);
@@ -219,12 +218,12 @@
                 .hosts
                 .iter()
                 .filter(|host| host.lease.grant(at(ms)).is_some());
-            assert!(holders.count() <= 1, "two hold the duty at {ms}");
+            assert!(holders.count() <= 1, "two hosts hold the duty at {ms}");
         }
-        self.seen
+        self.observed
     }
 
-    fn trouble(&mut self, ms: u64) {
+    fn inject_faults(&mut self, ms: u64) {
         if self.rng.random_bool(0.01) {
             let at = self.rng.random_range(0..self.hosts.len());
             self.hosts[at].frozen_until = ms + self.rng.random_range(500..8_000);
@@ -241,59 +240,63 @@
         if ms == START + 20_000 {
             self.store.revision += 1;
             self.store.document = (self.store.revision, false);
-            self.seen.withdrawn_at = Some(ms);
+            self.observed.withdrawn_at = Some(ms);
         }
     }
 
-    /// Asks a peer, answers one, takes an answer.
-    fn talk(&mut self, ms: u64, at_host: usize) {
+    /// Asks a peer or receives its answer.
+    fn exchange(&mut self, ms: u64, index: usize) {
         let (peer, begins) = (
             self.rng.random_range(0..self.hosts.len()),
             self.rng.random_bool(0.1),
         );
-        let host = &mut self.hosts[at_host];
-        if let Some(asked) = host.asking {
+        let host = &mut self.hosts[index];
+        if let Some(asked) = host.asked_at {
             if let Some((_, changes)) = host.told.take_if(|(due, _)| *due <= ms) {
-                let asked = if self.fault == Fault::Unaged { ms } else { asked };
-                host.asking = None;
+                let asked = if self.fault == Fault::ArrivalTime {
+                    ms
+                } else {
+                    asked
+                };
+                host.asked_at = None;
                 host.mirror.apply(at(asked), changes);
-                believe(host, at(ms));
+                apply_replica(host, at(ms));
             } else if ms > asked + 4_000 {
-                host.asking = None;
+                host.asked_at = None;
                 host.told = None;
             }
             return;
         }
-        if !begins || peer == at_host {
+        if !begins || peer == index {
             return;
         }
         let after = host.mirror.revision();
-        // A frozen peer answers when it wakes, by what it knew before.
+        // A frozen peer answers when it resumes, with the data it had before.
         let handled = self.hosts[peer].frozen_until.max(ms);
         let Some(changes) = self.hosts[peer].mirror.changes(at(handled), after) else {
             return;
         };
         let slow = self.rng.random_bool(0.2);
         let delay = self.rng.random_range(0..if slow { 3_000 } else { 200 });
-        self.hosts[at_host].asking = Some(ms);
-        self.hosts[at_host].told = Some((handled + delay, changes));
+        self.hosts[index].asked_at = Some(ms);
+        self.hosts[index].told = Some((handled + delay, changes));
     }
 
-    fn step(&mut self, ms: u64, at_host: usize) {
+    fn step(&mut self, ms: u64, index: usize) {
         let now = at(ms);
-        self.finish(ms, at_host);
-        self.talk(ms, at_host);
+        self.finish(ms, index);
+        self.exchange(ms, index);
         let Self {
             rng,
             store,
             hosts,
-            seen,
+            observed,
             ..
         } = self;
-        let host = &mut hosts[at_host];
+        let host = &mut hosts[index];
         if rng.random_bool(0.3) {
             host.tally.add(ms / 5_000, "ana");
-            *seen.truth.entry(ms / 5_000).or_default() += 1;
+            *observed.started.entry(ms / 5_000).or_default() += 1;
         }
         if rng.random_bool(0.2)
             && host.waiting.is_none()
@@ -301,10 +304,10 @@
         {
             host.waiting = Some((ms + rng.random_range(0..3_000), admission));
         }
-        let turn = ms / STEP_MS % 18 == at_host as u64;
-        // The store turns some hosts away for a while.
-        let away = ms < store.away_until || (ms / 5_000 + at_host as u64).is_multiple_of(7);
-        if turn && !away && host.asking.is_none() {
+        let turn = ms / STEP_MS % 18 == index as u64;
+        // The store refuses some hosts for a while.
+        let away = ms < store.away_until || (ms / 5_000 + index as u64).is_multiple_of(7);
+        if turn && !away && host.asked_at.is_none() {
             read(host, store, now);
         }
         let window = ms / 5_000;
@@ -317,18 +320,18 @@
                 let answer = store.call(ms, rng, &next);
                 call = host.lease.answer(now, &answer);
             }
-            self.report(ms, at_host);
+            self.report(ms, index);
         }
     }
 
-    fn report(&mut self, ms: u64, at_host: usize) {
-        let host = &mut self.hosts[at_host];
+    fn report(&mut self, ms: u64, index: usize) {
+        let host = &mut self.hosts[index];
         let now = at(ms);
         let Some(grant) = host.lease.grant(now) else {
             host.reporter.stand_down();
             return;
         };
-        let mut step = host.reporter.tick(now, ms, PLAN, grant, &host.ledger);
+        let mut step = host.reporter.tick(now, ms, SCHEDULE, grant, &host.ledger);
         while let Some(next) = step {
             step = match next {
                 Step::Store(call) => {
@@ -343,33 +346,33 @@
         }
     }
 
-    /// Sends what has waited, after the last look.
-    fn finish(&mut self, ms: u64, at_host: usize) {
-        let host = &mut self.hosts[at_host];
+    /// Sends the pending report and request that are due, after the last check.
+    fn finish(&mut self, ms: u64, index: usize) {
+        let host = &mut self.hosts[index];
         let now = at(ms);
         if let Some((_, grant, window)) = host.sending.take_if(|(due, ..)| *due <= ms) {
-            let accepted = grant.covers(now) && grant.fence >= self.seen.fence;
+            let accepted = grant.covers(now) && grant.fence >= self.observed.fence;
             if accepted {
-                self.seen.fence = grant.fence;
+                self.observed.fence = grant.fence;
                 let have = self
-                    .seen
-                    .figures
+                    .observed
+                    .totals
                     .entry(window.number)
                     .or_insert(window.counts.clone());
-                assert_eq!(*have, window.counts, "two figures of window {}", window.number);
+                assert_eq!(*have, window.counts, "two totals for window {}", window.number);
             }
             host.reporter
                 .record_result(now, accepted && self.rng.random_bool(0.9));
         }
         if let Some((_, admission)) = host.waiting.take_if(|(due, _)| *due <= ms) {
-            let looked = match self.fault {
-                Fault::Unlooked => Ok(()),
+            let checked = match self.fault {
+                Fault::Unchecked => Ok(()),
                 _ => host.state.may_send(now, &admission, &ask(KEY)),
             };
-            match looked {
+            match checked {
                 Ok(()) => {
-                    self.seen.sent_keyed += 1;
-                    let late = self.seen.withdrawn_at.map(|since| ms.saturating_sub(since));
+                    self.observed.sent_keyed += 1;
+                    let late = self.observed.withdrawn_at.map(|since| ms.saturating_sub(since));
                     let bound = bounds().revocation_ms;
                     assert!(
                         late.is_none_or(|late| late < bound),
@@ -383,11 +386,11 @@
 }
 
 fn read(host: &mut Host, store: &Store, now: Moment) {
-    let (revision, stands) = store.document;
+    let (revision, has_key) = store.document;
     let document = Entry {
         key: "document".into(),
         version: revision,
-        value: stands.to_string(),
+        value: has_key.to_string(),
     };
     let items = store.items.iter().map(|(key, (version, value))| Entry {
         key: key.clone(),
@@ -403,11 +406,11 @@
         revision: store.revision,
         sent: now,
     });
-    believe(host, now);
+    apply_replica(host, now);
 }
 
-/// Puts in force what the host knows of the store.
-fn believe(host: &mut Host, now: Moment) {
+/// Updates the host's state from its replica of the store.
+fn apply_replica(host: &mut Host, now: Moment) {
     let (Some(as_of), Some(document)) = (host.mirror.as_of(), host.mirror.find("document")) else {
         return;
     };
@@ -451,37 +454,40 @@
     }
 }
 
-/// Under every schedule at most one host holds the duty, each window has one
-/// figure and never more than what began, and no withdrawn key runs anything
-/// past its bound.
+/// Under every schedule, at most one host holds the duty, each window has one total, which never
+/// exceeds the number of started requests, and no request runs with a key that was withdrawn
+/// longer ago than the bound.
 #[test]
 fn promises_hold_under_every_schedule() {
     let (mut windows, mut sent) = (0, 0);
     for seed in 0..300 {
-        let seen = Play::new(seed, Fault::None).play();
-        for (number, counts) in &seen.figures {
+        let observed = Simulation::new(seed, Fault::None).run_schedule();
+        for (number, counts) in &observed.totals {
             let reported: u64 = counts.iter().map(|(_, count)| count).sum();
-            assert!(reported <= seen.truth[number], "seed {seed}: more than began");
+            assert!(
+                reported <= observed.started[number],
+                "seed {seed}: more than started"
+            );
         }
-        windows += seen.figures.len();
-        sent += seen.sent_keyed;
+        windows += observed.totals.len();
+        sent += observed.sent_keyed;
     }
     assert!(
         windows > 1_500 && sent > 5_000,
-        "it is no idle play: {windows}, {sent}"
+        "too little happened: {windows} windows, {sent} requests"
     );
 }
 
-/// The play must see what it looks for: with sealed windows that vanish each
-/// holder reports its own sum, and without the look before the send, or with a
-/// peer's old word taken for new, a withdrawn key goes on.
+/// The checks must detect broken variants. If sealed windows disappear, each holder reports its
+/// own total; without the check before the send, or if a peer's old data counts as new, a
+/// withdrawn key keeps working.
 #[test]
 fn broken_gates_are_seen() {
-    for fault in [Fault::Unsealed, Fault::Unlooked, Fault::Unaged] {
+    for fault in [Fault::Unsealed, Fault::Unchecked, Fault::ArrivalTime] {
         let caught = (0..60).filter(|seed| {
             let seed = *seed;
-            std::panic::catch_unwind(|| Play::new(seed, fault).play()).is_err()
+            std::panic::catch_unwind(|| Simulation::new(seed, fault).run_schedule()).is_err()
         });
-        assert!(caught.count() > 0, "{fault:?} passes unseen");
+        assert!(caught.count() > 0, "{fault:?} is not detected");
     }
 }
--- a/tests/suite/proxy/usage.rs
+++ b/tests/suite/proxy/usage.rs
@@ -1,4 +1,4 @@
-//! Usage windows: what is added up, when, and what is reported.
+//! Tests of usage windows: their totals and when they are reported.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use radishstair_core::store::{Answer, Call, Entry};
 use radishstair_core::time::Moment;
 
-const PLAN: Schedule = Schedule {
+const SCHEDULE: Schedule = Schedule {
     length_s: 5,
     due_s: 10,
 };
-/// Start of window 200, in civil milliseconds.
-const WINDOW: u64 = 200 * 5_000;
+/// Start of window 200, in milliseconds of Unix time.
+const WINDOW_START_MS: u64 = 200 * 5_000;
 
 fn at(ms: u64) -> Moment {
-    Moment::at_ms(WINDOW + ms)
+    Moment::at_ms(WINDOW_START_MS + ms)
 }
 
 fn grant(now: Moment) -> Grant {
@@ -32,9 +32,9 @@
     Record {
         host: host.into(),
         incarnation: Incarnation(run),
-        began: WINDOW + began,
+        began: WINDOW_START_MS + began,
         peer: "127.0.0.1:1".into(),
-        until: WINDOW + until,
+        until: WINDOW_START_MS + until,
         ended: false,
         windows: vec![Window {
             number: 200,
@@ -51,12 +51,11 @@
 }
 
 fn tick(reporter: &mut Reporter, ledger: &Ledger, ms: u64) -> Option<Step> {
-    reporter.tick(at(ms), WINDOW + ms, PLAN, grant(at(ms)), ledger)
+    reporter.tick(at(ms), WINDOW_START_MS + ms, SCHEDULE, grant(at(ms)), ledger)
 }
 
-/// The customer is billed for fewer requests than it made. A host is cut off
-/// for some seconds around a window's end; it comes back with its counts while
-/// the report is not yet due.
+/// Guards against billing too few requests: a host that is cut off for some seconds around the
+/// end of a window comes back with its counts before the report is due.
 #[test]
 fn a_window_waits_for_a_host_that_was_cut_off() {
     let mut ledger = Ledger::default();
@@ -65,12 +64,12 @@
     let mut reporter = Reporter::default();
     assert!(tick(&mut reporter, &ledger, 7_000).is_none());
     ledger.receive(at(9_000), record("b", 2, 0, 8_900, 6));
-    let window = sealed(tick(&mut reporter, &ledger, 9_100)).expect("all have told");
+    let window = sealed(tick(&mut reporter, &ledger, 9_100)).expect("all hosts have published");
     assert_eq!(window.counts, vec![("ana".to_string(), 16)]);
 }
 
-/// A report that waits for a host that never comes back would be missed. It
-/// goes out in time with what is known.
+/// Guards against missing the deadline while waiting for a host that never comes back. The report
+/// is sent in time with the known counts.
 #[test]
 fn a_window_is_sealed_before_it_is_due() {
     let mut ledger = Ledger::default();
@@ -81,9 +80,9 @@
     assert!(sealed(tick(&mut reporter, &ledger, 13_200)).is_some());
 }
 
-/// The operator waits for a report in vain. The store was away, keys could not be trusted,
-/// and nothing ran for a whole window; that is reported, as nobody can tell a missing
-/// report from one of nothing. Windows before the first host are not.
+/// Guards against a missing report for a window without requests, for example after an outage of
+/// the store in which keys could not be accepted. It could not be told from a report that was
+/// lost. Windows before the first host are not reported.
 #[test]
 fn a_window_in_which_nothing_ran_is_reported() {
     let mut ledger = Ledger::default();
@@ -93,13 +92,12 @@
     };
     ledger.receive(at(5_200), idle);
     let mut reporter = Reporter::default();
-    let window = sealed(tick(&mut reporter, &ledger, 6_300)).expect("all have told");
+    let window = sealed(tick(&mut reporter, &ledger, 6_300)).expect("all hosts have published");
     assert_eq!((window.number, window.counts), (200, Vec::new()));
 }
 
-/// Reports come late after an outage of the store. A host was removed long
-/// before; the time in which the store was away is no reason to wait for it
-/// again.
+/// Guards against late reports after an outage of the store: the outage must not make a host that
+/// was removed long before count as alive again.
 #[test]
 fn an_outage_does_not_revive_the_dead() {
     let mut ledger = Ledger::default();
@@ -118,8 +116,8 @@
     }
 }
 
-/// The customer is billed for too few requests. A host is known to be there, but the
-/// holder of the duty has not read its counts yet; the window waits for them.
+/// Guards against billing too few requests: a host is known to be present, but the holder of the
+/// duty has not read its counts yet. The window waits for them.
 #[test]
 fn a_window_waits_for_the_counts_of_a_host_that_is_there() {
     let mut ledger = Ledger::default();
@@ -128,12 +126,12 @@
     let mut reporter = Reporter::default();
     assert!(tick(&mut reporter, &ledger, 7_000).is_none());
     ledger.receive(at(7_100), record("b", 2, 0, 5_100, 6));
-    let window = sealed(tick(&mut reporter, &ledger, 7_200)).expect("all have told");
+    let window = sealed(tick(&mut reporter, &ledger, 7_200)).expect("all hosts have published");
     assert_eq!(window.counts, vec![("ana".to_string(), 16)]);
 }
 
-/// A report misses its time by a tick. The store was away for eight seconds; what is late
-/// anyway, or was accepted before, must not go ahead of what can still be in time.
+/// Guards against missing a deadline by one tick after an outage of eight seconds: windows that
+/// are overdue or already accepted must not go before those that can still be on time.
 #[test]
 fn what_can_be_in_time_goes_first() {
     let mut ledger = Ledger::default();
@@ -157,15 +155,15 @@
         assert!(matches!(tick(&mut reporter, &ledger, ms), Some(Step::Report(..))));
         reporter.record_result(at(ms), true);
         reported.push(window.number);
-        // Losing the duty does not make it say again what was accepted.
+        // Accepted reports are not repeated after the duty is lost.
         reporter.stand_down();
     }
     assert_eq!(reported[..4], [200, 201, 198, 199]);
 }
 
-/// Reports of the last windows come too late. A host dies, another one starts, comes into
-/// charge, and reads the dead one's old counts for the first time; it must not wait eight
-/// more seconds for a host that was gone before it started.
+/// Guards against late reports when a new host takes over from a dead one and reads its old
+/// counts for the first time: it must not wait eight more seconds for a host that died before it
+/// started.
 #[test]
 fn old_counts_do_not_revive_the_dead() {
     let mut ledger = Ledger::default();
@@ -175,9 +173,9 @@
     assert_eq!((alive(14_900), alive(15_100)), (1, 0));
 }
 
-/// A host is thought dead and its part of the shared budget goes to others. It writes
-/// its counts once a window, and that they have changed tells that it lives; an old
-/// reading of them does not, nor does a host that has said its end.
+/// Guards against a live host counting as dead, which would give its share of the retry budget to
+/// others. A host writes its counts once a window, and a new version shows that it is alive;
+/// reading the same version again does not, and neither does a run that has ended.
 #[test]
 fn counts_that_change_tell_that_a_run_lives() {
     let mut ledger = Ledger::default();
@@ -193,9 +191,8 @@
     assert_eq!(alive(&ledger, 15_100), 0);
 }
 
-/// A customer is billed twice. A host restarts under its name; its new run
-/// starts at zero, and the counts of both runs add up, whichever copies of
-/// their records come, in whatever order.
+/// Guards against billing twice after a restart. The new run of a host starts at zero, and the
+/// counts of both runs are added, whichever copies of their records arrive, in whatever order.
 #[test]
 fn runs_add_up_and_copies_do_not() {
     let mut ledger = Ledger::default();
@@ -203,13 +200,13 @@
     ledger.receive(at(6_000), record("a", 1, 0, 2_900, 8));
     ledger.receive(at(6_100), record("a", 1, 0, 1_000, 3));
     ledger.receive(at(6_200), record("a", 2, 3_000, 6_100, 6));
-    let window = sealed(tick(&mut Reporter::default(), &ledger, 6_300)).expect("all have told");
+    let window = sealed(tick(&mut Reporter::default(), &ledger, 6_300)).expect("all hosts have published");
     assert_eq!(window.counts, vec![("ana".to_string(), 14)]);
 }
 
-/// The platform gets two different figures for one window. The reporter's write
-/// is lost without an answer, another host seals the window with other figures
-/// meanwhile; what is sent must be what stands in the store.
+/// Guards against two different totals for one window. The answer to the reporter's write is
+/// lost, and another host seals the window with another total; the report must contain the value
+/// in the store.
 #[test]
 fn what_stands_in_the_store_is_what_is_reported() {
     let mut ledger = Ledger::default();
@@ -237,8 +234,8 @@
     assert_eq!(window, standing);
 }
 
-/// A window is never reported. It is short, and its host takes longer than four
-/// windows to get the duty; all whose report is not yet due are still reported.
+/// Guards against skipping short windows when a host needs longer than four windows to get the
+/// duty: all windows whose report is not yet due are reported.
 #[test]
 fn short_windows_are_not_left_behind() {
     let plan = Schedule {
@@ -251,12 +248,18 @@
     let mut ledger = Ledger::default();
     ledger.receive(at(7_400), early);
     let mut reporter = Reporter::default();
-    let step = reporter.tick(at(7_500), WINDOW + 7_500, plan, grant(at(7_500)), &ledger);
+    let step = reporter.tick(
+        at(7_500),
+        WINDOW_START_MS + 7_500,
+        plan,
+        grant(at(7_500)),
+        &ledger,
+    );
     assert_eq!(sealed(step).map(|window| window.number), Some(number));
 }
 
-/// Requests are billed in the wrong window. A host's time of day jumps ahead by
-/// seconds and back; windows are cut by the time carried on from its start.
+/// Guards against counting requests in the wrong window when a host's system time jumps ahead by
+/// seconds and back; windows follow the monotonic clock from the start of the host.
 #[test]
 fn a_jump_of_the_time_of_day_moves_no_window() {
     let mut civil = radishstair_core::proxy::clock::WallClock::default();
