--- a/crates/core/src/proxy/document.rs
+++ b/crates/core/src/proxy/document.rs
@@ -119,8 +119,8 @@
     }
 
     /// Notice for a host that has version `have`. A newer text or its difference is included if
-    /// it has at most `most` bytes. `None` if there is no text yet.
-    pub fn notice(&mut self, now: Moment, have: u64, most: usize) -> Option<Notice> {
+    /// it has at most `max_bytes` bytes. `None` if there is no text yet.
+    pub fn notice(&mut self, now: Moment, have: u64, max_bytes: usize) -> Option<Notice> {
         let (entry, as_of) = (self.entry.clone()?, self.as_of?);
         let mut notice = Notice {
             version: entry.version,
@@ -132,20 +132,20 @@
             return Some(notice);
         }
         if entry.value.len() > INLINE_BYTES {
-            notice.delta = self.delta(&entry, have, most);
+            notice.delta = self.delta(&entry, have, max_bytes);
         }
-        if notice.delta.is_none() && entry.value.len() <= most {
+        if notice.delta.is_none() && entry.value.len() <= max_bytes {
             notice.text = Some(entry.value.clone());
         }
         Some(notice)
     }
 
-    /// Difference to version `have`, if it has at most `most` bytes.
-    fn delta(&mut self, entry: &Entry, have: u64, most: usize) -> Option<Delta> {
+    /// Difference to version `have`, if it has at most `max_bytes` bytes.
+    fn delta(&mut self, entry: &Entry, have: u64, max_bytes: usize) -> Option<Delta> {
         let mut old_texts = self.old_texts.iter_mut();
         let (text, delta) = old_texts.find(|(old, _)| old.version == have)?;
         let delta = delta.get_or_insert_with(|| Delta::between(&text.value, &entry.value));
-        (delta.encoded_len() <= most).then(|| delta.clone())
+        (delta.encoded_len() <= max_bytes).then(|| delta.clone())
     }
 
     /// Applies a peer's notice that was requested at `asked`.
--- a/crates/core/src/proxy/fleet.rs
+++ b/crates/core/src/proxy/fleet.rs
@@ -185,12 +185,12 @@
 
     /// Runners of a service that can be sent new requests.
     pub fn available<'a>(&'a self, now: Moment, service: &'a str) -> impl Iterator<Item = (Key, &'a Runner)> {
-        let own = move |runner: &Runner| runner.listed.service == service && runner.is_available(now);
+        let serves = move |runner: &Runner| runner.listed.service == service && runner.is_available(now);
         let is_near = move |runner: &Runner| !self.is_avoided(now, &runner.listed.zone);
         // If all zones seem cut off, they are tried anyway.
-        let any = self.arena.iter().any(|runner| own(runner) && is_near(runner));
+        let has_near = self.arena.iter().any(|runner| serves(runner) && is_near(runner));
         self.runners()
-            .filter(move |(_, runner)| own(runner) && (!any || is_near(runner)))
+            .filter(move |(_, runner)| serves(runner) && (!has_near || is_near(runner)))
     }
 
     /// Whether a runner can be used and has not restarted since `since`, when it got a prefix.
@@ -211,11 +211,11 @@
 
     /// Median slowdown of a service's runners.
     pub fn median_slowdown(&self, service: &str) -> f64 {
-        let own = self
+        let of_service = self
             .arena
             .iter()
             .filter(|runner| runner.is_listed() && runner.listed.service == service);
-        let mut slowdowns: Vec<f64> = own.map(|runner| runner.slowdown).collect();
+        let mut slowdowns: Vec<f64> = of_service.map(|runner| runner.slowdown).collect();
         if slowdowns.is_empty() {
             return 1.0;
         }
--- a/crates/core/src/proxy/latency.rs
+++ b/crates/core/src/proxy/latency.rs
@@ -102,7 +102,7 @@
 }
 
 impl Latency {
-    /// Prefill time of a prompt whose first `kept` tokens are cached.
+    /// Prefill time of a prompt whose first `cached` tokens are cached.
     pub fn prefill(&self, prompt: u64, cached: u64) -> Duration {
         let (tokens, pairs) = prefill_work(prompt, cached);
         millis(tokens * self.prefill_ms_per_1k() + pairs * self.first_event.coefficient(PAIRS))
@@ -123,7 +123,7 @@
         self.first_event.coefficient(CROSS_ZONE)
     }
 
-    /// Gap between two events of a stream with `beside` concurrent requests, while no prompt is
+    /// Gap between two events of a stream with this number of concurrent requests, while no prompt is
     /// prefilled.
     pub fn event_gap(&self, concurrent: f64) -> Duration {
         millis(self.gap.predict(&[1.0, concurrent]))
@@ -160,7 +160,7 @@
             .observe(&conditions.features(), own_ms.max(0.0), certainty * certainty);
     }
 
-    /// Adds the gap between two events of a stream; `reading` if the runner was prefilling
+    /// Adds the gap between two events of a stream; `prefilling` if the runner was prefilling
     /// throughout.
     pub fn observe_event_gap(&mut self, gap: Duration, concurrent: u32, prefilling: bool) {
         if !prefilling {
--- a/crates/core/src/proxy/partition.rs
+++ b/crates/core/src/proxy/partition.rs
@@ -85,31 +85,31 @@
 /// Assigns each runner of a service to long or short prompts, zone by zone. All hosts with the
 /// same measurements and traffic get the same result.
 pub fn assign(runners: &mut [Runner], service: &str, partition: &Partition) {
-    let own = |runner: &Runner| runner.is_listed() && runner.listed.service == service;
-    let mut order: Vec<usize> = (0..runners.len()).filter(|at| own(&runners[*at])).collect();
+    let serves = |runner: &Runner| runner.is_listed() && runner.listed.service == service;
+    let mut order: Vec<usize> = (0..runners.len()).filter(|at| serves(&runners[*at])).collect();
     order.sort_by(|a, b| {
         let key = |at: usize| (&runners[at].listed.zone, runners[at].hash);
         key(*a).cmp(&key(*b))
     });
-    let mut rest = order.as_slice();
-    while let Some(first) = rest.first() {
+    let mut remaining = order.as_slice();
+    while let Some(first) = remaining.first() {
         let zone = runners[*first].listed.zone.clone();
-        let size = rest
+        let size = remaining
             .iter()
             .take_while(|at| runners[**at].listed.zone == zone)
             .count();
-        let (zone_runners, tail) = rest.split_at(size);
+        let (zone_runners, tail) = remaining.split_at(size);
         // A zone never reserves its last runner; one that is alone serves both kinds.
         let long = ((size as f64 * partition.long_share).round() as usize).min(size - 1);
         for (rank, at) in zone_runners.iter().enumerate() {
             runners[*at].for_long_prompts = rank < long;
         }
-        rest = tail;
+        remaining = tail;
     }
 }
 
 /// Cost in milliseconds of placing a request on a runner that is reserved for the other kind of
-/// prompt and runs `beside` other requests.
+/// prompt and runs `concurrent` other requests.
 pub fn crossing_cost_ms(partition: &Partition, is_long: bool, runner_is_long: bool, concurrent: f64) -> f64 {
     let stall_ms = ms(partition.stall);
     match (is_long, runner_is_long) {
--- a/crates/core/src/proxy/placement.rs
+++ b/crates/core/src/proxy/placement.rs
@@ -27,7 +27,7 @@
 use crate::time::Moment;
 
 /// Factor on the prefill time of a shared token that has to be computed again, besides the
-/// request's own time: it stalls the streams beside it, and evicts cache entries that others then
+/// request's own time: it stalls concurrent streams, and evicts cache entries that others then
 /// compute again.
 const RECOMPUTE_FACTOR: f64 = 20.0;
 /// Factor on the prefill time of a token that is copied from another runner.
@@ -57,7 +57,7 @@
     /// A segment of a prompt that requests may share.
     #[derive(Copy, Eq)]
     pub struct Segment {
-        /// Hash of the prompt up to the end of this segment.
+        /// Id of the prefix that ends with this segment.
         pub id: u64,
         /// Length in tokens.
         pub tokens: u64,
@@ -220,7 +220,7 @@
     })
 }
 
-/// Delay of a request and of those beside it on a runner, in milliseconds, not counting the
+/// Delay of a request and of the others on a runner, in milliseconds, not counting the
 /// runner's slowdown.
 fn waiting_ms(inputs: Inputs<'_>, runner: &Runner, prefill: Duration) -> f64 {
     let concurrent = f64::from(runner.running());
--- a/crates/core/src/proxy/readers.rs
+++ b/crates/core/src/proxy/readers.rs
@@ -111,11 +111,12 @@
     /// Host of `among` for this host by rendezvous hashing, in its own zone if there is one.
     fn nearest(&mut self, now: Moment, me: SocketAddr, hosts: &[Host], among: &[Host]) -> Option<SocketAddr> {
         self.paused.retain(|(_, until)| !now.reached(*until));
-        let own = rank(&me);
+        let own_hash = address_hash(&me);
         let zone = find(me, hosts).map_or(0, |host| host.zone);
         let is_paused = |host: &Host| self.paused.iter().any(|(have, _)| *have == host.address);
         let others = among.iter().filter(|host| host.address != me && !is_paused(host));
-        let nearest = others.max_by_key(|host| (host.zone == zone, weight(rank(&host.address), own)));
+        let nearest =
+            others.max_by_key(|host| (host.zone == zone, weight(address_hash(&host.address), own_hash)));
         nearest.map(|host| host.address)
     }
 }
@@ -128,22 +129,22 @@
 /// The readers; the same on all hosts with the same list of live hosts.
 fn readers(hosts: &[Host]) -> Vec<Host> {
     let count = MIN_READERS + hosts.len() / HOSTS_PER_READER;
-    let key = |host: &Host| (host.zone, Reverse(host.link_mbps), rank(&host.address));
+    let key = |host: &Host| (host.zone, Reverse(host.link_mbps), address_hash(&host.address));
     let mut hosts: Vec<_> = hosts.iter().map(|host| (key(host), *host)).collect();
     hosts.sort_unstable_by_key(|(key, _)| *key);
-    let mut placed = Vec::with_capacity(hosts.len());
+    let mut ranked = Vec::with_capacity(hosts.len());
     for zone in hosts.chunk_by(|(_, one), (_, other)| one.zone == other.zone) {
-        placed.extend(zone.iter().enumerate());
+        ranked.extend(zone.iter().enumerate());
     }
-    placed.sort_unstable_by_key(|(place, ((_, link, rank), _))| (*place, *link, *rank));
-    placed.truncate(count);
-    placed.into_iter().map(|(_, (_, host))| *host).collect()
+    ranked.sort_unstable_by_key(|(position, ((_, link, address_hash), _))| (*position, *link, *address_hash));
+    ranked.truncate(count);
+    ranked.into_iter().map(|(_, (_, host))| *host).collect()
 }
 
 fn find(address: SocketAddr, hosts: &[Host]) -> Option<&Host> {
     hosts.iter().find(|host| host.address == address)
 }
 
-fn rank(host: &SocketAddr) -> u64 {
+fn address_hash(host: &SocketAddr) -> u64 {
     digest(host.to_string().as_bytes())
 }
--- a/crates/core/src/proxy/report.rs
+++ b/crates/core/src/proxy/report.rs
@@ -115,7 +115,7 @@
         grant: Grant,
         ledger: &Ledger,
     ) -> Option<Step> {
-        self.give_up(now);
+        self.expire_calls(now);
         if self.state != State::Idle || self.writer.is_busy() || !now.reached(self.retry_at) {
             return None;
         }
@@ -208,7 +208,7 @@
         }
     }
 
-    fn give_up(&mut self, now: Moment) {
+    fn expire_calls(&mut self, now: Moment) {
         self.writer.give_up(now, CALL_TIMEOUT);
         let since = match &self.state {
             State::Idle => return,
--- a/crates/core/src/proxy/route.rs
+++ b/crates/core/src/proxy/route.rs
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Urgency of a request to an engine, from 0, the most urgent, to `last`.
+    /// Urgency of a request to an engine, from 0, the most urgent, to `lowest`.
     ///
     /// An engine that runs out of memory preempts the least urgent requests in the middle of
     /// their streams. If requests were ordered by customer first, it would preempt the short
--- a/crates/core/src/proxy/scaling.rs
+++ b/crates/core/src/proxy/scaling.rs
@@ -135,7 +135,7 @@
     /// Runners of a zone that accept new requests.
     struct Zone {
         name: String,
-        cheap: u32,
+        reclaimable: u32,
         on_demand: u32,
         running: u32,
     }
@@ -145,19 +145,19 @@
     fn of(fleet: &Fleet, service: &str, name: &str) -> Self {
         let mut zone = Self {
             name: name.to_string(),
-            cheap: 0,
+            reclaimable: 0,
             on_demand: 0,
             running: 0,
         };
         let runners = fleet.runners().map(|(_, runner)| runner);
-        let own = runners.filter(|runner| {
+        let of_service = runners.filter(|runner| {
             let listed = &runner.listed;
             listed.service == service && listed.zone == name && runner.is_listed()
         });
-        for runner in own {
+        for runner in of_service {
             zone.running += runner.running();
             match runner.listed.reclaimable {
-                true => zone.cheap += 1,
+                true => zone.reclaimable += 1,
                 false => zone.on_demand += 1,
             }
         }
@@ -184,7 +184,7 @@
     targets: Targets<Kind, Progress>,
     peaks: Services<Peak>,
     /// When the order was sent that has no answer yet.
-    sending: Option<Moment>,
+    pending_since: Option<Moment>,
 }
 
 impl Planner {
@@ -198,7 +198,10 @@
         fleet: &Fleet,
         flow: impl Fn(&str) -> u64,
     ) -> Option<Order> {
-        if self.sending.is_some_and(|since| now.since(since) < ORDER_TIMEOUT) {
+        if self
+            .pending_since
+            .is_some_and(|since| now.since(since) < ORDER_TIMEOUT)
+        {
             return None;
         }
         for service in table.services() {
@@ -207,7 +210,7 @@
             }
         }
         let target = self.targets.due(now, Some(REPEAT_INTERVAL))?;
-        self.sending = Some(now);
+        self.pending_since = Some(now);
         let pause = RETRY_PAUSE * 2u32.saturating_pow(target.more.refusals);
         target.next = now + pause.min(MAX_RETRY_PAUSE);
         let Kind {
@@ -225,7 +228,7 @@
 
     /// Records whether an order was accepted.
     pub fn record_result(&mut self, now: Moment, order: &Order, accepted: bool) {
-        if self.sending.take().is_none() {
+        if self.pending_since.take().is_none() {
             return;
         }
         let target = self
@@ -257,27 +260,27 @@
         let needed = self.needed(now, service, &zones, price, flow);
         let count = zones.len() as u32;
         let is_cheap = price < MAX_RECLAIMABLE_PRICE;
-        let (each, mut missing, parts) = if is_cheap {
-            let each = needed.standby.div_ceil(count);
+        let (per_zone, mut missing, zone_count) = if is_cheap {
+            let per_zone = needed.standby.div_ceil(count);
             let missing = self.missing(now, service, scaling, &zones, needed.current);
             // Spread over at least two zones, if there are, as one may be cut off next.
             (
-                each.clamp(scaling.minimum, scaling.maximum),
+                per_zone.clamp(scaling.minimum, scaling.maximum),
                 missing,
                 count.min(2),
             )
         } else {
             (0, needed.standby.max(scaling.minimum * count), count)
         };
-        let most = missing.div_ceil(parts);
+        let zone_limit = missing.div_ceil(zone_count);
         for zone in zones {
             // A zone's maximum holds for both kinds together; reclaimable runners that are
             // present must not be given up for on-demand ones.
-            let room = scaling.maximum.saturating_sub(zone.cheap);
-            let on_demand = missing.min(most).min(room);
+            let room = scaling.maximum.saturating_sub(zone.reclaimable);
+            let on_demand = missing.min(zone_limit).min(room);
             missing -= on_demand;
-            let cheap = each.min(scaling.maximum - on_demand);
-            for (reclaimable, wanted) in [(false, on_demand), (true, cheap)] {
+            let reclaimable_count = per_zone.min(scaling.maximum - on_demand);
+            for (reclaimable, wanted) in [(false, on_demand), (true, reclaimable_count)] {
                 let kind = Kind::new(&service.name, &zone.name, reclaimable);
                 self.targets.of(kind).want(wanted);
             }
@@ -300,38 +303,38 @@
             .iter()
             .map(|zone| self.expected(now, service, scaling, zone));
         let after_boot = current.saturating_sub(expected.sum());
-        let here: u32 = zones.iter().map(|zone| zone.cheap).sum();
+        let present: u32 = zones.iter().map(|zone| zone.reclaimable).sum();
         let on_demand: u32 = zones.iter().map(|zone| zone.on_demand).sum();
-        after_boot.max(current.saturating_sub(here).min(on_demand))
+        after_boot.max(current.saturating_sub(present).min(on_demand))
     }
 
     /// Reclaimable runners of a zone that are present or booting.
     fn expected(&mut self, now: Moment, service: &Service, scaling: &Scaling, zone: &Zone) -> u32 {
         let target = self.targets.of(Kind::new(&service.name, &zone.name, true));
         // Some were reclaimed, and runners ordered before may be among them.
-        let vanished = zone.cheap < target.more.last_count;
-        target.more.last_count = zone.cheap;
+        let was_reclaimed = zone.reclaimable < target.more.last_count;
+        target.more.last_count = zone.reclaimable;
         let ordered = target.accepted.unwrap_or(0);
-        let boots = |raised_at: &Moment| now.since(*raised_at) < scaling.boot_time + BOOT_GRACE;
-        target.more.raised_at = target.more.raised_at.filter(boots);
-        if vanished || zone.cheap >= ordered {
+        let is_booting = |raised_at: &Moment| now.since(*raised_at) < scaling.boot_time + BOOT_GRACE;
+        target.more.raised_at = target.more.raised_at.filter(is_booting);
+        if was_reclaimed || zone.reclaimable >= ordered {
             target.more.raised_at = None;
         }
         match target.more.raised_at {
             Some(_) => ordered,
-            None => zone.cheap,
+            None => zone.reclaimable,
         }
     }
 
     /// Number of runners needed for the recent peaks.
     fn needed(&mut self, now: Moment, service: &Service, zones: &[Zone], price: f64, flow: u64) -> Needed {
-        let initial: u32 = zones.iter().map(|zone| zone.on_demand + zone.cheap).sum();
+        let initial: u32 = zones.iter().map(|zone| zone.on_demand + zone.reclaimable).sum();
         let running: u32 = zones.iter().map(|zone| zone.running).sum();
         let slots = service.engine.map_or(u32::MAX, |engine| engine.slots.max(1));
         let peak = self.peaks.get_or_default(&service.name);
-        let reading = (flow / 1_000) as u32;
-        let current = f64::from(peak.current.push(now, reading, PEAK_WINDOW)) / 1e3;
-        let standby = f64::from(peak.standby.push(now, reading, STANDBY_WINDOW)) / 1e3;
+        let prefill_load = (flow / 1_000) as u32;
+        let current = f64::from(peak.current.push(now, prefill_load, PEAK_WINDOW)) / 1e3;
+        let standby = f64::from(peak.standby.push(now, prefill_load, STANDBY_WINDOW)) / 1e3;
         // The runners found were ordered by a predecessor for the usual load.
         let (started, initial) = *peak.initial.get_or_insert((now, initial));
         let initial = if now.since(started) < INITIAL_HOLD {
