--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -37,7 +37,7 @@
 use budget::Budgets;
 use fleet::{Fleet, Key, Listed};
 use freshness::Freshness;
-use gossip::{CachedPrefix, Flow, Meter, Packet, Peers};
+use gossip::{CachedPrefix, Meter, Packet, Peers, PrefillRate};
 use latency::{Conditions, Latency};
 use partition::Partition;
 use placement::{Choice, Demand, Inputs};
@@ -355,14 +355,14 @@
         };
         let engines = table.services().iter().filter(|service| service.engine.is_some());
         for service in engines {
-            let flow = self.flow(now, &service.name);
+            let flow = self.prefill_rate(now, &service.name);
             let allowed_gap = partition::allowed_event_gap(&table, &service.name);
             let partition = self.partitions.get_or_default(&service.name);
             partition.update(
                 self.latencies.get_or_default(&service.name),
                 allowed_gap,
-                flow.long,
-                flow.rate,
+                flow.long_us,
+                flow.total_us,
             );
             partition::assign(self.fleet.runners_mut(), &service.name, partition);
         }
@@ -446,14 +446,14 @@
     pub fn packet(&mut self, now: Moment, me: Incarnation, number: u64) -> Packet {
         Packet {
             prefixes: std::mem::take(&mut self.announcements),
-            ..gossip::packet(me, number, &self.fleet, self.meter.flows(now))
+            ..gossip::packet(me, number, &self.fleet, self.meter.rates(now))
         }
     }
 
     /// Prefill work that all hosts send to a service.
-    pub fn flow(&self, now: Moment, service: &str) -> Flow {
-        let others = self.peers.flow(service);
-        let own = self.meter.flows(now);
+    pub fn prefill_rate(&self, now: Moment, service: &str) -> PrefillRate {
+        let others = self.peers.prefill_rate(service);
+        let own = self.meter.rates(now);
         let own = own.iter().find(|flow| flow.service == others.service);
         own.map_or(others, |own| others.plus(own))
     }
--- a/crates/core/src/proxy/gossip.rs
+++ b/crates/core/src/proxy/gossip.rs
@@ -48,25 +48,25 @@
 
 /// Rate of prefill work that one host sends to a service.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Flow {
+pub struct PrefillRate {
     /// Hash of the service's name.
     #[prost(fixed64, tag = "1")]
     pub service: u64,
     /// Prefill work over the last seconds, in microseconds per second.
     #[prost(uint64, tag = "3")]
-    pub rate: u64,
+    pub total_us: u64,
     /// Part of it for long prompts, in microseconds per second.
     #[prost(uint64, tag = "4")]
-    pub long: u64,
+    pub long_us: u64,
 }
 
-impl Flow {
+impl PrefillRate {
     /// Sum of two rates for the same service.
-    pub fn plus(self, other: &Flow) -> Self {
+    pub fn plus(self, other: &PrefillRate) -> Self {
         Self {
             service: self.service,
-            rate: self.rate + other.rate,
-            long: self.long + other.long,
+            total_us: self.total_us + other.total_us,
+            long_us: self.long_us + other.long_us,
         }
     }
 }
@@ -96,7 +96,7 @@
     pub loads: Vec<Load>,
     /// Prefill work that it sends to each service.
     #[prost(message, repeated, tag = "5")]
-    pub flows: Vec<Flow>,
+    pub prefill_rates: Vec<PrefillRate>,
     /// Usage record; empty in most packets.
     #[prost(bytes = "vec", tag = "4")]
     pub record: Vec<u8>,
@@ -192,15 +192,15 @@
     }
 
     /// Prefill work that the other hosts send to a service.
-    pub fn flow(&self, service: &str) -> Flow {
+    pub fn prefill_rate(&self, service: &str) -> PrefillRate {
         let service = digest(service.as_bytes());
-        let flows = self.peers.iter().flat_map(|peer| &peer.packet.flows);
+        let flows = self.peers.iter().flat_map(|peer| &peer.packet.prefill_rates);
         let own = flows.filter(|flow| flow.service == service);
         own.fold(
-            Flow {
+            PrefillRate {
                 service,
-                rate: 0,
-                long: 0,
+                total_us: 0,
+                long_us: 0,
             },
             |sum, flow| sum.plus(flow),
         )
@@ -232,7 +232,7 @@
 }
 
 /// Builds this host's load report.
-pub fn packet(me: Incarnation, sequence: u64, fleet: &Fleet, flows: Vec<Flow>) -> Packet {
+pub fn packet(me: Incarnation, sequence: u64, fleet: &Fleet, flows: Vec<PrefillRate>) -> Packet {
     let loads = fleet
         .runners()
         .filter(|(_, runner)| runner.local_load.running > 0)
@@ -246,7 +246,7 @@
         incarnation: me.0,
         sequence,
         loads: loads.collect(),
-        flows,
+        prefill_rates: flows,
         record: Vec::new(),
         prefixes: Vec::new(),
         zone: fleet.zone.clone(),
@@ -302,17 +302,17 @@
     }
 
     /// Current rate for each service.
-    pub fn flows(&self, now: Moment) -> Vec<Flow> {
+    pub fn rates(&self, now: Moment) -> Vec<PrefillRate> {
         let oldest = (bucket_index(now) + 1).saturating_sub(BUCKETS);
         let flows = self.services.iter().map(|(service, buckets)| {
             let recent = buckets.iter().filter(|bucket| bucket.index >= oldest);
             let (all, long) = recent.fold((0, 0), |(all, long), bucket| {
                 (all + bucket.all, long + bucket.long)
             });
-            Flow {
+            PrefillRate {
                 service: *service,
-                rate: all * 1_000 / RATE_WINDOW_MS,
-                long: long * 1_000 / RATE_WINDOW_MS,
+                total_us: all * 1_000 / RATE_WINDOW_MS,
+                long_us: long * 1_000 / RATE_WINDOW_MS,
             }
         });
         flows.collect()
--- a/crates/entry/src/proxy/beliefs.rs
+++ b/crates/entry/src/proxy/beliefs.rs
@@ -91,7 +91,7 @@
                 stall_ms = pace.stall().as_millis() as u64,
                 long_from_ms = parting.long_prompt.as_millis() as u64,
                 long_part = format!("{:.2}", parting.long_share),
-                flow = state.flow(now, &service.name).rate
+                flow = state.prefill_rate(now, &service.name).total_us
             );
         }
     }
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -201,10 +201,12 @@
             let Some(table) = state.table.clone() else {
                 return false;
             };
-            let order = self
-                .planner
-                .tick(now, &table, &state.fleet, |service| state.flow(now, service).rate);
-            let flow = order.as_ref().map(|order| state.flow(now, &order.service).rate);
+            let order = self.planner.tick(now, &table, &state.fleet, |service| {
+                state.prefill_rate(now, service).total_us
+            });
+            let flow = order
+                .as_ref()
+                .map(|order| state.prefill_rate(now, &order.service).total_us);
             (order, flow)
         };
         let Some(order) = order else {
--- a/tests/suite/proxy/latency.rs
+++ b/tests/suite/proxy/latency.rs
@@ -124,7 +124,7 @@
             rate: |_| 80.0,
             ..Simulation::default()
         };
-        simulation.run().flow.rate
+        simulation.run().flow.total_us
     };
     let runners = |flow| {
         let fleet = Fleet::new("zone-a");
--- a/tests/suite/proxy/model.rs
+++ b/tests/suite/proxy/model.rs
@@ -7,7 +7,7 @@
 
 use radishstair_core::proxy::State;
 use radishstair_core::proxy::fleet::{Key, Listed};
-use radishstair_core::proxy::gossip::Flow;
+use radishstair_core::proxy::gossip::PrefillRate;
 use radishstair_core::proxy::placement::{Choice, Demand, Segment};
 use radishstair_core::time::Moment;
 use rand::{RngExt, SeedableRng};
@@ -79,7 +79,7 @@
     /// Final state of the host.
     pub state: State,
     /// Highest rate of prefill work.
-    pub flow: Flow,
+    pub flow: PrefillRate,
 }
 
 impl Outcome {
@@ -146,11 +146,11 @@
             },
             simulation: self,
         };
-        let mut highest = world.state.flow(Moment::at_ms(0), SERVICE);
+        let mut highest = world.state.prefill_rate(Moment::at_ms(0), SERVICE);
         for ms in 0..world.simulation.length_ms {
             world.step(ms);
-            let flow = world.state.flow(moment(ms), SERVICE);
-            if flow.rate > highest.rate {
+            let flow = world.state.prefill_rate(moment(ms), SERVICE);
+            if flow.total_us > highest.total_us {
                 highest = flow;
             }
         }
--- a/tests/suite/proxy/placement.rs
+++ b/tests/suite/proxy/placement.rs
@@ -475,7 +475,7 @@
     for ms in (0..4_000).step_by(100) {
         meter.add(at(ms), "engines", 1_000, false);
     }
-    let rate = |ms| meter.flows(at(ms))[0].rate;
+    let rate = |ms| meter.rates(at(ms))[0].total_us;
     assert!((9_000..=11_000).contains(&rate(3_990)), "{}", rate(3_990));
     assert_eq!(rate(20_000), 0);
 }
