--- a/crates/core/src/proxy/latency.rs
+++ b/crates/core/src/proxy/latency.rs
@@ -51,9 +51,9 @@
     #[derive(Copy, Default)]
     pub struct Conditions {
         /// Length of the prompt in tokens.
-        pub prompt: u64,
+        pub prompt_tokens: u64,
         /// Tokens of the prompt that the runner had cached.
-        pub cached: u64,
+        pub cached_tokens: u64,
         /// Prefill work queued ahead of the request.
         pub backlog: Duration,
         /// Requests running there.
@@ -65,7 +65,7 @@
 
 impl Conditions {
     fn features(&self) -> [f64; 5] {
-        let (tokens, pairs) = prefill_work(self.prompt, self.cached);
+        let (tokens, pairs) = prefill_work(self.prompt_tokens, self.cached_tokens);
         let cross_zone = f64::from(u8::from(self.cross_zone));
         [1.0, tokens, pairs, f64::from(self.concurrent), cross_zone]
     }
--- a/crates/core/src/proxy/placement.rs
+++ b/crates/core/src/proxy/placement.rs
@@ -71,9 +71,9 @@
         /// Service that runs it.
         pub service: String,
         /// Length of the prompt in tokens; 0 for plain services.
-        pub prompt: u64,
+        pub prompt_tokens: u64,
         /// Expected length of the answer in tokens.
-        pub output: u64,
+        pub output_tokens: u64,
         /// Segments of the prompt in order. The last one belongs to this request alone, unless it
         /// is the only one.
         pub segments: Vec<Segment>,
@@ -82,7 +82,7 @@
         /// Whether the engine can copy cached prefixes from another runner.
         pub copies_prefix: bool,
         /// Whether it may run at most once.
-        pub once: bool,
+        pub at_most_once: bool,
         /// Random number that breaks ties.
         pub draw: u64,
     }
@@ -118,13 +118,13 @@
 
     /// Price of sending it to another zone, in milliseconds of waiting.
     fn cross_zone_cost_ms(&self) -> f64 {
-        let bytes = self.bytes + self.output * BYTES_PER_TOKEN;
+        let bytes = self.bytes + self.output_tokens * BYTES_PER_TOKEN;
         bytes as f64 / 1e3 * CROSS_ZONE_MS_PER_KB
     }
 
     /// KV cache that it occupies when it ends, in tokens.
     pub fn kv_tokens(&self) -> u64 {
-        self.prompt + self.output
+        self.prompt_tokens + self.output_tokens
     }
 }
 
@@ -168,7 +168,7 @@
         .filter(|(key, _)| !tried.contains(key))
         .collect();
     let count = open.len() as u32;
-    if demand.prompt == 0 {
+    if demand.prompt_tokens == 0 {
         let key = nearest(now, inputs.fleet, &open, demand)?;
         return Some(Choice {
             key,
@@ -182,7 +182,9 @@
     let cached = CachedPrefixes::of(inputs, now, demand);
     let shared = demand.shared_tokens();
     // Uses the whole prompt, so that similar requests go to the same runners whatever is cached.
-    let is_long = inputs.partition.is_long(inputs.latency.prefill(demand.prompt, 0));
+    let is_long = inputs
+        .partition
+        .is_long(inputs.latency.prefill(demand.prompt_tokens, 0));
     let home = match cached.has_all(shared) {
         true => None,
         false => home(inputs, &open, demand, is_long),
@@ -191,7 +193,7 @@
     let candidates = open.iter().map(|(key, runner)| {
         let cached_tokens = cached.cached_tokens(*key);
         let available = cached_tokens.max(cached.longest);
-        let prefill = inputs.latency.prefill(demand.prompt, available);
+        let prefill = inputs.latency.prefill(demand.prompt_tokens, available);
         let recomputed = if home == Some(*key) { 0 } else { shared - available };
         let prefix_cost = COPY_FACTOR * (available - cached_tokens) as f64 + RECOMPUTE_FACTOR * recomputed as f64;
         let cost = prefix_cost / 1e3 * inputs.latency.prefill_ms_per_1k()
@@ -209,8 +211,8 @@
         prefill_us: prefill.as_micros() as u64,
         is_long,
         conditions: Conditions {
-            prompt: demand.prompt,
-            cached: cached_tokens,
+            prompt_tokens: demand.prompt_tokens,
+            cached_tokens: cached_tokens,
             backlog: runner.backlog(),
             concurrent: runner.running(),
             cross_zone: runner.listed.zone != inputs.fleet.zone,
@@ -323,7 +325,9 @@
 
 /// Cost of the connection that the request would use, in milliseconds.
 fn connection_cost_ms(now: Moment, runner: &Runner, demand: &Demand) -> f64 {
-    let has_idle = runner.idle.is_some_and(|idle| idle.is_usable(now, demand.once));
+    let has_idle = runner
+        .idle
+        .is_some_and(|idle| idle.is_usable(now, demand.at_most_once));
     if has_idle { 0.0 } else { CONNECTION_MS }
 }
 
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -73,12 +73,12 @@
     pub fn demand(&self, draw: u64) -> Demand {
         Demand {
             service: self.admission.service.clone(),
-            prompt: self.head.prompt,
-            output: self.head.hint.unwrap_or(self.head.output).min(self.head.output),
+            prompt_tokens: self.head.prompt,
+            output_tokens: self.head.hint.unwrap_or(self.head.output).min(self.head.output),
             segments: self.head.parts.clone(),
             bytes: self.body.len() as u64,
             copies_prefix: self.admission.copies_prefix,
-            once: self.once(),
+            at_most_once: self.once(),
             draw,
         }
     }
--- a/crates/entry/src/proxy/slot.rs
+++ b/crates/entry/src/proxy/slot.rs
@@ -64,7 +64,7 @@
         let now = self.shared.now();
         let mut state = self.shared.state();
         state.fleet.finish_request(self.key, self.work, self.held);
-        if let Some(sent) = self.sent.filter(|_| self.outlook.prompt > 0) {
+        if let Some(sent) = self.sent.filter(|_| self.outlook.prompt_tokens > 0) {
             state.record_residence(self.key, now.since(sent));
         }
     }
--- a/tests/suite/proxy/latency.rs
+++ b/tests/suite/proxy/latency.rs
@@ -24,7 +24,7 @@
         for _ in 0..400 {
             let prompt = draws.random_range(300..9_000);
             let conditions = Conditions {
-                prompt,
+                prompt_tokens: prompt,
                 ..Conditions::default()
             };
             let queue = match draws.random_bool(0.33) {
--- a/tests/suite/proxy/model.rs
+++ b/tests/suite/proxy/model.rs
@@ -260,8 +260,8 @@
     let part = |id, tokens| Segment { id, tokens };
     Demand {
         service: SERVICE.into(),
-        prompt: SHARED_TOKENS + OWN_TOKENS,
-        output: 50,
+        prompt_tokens: SHARED_TOKENS + OWN_TOKENS,
+        output_tokens: 50,
         copies_prefix: true,
         bytes: 18_000,
         segments: vec![
--- a/tests/suite/proxy/placement.rs
+++ b/tests/suite/proxy/placement.rs
@@ -51,8 +51,8 @@
 fn demand(prompt: u64, prefix: u64) -> Demand {
     Demand {
         service: "engines".into(),
-        prompt,
-        output: 100,
+        prompt_tokens: prompt,
+        output_tokens: 100,
         copies_prefix: true,
         segments: vec![
             Segment { id: 1, tokens: 100 },
@@ -278,7 +278,7 @@
         .expect("a runner is available");
     assert_eq!(silent.source, None, "once its hosts are silent");
     let plain = Demand {
-        prompt: 0,
+        prompt_tokens: 0,
         segments: Vec::new(),
         ..demand(1_000, 5)
     };
