--- a/crates/core/src/proxy/document.rs
+++ b/crates/core/src/proxy/document.rs
@@ -38,7 +38,7 @@
     pub delta: Option<Delta>,
     /// The receiver's version, as it was in the request.
     #[prost(uint64, tag = "5")]
-    pub have: u64,
+    pub base_version: u64,
 }
 
 /// Result of a peer's notice.
@@ -125,7 +125,7 @@
         let mut notice = Notice {
             version: entry.version,
             age_us: now.since(as_of).as_micros() as u64,
-            have,
+            base_version: have,
             ..Notice::default()
         };
         if entry.version <= have {
@@ -160,7 +160,10 @@
             return Update::Current(as_of);
         }
         self.newest = self.newest.max(notice.version);
-        match notice.text.or_else(|| self.patched(notice.have, notice.delta?)) {
+        match notice
+            .text
+            .or_else(|| self.patched(notice.base_version, notice.delta?))
+        {
             Some(text) => Update::Text(as_of, notice.version, text),
             None => Update::Newer(notice.version),
         }
--- a/crates/core/src/proxy/mirror.rs
+++ b/crates/core/src/proxy/mirror.rs
@@ -83,7 +83,7 @@
         /// Entries in order of their keys.
         pub entries: Vec<Entry>,
         /// Whether there are more keys after this page.
-        pub more: bool,
+        pub has_more: bool,
         /// Store revision at the time of the answer.
         pub revision: u64,
         /// When the request was sent.
@@ -149,7 +149,7 @@
         if page.after.is_empty() {
             self.listing = Some((page.revision, page.sent));
         }
-        let last = page.entries.last().filter(|_| page.more);
+        let last = page.entries.last().filter(|_| page.has_more);
         let from = self.entries.partition_point(|have| have.key <= page.after);
         let to = match last {
             Some(last) => self.entries.partition_point(|have| have.key <= last.key),
--- a/crates/core/src/proxy/route.rs
+++ b/crates/core/src/proxy/route.rs
@@ -47,7 +47,7 @@
         /// Value of the `Host` header, in lower case.
         pub host: String,
         /// Path prefix, with a slash at both ends.
-        pub prefix: String,
+        pub path_prefix: String,
         /// How its requests may be retried.
         pub mode: Mode,
         /// Maximum time to keep a caller waiting.
@@ -125,7 +125,7 @@
         /// Name of the service.
         pub name: String,
         /// Maximum number of connections that a runner accepts from all hosts together.
-        pub connections: u32,
+        pub max_connections: u32,
         /// Engine, if it serves a model.
         pub engine: Option<Engine>,
         /// Limits for orders of runners; `None` if none may be ordered.
@@ -203,7 +203,7 @@
         limits: Limits,
     ) -> Self {
         let mut routes: Vec<Arc<Route>> = routes.into_iter().map(Arc::new).collect();
-        routes.sort_by(|a, b| (&a.host, &a.prefix).cmp(&(&b.host, &b.prefix)));
+        routes.sort_by(|a, b| (&a.host, &a.path_prefix).cmp(&(&b.host, &b.path_prefix)));
         services.sort_by(|a, b| a.name.cmp(&b.name));
         let mut customers = customers;
         let mut keys = Vec::new();
@@ -249,7 +249,7 @@
             let key = (host.as_str(), prefix);
             let at = self
                 .routes
-                .binary_search_by(|route| (route.host.as_str(), route.prefix.as_str()).cmp(&key));
+                .binary_search_by(|route| (route.host.as_str(), route.path_prefix.as_str()).cmp(&key));
             at.ok().map(|at| &self.routes[at])
         })
     }
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -209,7 +209,7 @@
             self.shared.mirror().add_page(mirror::Page {
                 after,
                 entries,
-                more: last.is_some(),
+                has_more: last.is_some(),
                 revision: page.revision,
                 sent,
             });
--- a/tests/suite/proxy/fixtures.rs
+++ b/tests/suite/proxy/fixtures.rs
@@ -27,7 +27,7 @@
     Route {
         name: name.into(),
         host: "books.example".into(),
-        prefix: prefix.into(),
+        path_prefix: prefix.into(),
         mode,
         timeout: Some(Duration::from_secs(15)),
         attempts: 2,
@@ -46,7 +46,7 @@
 pub fn service(name: &str, slots: Option<u32>) -> Service {
     Service {
         name: name.into(),
-        connections: 240,
+        max_connections: 240,
         engine: slots.map(|slots| Engine {
             slots,
             kv_tokens: 480_000,
--- a/tests/suite/proxy/mirror.rs
+++ b/tests/suite/proxy/mirror.rs
@@ -59,7 +59,7 @@
             mirror.add_page(Page {
                 after: after.clone(),
                 entries,
-                more,
+                has_more: more,
                 revision: self.revision(),
                 sent,
             });
--- a/tests/suite/proxy/schedule.rs
+++ b/tests/suite/proxy/schedule.rs
@@ -402,7 +402,7 @@
     host.mirror.add_page(Page {
         after: String::new(),
         entries,
-        more: false,
+        has_more: false,
         revision: store.revision,
         sent: now,
     });
