--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -127,7 +127,7 @@
         /// API key, if the request has one.
         pub key: Option<&'a str>,
         /// Random number that selects among weighted services.
-        pub draw: u64,
+        pub random: u64,
     }
 }
 
@@ -292,7 +292,7 @@
                 Some(found.ok_or_else(|| reject(Kind::UnknownKey))?)
             }
         };
-        let service = route.pick_service(head.draw);
+        let service = route.pick_service(head.random);
         let engine = table.service(service).and_then(|service| service.engine);
         Ok(Admission {
             service: service.to_string(),
--- a/crates/core/src/proxy/placement.rs
+++ b/crates/core/src/proxy/placement.rs
@@ -84,7 +84,7 @@
         /// Whether it may run at most once.
         pub at_most_once: bool,
         /// Random number that breaks ties.
-        pub draw: u64,
+        pub random: u64,
     }
 }
 
@@ -372,7 +372,7 @@
             silent,
             runner.running(),
             needs_connection,
-            weight(demand.draw, u64::from(key.0)),
+            weight(demand.random, u64::from(key.0)),
         )
     };
     let chosen = set.iter().min_by_key(|(key, runner)| order(*key, runner));
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -79,7 +79,7 @@
             bytes: self.body.len() as u64,
             copies_prefix: self.admission.copies_prefix,
             at_most_once: self.once(),
-            draw,
+            random: draw,
         }
     }
 }
@@ -91,7 +91,7 @@
         host: host.and_then(|host| host.to_str().ok()).unwrap_or_default(),
         path: parts.uri.path(),
         key: head.key.as_deref(),
-        draw: rand::random(),
+        random: rand::random(),
     }
 }
 
--- a/tests/suite/proxy/fixtures.rs
+++ b/tests/suite/proxy/fixtures.rs
@@ -111,7 +111,7 @@
         host: "books.example",
         path: "/notes/1",
         key: Some(key),
-        draw: 0,
+        random: 0,
     }
 }
 
--- a/tests/suite/proxy/placement.rs
+++ b/tests/suite/proxy/placement.rs
@@ -401,7 +401,7 @@
         let demand = match prompt {
             0 => Demand {
                 service: "engines".into(),
-                draw,
+                random: draw,
                 ..Demand::default()
             },
             // Without a shared prefix there is no home runner.
