--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -330,11 +330,11 @@
         if current == Some(admission.revision) {
             return Ok(());
         }
-        let again = self.admit(now, head)?;
-        let still = again.customer == admission.customer
-            && again.route.name == admission.route.name
-            && again.route.uses(&admission.service);
-        match still {
+        let readmitted = self.admit(now, head)?;
+        let is_unchanged = readmitted.customer == admission.customer
+            && readmitted.route.name == admission.route.name
+            && readmitted.route.uses(&admission.service);
+        match is_unchanged {
             true => Ok(()),
             false => Err(Refusal::new(Kind::Stale).detail("the configuration has just changed")),
         }
@@ -355,14 +355,14 @@
         };
         let engines = table.services().iter().filter(|service| service.engine.is_some());
         for service in engines {
-            let flow = self.prefill_rate(now, &service.name);
+            let rate = self.prefill_rate(now, &service.name);
             let allowed_gap = partition::allowed_event_gap(&table, &service.name);
             let partition = self.partitions.get_or_default(&service.name);
             partition.update(
                 self.latencies.get_or_default(&service.name),
                 allowed_gap,
-                flow.long_us,
-                flow.total_us,
+                rate.long_us,
+                rate.total_us,
             );
             partition::assign(self.fleet.runners_mut(), &service.name, partition);
         }
@@ -375,13 +375,13 @@
 
     /// Chooses a runner and counts the request there.
     pub fn place(&mut self, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
-        let known = Inputs {
+        let inputs = Inputs {
             fleet: &self.fleet,
             prefixes: &self.prefixes,
             partition: &self.partition(&demand.service),
             latency: self.latencies.get_or_default(&demand.service),
         };
-        let choice = placement::choose(known, now, demand, tried)?;
+        let choice = placement::choose(inputs, now, demand, tried)?;
         self.fleet
             .start_request(choice.key, choice.prefill_us, demand.kv_tokens());
         self.meter
@@ -395,39 +395,39 @@
         Some(choice)
     }
 
-    /// Records that a request's first event came `took` after it was sent.
+    /// Records that a request's first event came `elapsed` after it was sent.
     ///
     /// Samples of a straggler are left out of the service's latency model, as they say nothing
     /// about the other runners.
-    pub fn record_first_event(&mut self, key: Key, conditions: &Conditions, took: Duration) {
+    pub fn record_first_event(&mut self, key: Key, conditions: &Conditions, elapsed: Duration) {
         let Some(runner) = self.fleet.get_mut(key) else {
             return;
         };
         let service = runner.listed.service.clone();
         let latency = self.latencies.get_or_default(&service);
-        runner.record_slowdown(took, latency.predict(conditions));
+        runner.record_slowdown(elapsed, latency.predict(conditions));
         let slowdown = runner.slowdown;
         if slowdown < STRAGGLER_RATIO * self.fleet.median_slowdown(&service) {
-            latency.observe_first_event(conditions, took);
+            latency.observe_first_event(conditions, elapsed);
         }
     }
 
-    /// Records a stream event that came `pause` after the one before.
-    pub fn record_event(&mut self, key: Key, pause: Duration) {
+    /// Records a stream event that came `gap` after the one before.
+    pub fn record_event(&mut self, key: Key, gap: Duration) {
         let Some(runner) = self.fleet.get(key) else {
             return;
         };
         let prefilling = runner.is_prefilling(self.partition(&runner.listed.service).long_prompt);
         let latency = self.latencies.get_or_default(&runner.listed.service);
-        latency.observe_event_gap(pause, runner.running(), prefilling);
+        latency.observe_event_gap(gap, runner.running(), prefilling);
     }
 
-    /// Records that a request with a prompt has left its runner after `stay`.
-    pub fn record_residence(&mut self, key: Key, stay: Duration) {
+    /// Records that a request with a prompt has left its runner after `residence`.
+    pub fn record_residence(&mut self, key: Key, residence: Duration) {
         if let Some(runner) = self.fleet.get(key) {
             self.latencies
                 .get_or_default(&runner.listed.service)
-                .observe_residence(stay);
+                .observe_residence(residence);
         }
     }
 
@@ -443,10 +443,10 @@
     }
 
     /// Next packet to the other hosts.
-    pub fn packet(&mut self, now: Moment, me: Incarnation, number: u64) -> Packet {
+    pub fn packet(&mut self, now: Moment, me: Incarnation, sequence: u64) -> Packet {
         Packet {
             prefixes: std::mem::take(&mut self.announcements),
-            ..gossip::packet(me, number, &self.fleet, self.meter.rates(now))
+            ..gossip::packet(me, sequence, &self.fleet, self.meter.rates(now))
         }
     }
 
@@ -454,7 +454,7 @@
     pub fn prefill_rate(&self, now: Moment, service: &str) -> PrefillRate {
         let others = self.peers.prefill_rate(service);
         let own = self.meter.rates(now);
-        let own = own.iter().find(|flow| flow.service == others.service);
+        let own = own.iter().find(|rate| rate.service == others.service);
         own.map_or(others, |own| others.plus(own))
     }
 
--- a/crates/core/src/proxy/document.rs
+++ b/crates/core/src/proxy/document.rs
@@ -61,7 +61,7 @@
     /// Moment as of which the text was last confirmed to be current.
     as_of: Option<Moment>,
     /// Newest version known to exist.
-    newest: u64,
+    newest_version: u64,
     /// Old texts, newest last, each with its difference to the current one once requested.
     old_texts: Vec<(Arc<Entry>, Option<Delta>)>,
 }
@@ -74,12 +74,12 @@
 
     /// Newest version known to exist; its text may not have been read yet.
     pub fn newest_version(&self) -> u64 {
-        self.newest
+        self.newest_version
     }
 
     /// Whether a text has to be read: there is none, or a newer version exists.
     pub fn is_behind(&self) -> bool {
-        self.entry.is_none() || self.newest > self.version()
+        self.entry.is_none() || self.newest_version > self.version()
     }
 
     /// Time since the text was last confirmed to be current.
@@ -104,7 +104,7 @@
         if is_newer {
             self.keep_old_text();
         }
-        self.newest = self.newest.max(entry.version);
+        self.newest_version = self.newest_version.max(entry.version);
         self.entry = Some(entry);
         self.confirm(as_of);
         is_newer
@@ -118,21 +118,21 @@
         self.old_texts.drain(..excess);
     }
 
-    /// Notice for a host that has version `have`. A newer text or its difference is included if
+    /// Notice for a host that has version `base_version`. A newer text or its difference is included if
     /// it has at most `max_bytes` bytes. `None` if there is no text yet.
-    pub fn notice(&mut self, now: Moment, have: u64, max_bytes: usize) -> Option<Notice> {
+    pub fn notice(&mut self, now: Moment, base_version: u64, max_bytes: usize) -> Option<Notice> {
         let (entry, as_of) = (self.entry.clone()?, self.as_of?);
         let mut notice = Notice {
             version: entry.version,
             age_us: now.since(as_of).as_micros() as u64,
-            base_version: have,
+            base_version,
             ..Notice::default()
         };
-        if entry.version <= have {
+        if entry.version <= base_version {
             return Some(notice);
         }
         if entry.value.len() > INLINE_BYTES {
-            notice.delta = self.delta(&entry, have, max_bytes);
+            notice.delta = self.delta(&entry, base_version, max_bytes);
         }
         if notice.delta.is_none() && entry.value.len() <= max_bytes {
             notice.text = Some(entry.value.clone());
@@ -140,10 +140,10 @@
         Some(notice)
     }
 
-    /// Difference to version `have`, if it has at most `max_bytes` bytes.
-    fn delta(&mut self, entry: &Entry, have: u64, max_bytes: usize) -> Option<Delta> {
+    /// Difference to version `base_version`, if it has at most `max_bytes` bytes.
+    fn delta(&mut self, entry: &Entry, base_version: u64, max_bytes: usize) -> Option<Delta> {
         let mut old_texts = self.old_texts.iter_mut();
-        let (text, delta) = old_texts.find(|(old, _)| old.version == have)?;
+        let (text, delta) = old_texts.find(|(old, _)| old.version == base_version)?;
         let delta = delta.get_or_insert_with(|| Delta::between(&text.value, &entry.value));
         (delta.encoded_len() <= max_bytes).then(|| delta.clone())
     }
@@ -159,7 +159,7 @@
         if notice.version == self.version() {
             return Update::Current(as_of);
         }
-        self.newest = self.newest.max(notice.version);
+        self.newest_version = self.newest_version.max(notice.version);
         match notice
             .text
             .or_else(|| self.patched(notice.base_version, notice.delta?))
@@ -169,9 +169,12 @@
         }
     }
 
-    /// Text that results from a difference to version `have`.
-    fn patched(&self, have: u64, delta: Delta) -> Option<String> {
-        let entry = self.entry.as_ref().filter(|entry| entry.version == have)?;
+    /// Text that results from a difference to version `base_version`.
+    fn patched(&self, base_version: u64, delta: Delta) -> Option<String> {
+        let entry = self
+            .entry
+            .as_ref()
+            .filter(|entry| entry.version == base_version)?;
         delta.apply(&entry.value)
     }
 }
--- a/crates/core/src/proxy/fleet.rs
+++ b/crates/core/src/proxy/fleet.rs
@@ -52,7 +52,7 @@
     /// Zones to avoid, and until when.
     avoided_zones: Vec<(String, Moment)>,
     /// Zones of other hosts, and when each counts as silent unless it is heard again.
-    silent_zones: Vec<(String, Moment)>,
+    zone_deadlines: Vec<(String, Moment)>,
 }
 
 impl Fleet {
@@ -66,7 +66,7 @@
             last_list: None,
             recovered_at: None,
             avoided_zones: Vec::new(),
-            silent_zones: Vec::new(),
+            zone_deadlines: Vec::new(),
         }
     }
 
@@ -116,11 +116,12 @@
         };
         let key = self.ids[at].1;
         let runner = &mut self.arena[key.index()];
-        let same = runner.listed.address == item.address && runner.listed.started_ms == item.started_ms;
+        let is_same_process =
+            runner.listed.address == item.address && runner.listed.started_ms == item.started_ms;
         let previous = runner.listed.address;
         runner.present = true;
         runner.listed = item;
-        if same {
+        if is_same_process {
             return Vec::new();
         }
         runner.replaced = false;
@@ -186,11 +187,14 @@
     /// Runners of a service that can be sent new requests.
     pub fn available<'a>(&'a self, now: Moment, service: &'a str) -> impl Iterator<Item = (Key, &'a Runner)> {
         let serves = move |runner: &Runner| runner.listed.service == service && runner.is_available(now);
-        let is_near = move |runner: &Runner| !self.is_avoided(now, &runner.listed.zone);
+        let is_reachable = move |runner: &Runner| !self.is_avoided(now, &runner.listed.zone);
         // If all zones seem cut off, they are tried anyway.
-        let has_near = self.arena.iter().any(|runner| serves(runner) && is_near(runner));
+        let has_reachable = self
+            .arena
+            .iter()
+            .any(|runner| serves(runner) && is_reachable(runner));
         self.runners()
-            .filter(move |(_, runner)| serves(runner) && (!has_near || is_near(runner)))
+            .filter(move |(_, runner)| serves(runner) && (!has_reachable || is_reachable(runner)))
     }
 
     /// Whether a runner can be used and has not restarted since `since`, when it got a prefix.
@@ -234,11 +238,11 @@
     pub fn record_zone_contact(&mut self, now: Moment, zone: &str, limit: Duration) {
         let until = now + limit;
         match self
-            .silent_zones
+            .zone_deadlines
             .binary_search_by(|(have, _)| have.as_str().cmp(zone))
         {
-            Ok(at) => self.silent_zones[at].1 = until,
-            Err(at) => self.silent_zones.insert(at, (zone.to_string(), until)),
+            Ok(at) => self.zone_deadlines[at].1 = until,
+            Err(at) => self.zone_deadlines.insert(at, (zone.to_string(), until)),
         }
     }
 
@@ -250,9 +254,9 @@
     /// and does not exclude it.
     pub fn is_zone_silent(&self, now: Moment, zone: &str) -> bool {
         let found = self
-            .silent_zones
+            .zone_deadlines
             .binary_search_by(|(have, _)| have.as_str().cmp(zone));
-        zone != self.zone && found.is_ok_and(|at| now.reached(self.silent_zones[at].1))
+        zone != self.zone && found.is_ok_and(|at| now.reached(self.zone_deadlines[at].1))
     }
 
     /// Counts a failure to reach a runner of another zone, and avoids the zone if there are
@@ -345,21 +349,21 @@
     ///
     /// The list lags seconds behind a crash. Without the backoff, each request would try the dead
     /// runner again.
-    pub fn record_attempt(&mut self, now: Moment, key: Key, sign: Attempt) {
+    pub fn record_attempt(&mut self, now: Moment, key: Key, attempt: Attempt) {
         let Some(runner) = self.get_mut(key) else {
             return;
         };
         let zone = runner.listed.zone.clone();
-        match sign {
+        match attempt {
             Attempt::Succeeded | Attempt::Failed => {
                 runner.failures = 0;
-                runner.record_result(sign == Attempt::Failed);
+                runner.record_result(attempt == Attempt::Failed);
                 self.avoided_zones.retain(|(have, _)| *have != zone);
             }
             Attempt::Full => runner.retry_at = now + FULL_BACKOFF,
             Attempt::Replaced => runner.replaced = true,
             Attempt::Unreachable | Attempt::PathLost => {
-                if sign == Attempt::PathLost {
+                if attempt == Attempt::PathLost {
                     runner.path_lost_at = Some(now);
                 }
                 runner.retry_at = now + (MIN_BACKOFF * 2u32.saturating_pow(runner.failures)).min(MAX_BACKOFF);
--- a/crates/core/src/proxy/gossip.rs
+++ b/crates/core/src/proxy/gossip.rs
@@ -194,15 +194,15 @@
     /// Prefill work that the other hosts send to a service.
     pub fn prefill_rate(&self, service: &str) -> PrefillRate {
         let service = digest(service.as_bytes());
-        let flows = self.peers.iter().flat_map(|peer| &peer.packet.prefill_rates);
-        let own = flows.filter(|flow| flow.service == service);
+        let rates = self.peers.iter().flat_map(|peer| &peer.packet.prefill_rates);
+        let own = rates.filter(|rate| rate.service == service);
         own.fold(
             PrefillRate {
                 service,
                 total_us: 0,
                 long_us: 0,
             },
-            |sum, flow| sum.plus(flow),
+            |sum, rate| sum.plus(rate),
         )
     }
 
@@ -232,7 +232,7 @@
 }
 
 /// Builds this host's load report.
-pub fn packet(me: Incarnation, sequence: u64, fleet: &Fleet, flows: Vec<PrefillRate>) -> Packet {
+pub fn packet(me: Incarnation, sequence: u64, fleet: &Fleet, rates: Vec<PrefillRate>) -> Packet {
     let loads = fleet
         .runners()
         .filter(|(_, runner)| runner.local_load.running > 0)
@@ -246,7 +246,7 @@
         incarnation: me.0,
         sequence,
         loads: loads.collect(),
-        prefill_rates: flows,
+        prefill_rates: rates,
         record: Vec::new(),
         prefixes: Vec::new(),
         zone: fleet.zone.clone(),
@@ -304,7 +304,7 @@
     /// Current rate for each service.
     pub fn rates(&self, now: Moment) -> Vec<PrefillRate> {
         let oldest = (bucket_index(now) + 1).saturating_sub(BUCKETS);
-        let flows = self.services.iter().map(|(service, buckets)| {
+        let rates = self.services.iter().map(|(service, buckets)| {
             let recent = buckets.iter().filter(|bucket| bucket.index >= oldest);
             let (all, long) = recent.fold((0, 0), |(all, long), bucket| {
                 (all + bucket.all, long + bucket.long)
@@ -315,7 +315,7 @@
                 long_us: long * 1_000 / RATE_WINDOW_MS,
             }
         });
-        flows.collect()
+        rates.collect()
     }
 }
 
--- a/crates/core/src/proxy/mirror.rs
+++ b/crates/core/src/proxy/mirror.rs
@@ -263,8 +263,8 @@
     fn record_removal(&mut self, key: String, revision: u64) {
         let at = self.removals.partition_point(|have| have.revision <= revision);
         self.removals.insert(at, Removal { key, revision });
-        let over = self.removals.len().saturating_sub(MAX_REMOVALS);
-        for removal in self.removals.drain(..over) {
+        let excess = self.removals.len().saturating_sub(MAX_REMOVALS);
+        for removal in self.removals.drain(..excess) {
             self.removals_since = self.removals_since.max(removal.revision);
         }
     }
--- a/crates/core/src/proxy/readers.rs
+++ b/crates/core/src/proxy/readers.rs
@@ -108,13 +108,21 @@
         self.paused.push((host, now + UNRESPONSIVE_PAUSE));
     }
 
-    /// Host of `among` for this host by rendezvous hashing, in its own zone if there is one.
-    fn nearest(&mut self, now: Moment, me: SocketAddr, hosts: &[Host], among: &[Host]) -> Option<SocketAddr> {
+    /// Host of `candidates` for this host by rendezvous hashing, in its own zone if there is one.
+    fn nearest(
+        &mut self,
+        now: Moment,
+        me: SocketAddr,
+        hosts: &[Host],
+        candidates: &[Host],
+    ) -> Option<SocketAddr> {
         self.paused.retain(|(_, until)| !now.reached(*until));
         let own_hash = address_hash(&me);
         let zone = find(me, hosts).map_or(0, |host| host.zone);
         let is_paused = |host: &Host| self.paused.iter().any(|(have, _)| *have == host.address);
-        let others = among.iter().filter(|host| host.address != me && !is_paused(host));
+        let others = candidates
+            .iter()
+            .filter(|host| host.address != me && !is_paused(host));
         let nearest =
             others.max_by_key(|host| (host.zone == zone, weight(address_hash(&host.address), own_hash)));
         nearest.map(|host| host.address)
--- a/crates/core/src/proxy/report.rs
+++ b/crates/core/src/proxy/report.rs
@@ -110,7 +110,7 @@
     pub fn tick(
         &mut self,
         now: Moment,
-        civil_ms: u64,
+        unix_ms: u64,
         schedule: Schedule,
         grant: Grant,
         ledger: &Ledger,
@@ -120,7 +120,7 @@
             return None;
         }
         let length_ms = schedule.length_s * 1_000;
-        let current = civil_ms / length_ms.max(1);
+        let current = unix_ms / length_ms.max(1);
         let in_time = current.saturating_sub(schedule.due_s / schedule.length_s.max(1));
         let first = in_time.saturating_sub(MAX_OVERDUE);
         // Reports that can still be on time go first: after an outage, a single tick can make the
@@ -134,7 +134,7 @@
                 return Some(Step::Report(grant, window));
             }
             let end_ms = (number + 1) * length_ms;
-            let elapsed_ms = civil_ms - end_ms;
+            let elapsed_ms = unix_ms - end_ms;
             let is_due = elapsed_ms + DEADLINE_MARGIN_MS >= schedule.due_s * 1_000;
             if elapsed_ms < PUBLISH_GRACE_MS || !(is_due || is_complete(now, ledger, end_ms)) {
                 continue;
@@ -143,7 +143,11 @@
             // be told from an empty one. There was nothing to count before the first host
             // started.
             let window = window_total(now, ledger, number);
-            if !window.counts.is_empty() || ledger.earliest_start_ms().is_some_and(|since| since < end_ms) {
+            if !window.counts.is_empty()
+                || ledger
+                    .earliest_start_ms()
+                    .is_some_and(|start_ms| start_ms < end_ms)
+            {
                 let call = self.writer.write(now, key(number), window);
                 return call.map(Step::Store);
             }
@@ -175,8 +179,8 @@
         if let Err(at) = self.reported.binary_search(&number) {
             self.reported.insert(at, number);
         }
-        let over = self.reported.len().saturating_sub(KEPT_WINDOWS as usize * 2);
-        self.reported.drain(..over);
+        let excess = self.reported.len().saturating_sub(KEPT_WINDOWS as usize * 2);
+        self.reported.drain(..excess);
     }
 
     fn remove_old(&mut self, now: Moment, current: u64) -> Option<Step> {
--- a/crates/core/src/proxy/scaling.rs
+++ b/crates/core/src/proxy/scaling.rs
@@ -190,13 +190,13 @@
 impl Planner {
     /// Next order to send, while this host holds the duty.
     ///
-    /// `flow` returns the prefill work that is sent to a service, in microseconds per second.
+    /// `prefill_rate` returns the prefill work that is sent to a service, in microseconds per second.
     pub fn tick(
         &mut self,
         now: Moment,
         table: &Table,
         fleet: &Fleet,
-        flow: impl Fn(&str) -> u64,
+        prefill_rate: impl Fn(&str) -> u64,
     ) -> Option<Order> {
         if self
             .pending_since
@@ -206,7 +206,7 @@
         }
         for service in table.services() {
             if let Some(scaling) = &service.scaling {
-                self.plan(now, service, scaling, fleet, flow(&service.name));
+                self.plan(now, service, scaling, fleet, prefill_rate(&service.name));
             }
         }
         let target = self.targets.due(now, Some(REPEAT_INTERVAL))?;
@@ -249,7 +249,7 @@
     }
 
     /// Sets the targets of one service.
-    fn plan(&mut self, now: Moment, service: &Service, scaling: &Scaling, fleet: &Fleet, flow: u64) {
+    fn plan(&mut self, now: Moment, service: &Service, scaling: &Scaling, fleet: &Fleet, prefill_rate: u64) {
         let Some(price) = scaling.reclaimable_price else {
             return;
         };
@@ -257,7 +257,7 @@
             .into_iter()
             .map(|name| Zone::of(fleet, &service.name, name))
             .collect();
-        let needed = self.needed(now, service, &zones, price, flow);
+        let needed = self.needed(now, service, &zones, price, prefill_rate);
         let count = zones.len() as u32;
         let is_cheap = price < MAX_RECLAIMABLE_PRICE;
         let (per_zone, mut missing, zone_count) = if is_cheap {
@@ -327,12 +327,19 @@
     }
 
     /// Number of runners needed for the recent peaks.
-    fn needed(&mut self, now: Moment, service: &Service, zones: &[Zone], price: f64, flow: u64) -> Needed {
+    fn needed(
+        &mut self,
+        now: Moment,
+        service: &Service,
+        zones: &[Zone],
+        price: f64,
+        prefill_rate: u64,
+    ) -> Needed {
         let initial: u32 = zones.iter().map(|zone| zone.on_demand + zone.reclaimable).sum();
         let running: u32 = zones.iter().map(|zone| zone.running).sum();
         let slots = service.engine.map_or(u32::MAX, |engine| engine.slots.max(1));
         let peak = self.peaks.get_or_default(&service.name);
-        let prefill_load = (flow / 1_000) as u32;
+        let prefill_load = (prefill_rate / 1_000) as u32;
         let current = f64::from(peak.current.push(now, prefill_load, PEAK_WINDOW)) / 1e3;
         let standby = f64::from(peak.standby.push(now, prefill_load, STANDBY_WINDOW)) / 1e3;
         // The runners found were ordered by a predecessor for the usual load.
