--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -18,10 +18,10 @@
 use super::Shared;
 use super::call::{self, TRANSFER};
 use super::changes;
-use super::store::Asker;
+use super::client::Client;
 
 /// Reads the document when it is due, until the process ends.
-pub async fn run(shared: Arc<Shared>, store: Arc<Asker>) {
+pub async fn run(shared: Arc<Shared>, store: Arc<Client>) {
     let mut keeper = Keeper {
         shared,
         store,
@@ -39,7 +39,7 @@
 
 struct Keeper {
     shared: Arc<Shared>,
-    store: Arc<Asker>,
+    store: Arc<Client>,
     share: Readers,
     plan: Schedule,
 }
@@ -87,13 +87,13 @@
     /// Asks the store.
     async fn read(&self, step: Step, reads: bool) -> Result<(), Failure> {
         let sent = self.shared.now();
-        let key = self.shared.dialect.keys().document.to_string();
+        let key = self.shared.adapter.store_keys().document.to_string();
         let version = self.shared.document().version();
         let call = match step {
             Step::Revalidate => Call::Renew { key, version },
             Step::Fetch | Step::Wait(_) => Call::Get { key },
         };
-        let page = call::ask_with(&self.shared, &self.store, &call, TRANSFER).await;
+        let page = call::send_with(&self.shared, &self.store, &call, TRANSFER).await;
         match page.answer {
             Answer::Same => renew(&self.shared, sent),
             // No entry: the operator has written no document yet.
@@ -130,8 +130,8 @@
         let asked = self.shared.now();
         let have = self.shared.document().version();
         // An asker's connections all lead to one address, and peers are asked here once in a while.
-        let asker = Asker::default();
-        let told = changes::ask_document(&self.shared, &asker, peer, have, most).await;
+        let client = Client::default();
+        let told = changes::fetch_document(&self.shared, &client, peer, have, most).await;
         told.is_some_and(|notice| hear(&self.shared, asked, notice))
     }
 }
@@ -167,7 +167,7 @@
 }
 
 fn put_in_force(shared: &Shared, as_of: Moment, entry: &Entry) {
-    let table = match shared.dialect.table(entry) {
+    let table = match shared.adapter.parse_document(entry) {
         Ok(table) => table,
         Err(err) => {
             // The store takes valid documents only; this one says something that this
@@ -204,7 +204,7 @@
             false
         }
         Update::Text(as_of, version, value) => {
-            let key = shared.dialect.keys().document.to_string();
+            let key = shared.adapter.store_keys().document.to_string();
             take(shared, as_of, Entry { key, version, value })
         }
         Update::Newer(version) => {
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -16,8 +16,8 @@
 
 use super::Shared;
 use super::call::{self, WRITE};
+use super::client::{Client, Outcome};
 use super::records::{Own, PREFIX, Records};
-use super::store::{Asked, Asker};
 
 /// Time between looks at what is due.
 const TICK: Duration = Duration::from_millis(250);
@@ -31,8 +31,8 @@
 #[derive(Debug)]
 pub struct Duty {
     shared: Arc<Shared>,
-    store: Arc<Asker>,
-    desk: Asker,
+    store: Arc<Client>,
+    desk: Client,
     began: Moment,
     lease: Lease,
     reporter: Reporter,
@@ -43,7 +43,7 @@
 
 impl Duty {
     /// A host that holds nothing yet.
-    pub fn new(shared: Arc<Shared>, store: Arc<Asker>) -> Self {
+    pub fn new(shared: Arc<Shared>, store: Arc<Client>) -> Self {
         let terms = Terms::fenced(Duration::from_millis(shared.settings.load().bounds.lease_ms));
         Self {
             began: shared.now(),
@@ -51,7 +51,7 @@
             records: Records::new(shared.clone(), store.clone()),
             shared,
             store,
-            desk: Asker::default(),
+            desk: Client::default(),
             reporter: Reporter::default(),
             planner: Planner::default(),
             holds: false,
@@ -125,7 +125,7 @@
         let candidate = now.since(self.began) >= SETTLED;
         let mut call = self.lease.tick(now, candidate);
         while let Some(next) = call {
-            let answer = call::ask(&self.shared, &self.store, &next, WRITE).await.answer;
+            let answer = call::send(&self.shared, &self.store, &next, WRITE).await.answer;
             call = self.lease.answer(self.shared.now(), &answer);
         }
         self.tell();
@@ -135,7 +135,7 @@
         let now = self.shared.now();
         self.lease.stop(now);
         while let Some(call) = self.lease.tick(self.shared.now(), false) {
-            let answer = call::ask(&self.shared, &self.store, &call, WRITE).await.answer;
+            let answer = call::send(&self.shared, &self.store, &call, WRITE).await.answer;
             self.lease.answer(self.shared.now(), &answer);
         }
         self.tell();
@@ -167,7 +167,7 @@
         while let Some(next) = step {
             step = match next {
                 report::Step::Store(call) => {
-                    let answer = call::ask(&self.shared, &self.store, &call, WRITE).await.answer;
+                    let answer = call::send(&self.shared, &self.store, &call, WRITE).await.answer;
                     self.reporter.answer(self.shared.now(), &answer)
                 }
                 report::Step::Report(grant, window) => {
@@ -181,7 +181,7 @@
 
     async fn send_report(&mut self, grant: Grant, window: &Window) -> bool {
         let host = self.shared.settings.load().host.clone();
-        let request = self.shared.dialect.report(&host, grant.fence, window);
+        let request = self.shared.adapter.usage_request(&host, grant.fence, window);
         let status = self.send(grant, request).await;
         tracing::info!(
             event = "usage-reported",
@@ -213,7 +213,7 @@
             return false;
         };
         let host = self.shared.settings.load().host.clone();
-        let request = self.shared.dialect.order(&host, grant.fence, &order);
+        let request = self.shared.adapter.order_request(&host, grant.fence, &order);
         let status = self.send(grant, request).await;
         tracing::info!(
             event = "ordered",
@@ -239,12 +239,12 @@
             return None;
         }
         let address = self.shared.settings.load().desk;
-        let asked = self.desk.ask(address, request, grant.send).await;
+        let asked = self.desk.send(address, request, grant.send).await;
         let (outcome, status) = match asked {
-            Asked::Answer(status, _) if status.is_success() => ("ok", Some(status.as_u16())),
-            Asked::Answer(status, _) => ("refused", Some(status.as_u16())),
-            Asked::Never => ("refused", None),
-            Asked::Lost { .. } => ("lost", None),
+            Outcome::Response(status, _) if status.is_success() => ("ok", Some(status.as_u16())),
+            Outcome::Response(status, _) => ("refused", Some(status.as_u16())),
+            Outcome::NotSent => ("refused", None),
+            Outcome::Lost { .. } => ("lost", None),
         };
         self.shared.metrics.platform_call("duty", outcome);
         if status == Some(StatusCode::CONFLICT.as_u16()) {
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -12,7 +12,7 @@
 use radishstair_core::repeat::{self, Rule};
 use radishstair_core::time::Moment;
 
-use super::dialect::Head;
+use super::adapter::Metadata;
 
 /// Runners tried without reaching one, before the caller is told so.
 const UNREACHABLE: u32 = 4;
@@ -23,7 +23,7 @@
     /// Its head as it came.
     pub parts: request::Parts,
     /// What the head says.
-    pub head: Head,
+    pub head: Metadata,
     /// Its body.
     pub body: Bytes,
     /// What the document says of it.
@@ -73,9 +73,13 @@
     pub fn demand(&self, draw: u64) -> Demand {
         Demand {
             service: self.admission.service.clone(),
-            prompt_tokens: self.head.prompt,
-            output_tokens: self.head.hint.unwrap_or(self.head.output).min(self.head.output),
-            segments: self.head.parts.clone(),
+            prompt_tokens: self.head.prompt_tokens,
+            output_tokens: self
+                .head
+                .expected_output_tokens
+                .unwrap_or(self.head.max_output_tokens)
+                .min(self.head.max_output_tokens),
+            segments: self.head.prompt_parts.clone(),
             bytes: self.body.len() as u64,
             copies_prefix: self.admission.copies_prefix,
             at_most_once: self.once(),
@@ -85,7 +89,7 @@
 }
 
 /// What a head asks of the document.
-pub fn ask<'a>(parts: &'a request::Parts, head: &'a Head) -> RequestHead<'a> {
+pub fn ask<'a>(parts: &'a request::Parts, head: &'a Metadata) -> RequestHead<'a> {
     let host = parts.headers.get(HOST);
     RequestHead {
         host: host.and_then(|host| host.to_str().ok()).unwrap_or_default(),
