--- a/tests/suite/proxy/fixtures.rs
+++ b/tests/suite/proxy/fixtures.rs
@@ -106,7 +106,7 @@
 }
 
 /// A request to the stream route with a key.
-pub fn ask(key: &str) -> RequestHead<'_> {
+pub fn request(key: &str) -> RequestHead<'_> {
     RequestHead {
         host: "books.example",
         path: "/notes/1",
--- a/tests/suite/proxy/freshness.rs
+++ b/tests/suite/proxy/freshness.rs
@@ -7,7 +7,7 @@
 use radishstair_core::proxy::route::{Limits, Mode, Route, Table};
 use radishstair_core::time::Moment;
 
-use super::fixtures::{ask, customer, route, state, table};
+use super::fixtures::{customer, request, route, state, table};
 
 const START: u64 = 100_000;
 
@@ -21,12 +21,14 @@
 #[test]
 fn an_admission_does_not_outlive_its_key() {
     let mut state = state(at(0), vec![customer("ana", &["key-a"])]);
-    let ask = ask("key-a");
-    let admission = state.admit(at(9_000), &ask).expect("the old document admits it");
+    let request = request("key-a");
+    let admission = state
+        .admit(at(9_000), &request)
+        .expect("the old document admits it");
     state.configure(table(2, vec![customer("ana", &["key-b"])]));
     state.freshness.renew(at(9_200));
     let refusal = state
-        .may_send(at(9_250), &admission, &ask)
+        .may_send(at(9_250), &admission, &request)
         .expect_err("the key was withdrawn");
     assert_eq!(refusal.kind, Kind::UnknownKey);
 }
@@ -37,11 +39,11 @@
 #[test]
 fn keys_are_trusted_only_while_the_proof_is_young() {
     let state = state(at(0), vec![customer("ana", &["key-a"])]);
-    let ask = ask("key-a");
-    let admission = state.admit(at(100), &ask).expect("admitted");
-    assert!(state.may_send(at(2_900), &admission, &ask).is_ok());
+    let request = request("key-a");
+    let admission = state.admit(at(100), &request).expect("admitted");
+    assert!(state.may_send(at(2_900), &admission, &request).is_ok());
     let refusal = state
-        .may_send(at(3_100), &admission, &ask)
+        .may_send(at(3_100), &admission, &request)
         .expect_err("the confirmation is too old");
     assert_eq!(refusal.kind, Kind::Stale);
     assert_eq!(refusal.ran, radishstair_core::error::Ran::NotRun);
@@ -55,7 +57,7 @@
     let state = state(at(0), vec![customer("ana", &["key-a"])]);
     let kind = |ms| {
         state
-            .admit(at(ms), &ask("key-new"))
+            .admit(at(ms), &request("key-new"))
             .map_err(|refusal| refusal.kind)
     };
     assert_eq!(kind(500).err(), Some(Kind::UnknownKey));
@@ -68,7 +70,7 @@
     let mut state = state(at(0), vec![customer("ana", &["key-a"])]);
     assert!(state.configure(table(5, vec![customer("ana", &["key-b"])])));
     assert!(!state.configure(table(4, vec![customer("ana", &["key-a"])])));
-    assert!(state.admit(at(10), &ask("key-b")).is_ok());
+    assert!(state.admit(at(10), &request("key-b")).is_ok());
 }
 
 /// Guards against counting the confirmation from the arrival of the answer: the document may have
@@ -95,7 +97,7 @@
     state.freshness.renew(at(2_600));
     assert!(!state.is_ready(at(2_700)) && state.should_hand_off(at(2_700)));
     assert!(
-        state.admit(at(2_700), &ask("key-a")).is_ok(),
+        state.admit(at(2_700), &request("key-a")).is_ok(),
         "requests are still served"
     );
     assert!(
@@ -127,7 +129,7 @@
     let open = RequestHead {
         key: None,
         path: "/open/1",
-        ..ask("key-a")
+        ..request("key-a")
     };
     let admission = state.admit(at(9_000), &open).expect("no key is needed");
     assert!(
--- a/tests/suite/proxy/latency.rs
+++ b/tests/suite/proxy/latency.rs
@@ -97,11 +97,11 @@
 }
 
 /// Reclaimable and on-demand runners ordered for a rate of prefill work.
-fn ordered(planner: &mut Planner, now: Moment, fleet: &Fleet, price: f64, flow: u64) -> (u32, u32) {
+fn ordered(planner: &mut Planner, now: Moment, fleet: &Fleet, price: f64, prefill_rate: u64) -> (u32, u32) {
     let zones = [("zone-a", 1.0), ("zone-b", 1.0), ("zone-c", 1.0)];
     let table = priced(SERVICE, 20, price, &zones);
     let mut latest = BTreeMap::new();
-    while let Some(order) = planner.tick(now, &table, fleet, |_| flow) {
+    while let Some(order) = planner.tick(now, &table, fleet, |_| prefill_rate) {
         planner.record_result(now, &order, true);
         latest.insert((order.zone.clone(), order.reclaimable), order.count);
     }
@@ -117,22 +117,29 @@
 /// order more and fewer.
 #[test]
 fn slow_engines_are_more_and_fast_ones_fewer() {
-    let flow = |prefill_ms_per_1k| {
+    let prefill_rate = |prefill_ms_per_1k| {
         let simulation = Simulation {
             zones: vec!["zone-a"; 12],
             prefill_ms_per_1k: vec![prefill_ms_per_1k; 12],
             rate: |_| 80.0,
             ..Simulation::default()
         };
-        simulation.run().flow.total_us
+        simulation.run().prefill_rate.total_us
     };
-    let runners = |flow| {
+    let runners = |prefill_rate| {
         let fleet = Fleet::new("zone-a");
-        ordered(&mut Planner::default(), Moment::at_ms(100_000), &fleet, 0.2, flow).0
+        ordered(
+            &mut Planner::default(),
+            Moment::at_ms(100_000),
+            &fleet,
+            0.2,
+            prefill_rate,
+        )
+        .0
     };
-    let usual = runners(flow(9.0));
-    let slow = runners(flow(27.0));
-    let fast = runners(flow(4.5));
+    let usual = runners(prefill_rate(9.0));
+    let slow = runners(prefill_rate(27.0));
+    let fast = runners(prefill_rate(4.5));
     assert!(slow >= usual * 2, "{slow} slow runners for {usual}");
     assert!(fast * 4 <= usual * 3, "{fast} fast runners for {usual}");
 }
--- a/tests/suite/proxy/limits.rs
+++ b/tests/suite/proxy/limits.rs
@@ -113,15 +113,15 @@
     priced("engines", 10, 0.22, &[("zone-a", 1.2), ("zone-b", 0.9)])
 }
 
-/// Orders for `flow` microseconds of prefill work per second.
-fn orders(planner: &mut Planner, ms: u64, fleet: &Fleet, flow: u64) -> Vec<Order> {
+/// Orders for `prefill_rate` microseconds of prefill work per second.
+fn orders(planner: &mut Planner, ms: u64, fleet: &Fleet, prefill_rate: u64) -> Vec<Order> {
     let table = engines();
-    let mut sent = Vec::new();
-    while let Some(order) = planner.tick(at(ms), &table, fleet, |_| flow) {
+    let mut accepted = Vec::new();
+    while let Some(order) = planner.tick(at(ms), &table, fleet, |_| prefill_rate) {
         planner.record_result(at(ms), &order, true);
-        sent.push(order);
+        accepted.push(order);
     }
-    sent
+    accepted
 }
 
 /// Guards against too few reclaimable runners in each burst because they are given up between
--- a/tests/suite/proxy/model.rs
+++ b/tests/suite/proxy/model.rs
@@ -79,7 +79,7 @@
     /// Final state of the host.
     pub state: State,
     /// Highest rate of prefill work.
-    pub flow: PrefillRate,
+    pub prefill_rate: PrefillRate,
 }
 
 impl Outcome {
@@ -149,9 +149,9 @@
         let mut highest = world.state.prefill_rate(Moment::at_ms(0), SERVICE);
         for ms in 0..world.simulation.length_ms {
             world.step(ms);
-            let flow = world.state.prefill_rate(moment(ms), SERVICE);
-            if flow.total_us > highest.total_us {
-                highest = flow;
+            let prefill_rate = world.state.prefill_rate(moment(ms), SERVICE);
+            if prefill_rate.total_us > highest.total_us {
+                highest = prefill_rate;
             }
         }
         Outcome {
@@ -159,7 +159,7 @@
             on_time: world.counts.on_time,
             at: world.counts.at,
             state: world.state,
-            flow: highest,
+            prefill_rate: highest,
         }
     }
 }
@@ -182,9 +182,9 @@
 
     fn list(&mut self, ms: u64) {
         let zones = self.simulation.zones.clone();
-        let here = |at: &usize| (self.simulation.listed)(ms, *at);
+        let is_listed = |at: &usize| (self.simulation.listed)(ms, *at);
         let items: Vec<Listed> = (0..zones.len())
-            .filter(here)
+            .filter(is_listed)
             .map(|at| runner(&format!("e{at}"), SERVICE, zones[at]))
             .collect();
         self.state.update_runners(moment(ms), moment(ms), items);
@@ -231,13 +231,13 @@
         for run in &mut self.running {
             if run.first.is_some_and(|first| first <= ms) {
                 run.first = None;
-                let took = Duration::from_millis(ms - run.sent);
-                self.counts.on_time += u32::from(took.as_millis() as u64 <= self.simulation.target_ms);
+                let elapsed = Duration::from_millis(ms - run.sent);
+                self.counts.on_time += u32::from(elapsed.as_millis() as u64 <= self.simulation.target_ms);
                 self.state
                     .fleet
                     .finish_prefill(run.choice.key, run.choice.prefill_us);
                 self.state
-                    .record_first_event(run.choice.key, &run.choice.conditions, took);
+                    .record_first_event(run.choice.key, &run.choice.conditions, elapsed);
                 if !self.simulation.detects_slow_engines {
                     self.state.fleet.get_mut(run.choice.key).expect("known").slowdown = 1.0;
                 }
@@ -245,19 +245,19 @@
         }
         let state = &mut self.state;
         self.running.retain(|run| {
-            let on = run.ends_at > ms;
-            if !on {
+            let is_running = run.ends_at > ms;
+            if !is_running {
                 state
                     .fleet
                     .finish_request(run.choice.key, 0, run.demand.kv_tokens());
             }
-            on
+            is_running
         });
     }
 }
 
 fn demand(prefix: u64, own: u64) -> Demand {
-    let part = |id, tokens| Segment { id, tokens };
+    let segment = |id, tokens| Segment { id, tokens };
     Demand {
         service: SERVICE.into(),
         prompt_tokens: SHARED_TOKENS + OWN_TOKENS,
@@ -265,9 +265,9 @@
         copies_prefix: true,
         bytes: 18_000,
         segments: vec![
-            part(1, 2_500),
-            part(prefix, SHARED_TOKENS - 2_500),
-            part(own, OWN_TOKENS),
+            segment(1, 2_500),
+            segment(prefix, SHARED_TOKENS - 2_500),
+            segment(own, OWN_TOKENS),
         ],
         ..Demand::default()
     }
--- a/tests/suite/proxy/placement.rs
+++ b/tests/suite/proxy/placement.rs
@@ -448,14 +448,14 @@
     let mut mine = fleet(4);
     let mut peers = Peers::default();
     let (me, peer) = (Incarnation(1), Incarnation(2));
-    let news = |number, fleet: &Fleet| gossip::packet(peer, number, fleet, Vec::new());
-    peers.receive(at(0), me, news(2, &busy), &mut mine, 2);
+    let report = |number, fleet: &Fleet| gossip::packet(peer, number, fleet, Vec::new());
+    peers.receive(at(0), me, report(2, &busy), &mut mine, 2);
     let load = |fleet: &Fleet| {
         let runner = fleet.get(target).expect("it is known");
         (runner.running(), runner.backlog(), runner.kv_tokens())
     };
     assert_eq!(load(&mine), (1, Duration::from_millis(50), 60_000));
-    peers.receive(at(10), me, news(1, &fleet(4)), &mut mine, 2);
+    peers.receive(at(10), me, report(1, &fleet(4)), &mut mine, 2);
     assert_eq!(
         load(&mine),
         (1, Duration::from_millis(50), 60_000),
--- a/tests/suite/proxy/refresh.rs
+++ b/tests/suite/proxy/refresh.rs
@@ -27,10 +27,10 @@
 struct Node {
     host: Host,
     document: Document,
-    plan: Schedule,
-    share: Readers,
+    schedule: Schedule,
+    readers: Readers,
     /// When its link is free, in milliseconds.
-    link_free: u64,
+    link_free_at: u64,
     /// Number of restarts; events of earlier runs are dropped.
     run_number: u32,
     /// Whether a request is pending.
@@ -64,7 +64,7 @@
     hosts: Vec<Host>,
     events: BTreeMap<(u64, u64), (usize, u32, Event)>,
     serial: u64,
-    store_free: u64,
+    store_free_at: u64,
     document: Arc<Entry>,
     /// Timeout of a transfer, in milliseconds.
     timeout: u64,
@@ -94,9 +94,9 @@
         let node = |host: &Host| Node {
             host: *host,
             document: Document::default(),
-            plan: Schedule::default(),
-            share: Readers::default(),
-            link_free: 0,
+            schedule: Schedule::default(),
+            readers: Readers::default(),
+            link_free_at: 0,
             run_number: 0,
             is_pending: false,
             is_woken: false,
@@ -108,19 +108,19 @@
             hosts,
             events: BTreeMap::new(),
             serial: 0,
-            store_free: 0,
+            store_free_at: 0,
             document: text(1, bytes),
             timeout: 12_000,
         };
         for node in 0..count {
             let begin = world.rng.random_range(0..600);
-            world.plan(begin, node, Event::Check);
-            world.plan(begin, node, Event::Round);
+            world.push_event(begin, node, Event::Check);
+            world.push_event(begin, node, Event::Round);
         }
         world
     }
 
-    fn plan(&mut self, after: u64, node: usize, event: Event) {
+    fn push_event(&mut self, after: u64, node: usize, event: Event) {
         self.serial += 1;
         let run_number = self.nodes[node].run_number;
         self.events
@@ -149,17 +149,17 @@
                 let draw = self.rng.random();
                 let state = &mut self.nodes[node];
                 state.is_pending = false;
-                let pause = state.plan.failed(step, Failure::Lost, true, draw);
+                let pause = state.schedule.failed(step, Failure::Lost, true, draw);
                 let pause = if state.is_woken {
                     0
                 } else {
                     pause.as_millis() as u64
                 };
-                self.plan(pause, node, Event::Check);
+                self.push_event(pause, node, Event::Check);
             }
             Event::StoreRecovered => {
                 self.nodes[node].is_woken = self.nodes[node].is_pending;
-                self.plan(0, node, Event::Check);
+                self.push_event(0, node, Event::Check);
             }
             Event::Round => self.round(node),
             Event::PeerAnswered(peer, asked) => self.peer_answered(node, peer, asked),
@@ -167,10 +167,10 @@
                 let node_state = &mut self.nodes[node];
                 node_state.run_number += 1;
                 node_state.document = Document::default();
-                node_state.plan = Schedule::default();
+                node_state.schedule = Schedule::default();
                 node_state.is_pending = false;
-                self.plan(0, node, Event::Check);
-                self.plan(0, node, Event::Round);
+                self.push_event(0, node, Event::Check);
+                self.push_event(0, node, Event::Round);
             }
         }
     }
@@ -186,28 +186,28 @@
             is_behind: state.document.is_behind(),
             age: state.document.age(now),
         };
-        let step = state.plan.step(standing);
+        let step = state.schedule.step(standing);
         state.is_pending = !matches!(step, Step::Wait(_));
         if let Step::Wait(pause) = step {
-            self.plan((pause.as_millis() as u64).max(1), node, Event::Check);
+            self.push_event((pause.as_millis() as u64).max(1), node, Event::Check);
         } else if OUTAGE.contains(&self.now) {
-            self.plan(TIMEOUT_MS, node, Event::Failed(step));
+            self.push_event(TIMEOUT_MS, node, Event::Failed(step));
         } else {
             let same = step == Step::Revalidate && state.document.version() == self.document.version;
             let bytes = match same {
                 true => SMALL_ANSWER,
                 false => self.document.value.len() as u64,
             };
-            let leaves = self.now.max(self.store_free) + bytes / STORE_LINK;
-            self.store_free = leaves;
-            let arrives = leaves.max(self.nodes[node].link_free) + bytes / SLOW_LINK;
-            self.nodes[node].link_free = arrives;
+            let leaves = self.now.max(self.store_free_at) + bytes / STORE_LINK;
+            self.store_free_at = leaves;
+            let arrives = leaves.max(self.nodes[node].link_free_at) + bytes / SLOW_LINK;
+            self.nodes[node].link_free_at = arrives;
             let took = arrives + 4 - self.now;
             if took > self.timeout {
-                self.plan(self.timeout, node, Event::Failed(step));
+                self.push_event(self.timeout, node, Event::Failed(step));
             } else {
                 let answer = Event::StoreAnswered(self.document.clone(), self.now);
-                self.plan(took, node, answer);
+                self.push_event(took, node, answer);
             }
         }
     }
@@ -217,24 +217,24 @@
         let state = &mut self.nodes[node];
         state.is_pending = false;
         state.document.replace(at(asked), document);
-        let pause = state.plan.answered(took);
-        self.plan((pause.as_millis() as u64).max(1), node, Event::Check);
+        let pause = state.schedule.answered(took);
+        self.push_event((pause.as_millis() as u64).max(1), node, Event::Check);
     }
 
     fn round(&mut self, node: usize) {
         let now = at(self.now);
         let hosts = &self.hosts;
         let state = &mut self.nodes[node];
-        if let Source::Peer(peer) = state.share.preferred(now, state.host.address, hosts) {
+        if let Source::Peer(peer) = state.readers.preferred(now, state.host.address, hosts) {
             let peer = hosts.iter().position(|host| host.address == peer);
             let asked = self.now;
-            self.plan(
+            self.push_event(
                 5,
                 node,
                 Event::PeerAnswered(peer.expect("it is in the list"), asked),
             );
         }
-        self.plan(ROUND_INTERVAL.as_millis() as u64, node, Event::Round);
+        self.push_event(ROUND_INTERVAL.as_millis() as u64, node, Event::Round);
     }
 
     fn peer_answered(&mut self, node: usize, peer: usize, asked: u64) {
@@ -244,7 +244,7 @@
             return;
         };
         match self.nodes[node].document.receive(at(asked), notice) {
-            Update::Newer(_) => self.plan(0, node, Event::Check),
+            Update::Newer(_) => self.push_event(0, node, Event::Check),
             Update::Text(..) => unreachable!("the document is large"),
             Update::Current(as_of) => self.nodes[node].document.confirm(as_of),
             Update::Outdated => {}
@@ -277,14 +277,14 @@
     for node in 0..hosts {
         if world.rng.random_bool(0.3) {
             let when = world.rng.random_range(0..9_000);
-            world.plan(when, node, Event::Restart);
+            world.push_event(when, node, Event::Restart);
         }
     }
     world.run(OUTAGE.end - 1);
     world.document = text(2, bytes);
     for node in 0..hosts {
         let when = world.rng.random_range(1..700);
-        world.plan(when, node, Event::StoreRecovered);
+        world.push_event(when, node, Event::StoreRecovered);
     }
     world.run(OUTAGE.end + 2_000 + transfer_ms);
     fresh(&world, "soon after the outage")?;
--- a/tests/suite/proxy/schedule.rs
+++ b/tests/suite/proxy/schedule.rs
@@ -19,7 +19,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::fixtures::{ask, bounds, customer, table};
+use super::fixtures::{bounds, customer, request, table};
 
 /// Length of a schedule.
 const LENGTH_MS: u64 = 60_000;
@@ -98,7 +98,7 @@
     frozen_until: u64,
     lease: Lease,
     reporter: Reporter,
-    tally: Counter,
+    usage: Counter,
     ledger: Ledger,
     state: State,
     own_version: u64,
@@ -111,7 +111,7 @@
     /// When the pending request to a peer was sent.
     asked_at: Option<u64>,
     /// A peer's answer, and when it arrives.
-    told: Option<(u64, Changes)>,
+    pending_answer: Option<(u64, Changes)>,
 }
 
 impl Host {
@@ -124,7 +124,7 @@
             frozen_until: 0,
             lease: Lease::with(Incarnation(run), "duty".into(), terms),
             reporter: Reporter::default(),
-            tally: Counter::default(),
+            usage: Counter::default(),
             ledger: Ledger::default(),
             state: State::new(bounds(), "zone-a"),
             own_version: 0,
@@ -133,7 +133,7 @@
             waiting: None,
             mirror: Mirror::default(),
             asked_at: None,
-            told: None,
+            pending_answer: None,
         }
     }
 
@@ -145,7 +145,7 @@
             peer: String::new(),
             until: ms,
             ended: false,
-            windows: self.tally.windows().to_vec(),
+            windows: self.usage.windows().to_vec(),
         }
     }
 }
@@ -252,7 +252,7 @@
         );
         let host = &mut self.hosts[index];
         if let Some(asked) = host.asked_at {
-            if let Some((_, changes)) = host.told.take_if(|(due, _)| *due <= ms) {
+            if let Some((_, changes)) = host.pending_answer.take_if(|(due, _)| *due <= ms) {
                 let asked = if self.fault == Fault::ArrivalTime {
                     ms
                 } else {
@@ -263,7 +263,7 @@
                 apply_replica(host, at(ms));
             } else if ms > asked + 4_000 {
                 host.asked_at = None;
-                host.told = None;
+                host.pending_answer = None;
             }
             return;
         }
@@ -279,7 +279,7 @@
         let slow = self.rng.random_bool(0.2);
         let delay = self.rng.random_range(0..if slow { 3_000 } else { 200 });
         self.hosts[index].asked_at = Some(ms);
-        self.hosts[index].told = Some((handled + delay, changes));
+        self.hosts[index].pending_answer = Some((handled + delay, changes));
     }
 
     fn step(&mut self, ms: u64, index: usize) {
@@ -295,19 +295,19 @@
         } = self;
         let host = &mut hosts[index];
         if rng.random_bool(0.3) {
-            host.tally.add(ms / 5_000, "ana");
+            host.usage.add(ms / 5_000, "ana");
             *observed.started.entry(ms / 5_000).or_default() += 1;
         }
         if rng.random_bool(0.2)
             && host.waiting.is_none()
-            && let Ok(admission) = host.state.admit(now, &ask(KEY))
+            && let Ok(admission) = host.state.admit(now, &request(KEY))
         {
             host.waiting = Some((ms + rng.random_range(0..3_000), admission));
         }
-        let turn = ms / STEP_MS % 18 == index as u64;
+        let is_turn = ms / STEP_MS % 18 == index as u64;
         // The store refuses some hosts for a while.
-        let away = ms < store.away_until || (ms / 5_000 + index as u64).is_multiple_of(7);
-        if turn && !away && host.asked_at.is_none() {
+        let is_refused = ms < store.away_until || (ms / 5_000 + index as u64).is_multiple_of(7);
+        if is_turn && !is_refused && host.asked_at.is_none() {
             read(host, store, now);
         }
         let window = ms / 5_000;
@@ -367,7 +367,7 @@
         if let Some((_, admission)) = host.waiting.take_if(|(due, _)| *due <= ms) {
             let checked = match self.fault {
                 Fault::Unchecked => Ok(()),
-                _ => host.state.may_send(now, &admission, &ask(KEY)),
+                _ => host.state.may_send(now, &admission, &request(KEY)),
             };
             match checked {
                 Ok(()) => {
