--- a/crates/core/src/proxy/placement.rs
+++ b/crates/core/src/proxy/placement.rs
@@ -212,7 +212,7 @@
         is_long,
         conditions: Conditions {
             prompt_tokens: demand.prompt_tokens,
-            cached_tokens: cached_tokens,
+            cached_tokens,
             backlog: runner.backlog(),
             concurrent: runner.running(),
             cross_zone: runner.listed.zone != inputs.fleet.zone,
