--- a/tests/suite/proxy/usage.rs
+++ b/tests/suite/proxy/usage.rs
@@ -262,13 +262,13 @@
 /// seconds and back; windows follow the monotonic clock from the start of the host.
 #[test]
 fn a_jump_of_the_time_of_day_moves_no_window() {
-    let mut civil = radishstair_core::proxy::clock::WallClock::default();
+    let mut clock = radishstair_core::proxy::clock::WallClock::default();
     let moment = |steady_ms: u64, wall_ms: u64| Moment {
         mono: steady_ms * 1_000,
         wall: wall_ms,
     };
-    assert_eq!(civil.unix_ms(moment(50, 1_000_000)), 1_000_000);
-    assert_eq!(civil.unix_ms(moment(2_050, 1_006_000)), 1_002_000);
-    assert_eq!(civil.unix_ms(moment(4_050, 1_000_000)), 1_004_000);
-    assert_eq!(civil.window_number(moment(5_050, 1_000_000), 5), 201);
+    assert_eq!(clock.unix_ms(moment(50, 1_000_000)), 1_000_000);
+    assert_eq!(clock.unix_ms(moment(2_050, 1_006_000)), 1_002_000);
+    assert_eq!(clock.unix_ms(moment(4_050, 1_000_000)), 1_004_000);
+    assert_eq!(clock.window_number(moment(5_050, 1_000_000), 5), 201);
 }
