--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -73,8 +73,8 @@
     pub fn demand(&self, draw: u64) -> Demand {
         Demand {
             service: self.admission.service.clone(),
-            prompt: self.metadata.prompt_tokens,
-            output: self
+            prompt_tokens: self.metadata.prompt_tokens,
+            output_tokens: self
                 .metadata
                 .expected_output_tokens
                 .unwrap_or(self.metadata.max_output_tokens)
@@ -82,8 +82,8 @@
             segments: self.metadata.prompt_segments.clone(),
             bytes: self.body.len() as u64,
             copies_prefix: self.admission.copies_prefix,
-            once: self.is_at_most_once(),
-            draw,
+            at_most_once: self.is_at_most_once(),
+            random: draw,
         }
     }
 }
@@ -95,7 +95,7 @@
         host: host.and_then(|host| host.to_str().ok()).unwrap_or_default(),
         path: parts.uri.path(),
         key: metadata.api_key.as_deref(),
-        draw: rand::random(),
+        random: rand::random(),
     }
 }
 
--- a/crates/entry/src/proxy/slot.rs
+++ b/crates/entry/src/proxy/slot.rs
@@ -75,7 +75,7 @@
         state
             .fleet
             .finish_request(self.key, self.prefill_us, self.kv_tokens);
-        if let Some(sent_at) = self.sent_at.filter(|_| self.conditions.prompt > 0) {
+        if let Some(sent_at) = self.sent_at.filter(|_| self.conditions.prompt_tokens > 0) {
             state.record_residence(self.key, now.since(sent_at));
         }
     }
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -217,7 +217,7 @@
             self.shared.mirror().add_page(mirror::Page {
                 after,
                 entries,
-                more: last.is_some(),
+                has_more: last.is_some(),
                 revision: response.store_revision,
                 sent: sent_at,
             });
