--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -28,11 +28,11 @@
 pub use placement::Policy;
 
 /// Half-life of the counts behind floors and rates.
-const HALF_LIFE: Duration = Duration::from_secs(10);
+const COUNT_HALF_LIFE: Duration = Duration::from_secs(10);
 /// Retries allowed beside a tier's starts, as a share.
 const RETRY_SHARE: f64 = 0.2;
 /// Retries allowed however few the starts.
-const RETRY_LEAST: f64 = 10.0;
+const MIN_RETRIES: f64 = 10.0;
 
 plain! {
     /// A call that seeks a runner.
@@ -114,20 +114,20 @@
     view: Arc<View>,
     /// The runners, fed by the list and by peers.
     pub runners: Runners,
-    lanes: Vec<Queue>,
-    index: usize,
-    near_hosts: usize,
+    queues: Vec<Queue>,
+    host_index: usize,
+    zone_hosts: usize,
     hosts: usize,
     /// Zone mates that have calls waiting, by pool.
-    waiting_mates: Arc<[(String, u32)]>,
+    waiting_peers: Arc<[(String, u32)]>,
     /// Priorities of the tiers that use each pool.
-    users: Vec<(String, Vec<u8>)>,
+    pool_priorities: Vec<(String, Vec<u8>)>,
     waiting: usize,
     /// This host's calls on all runners.
     running: usize,
-    decayed: Moment,
+    last_decay: Moment,
     /// Seconds that the decayed counts stand for.
-    span: f64,
+    counted_s: f64,
     rng: ChaCha8Rng,
 }
 
@@ -140,16 +140,16 @@
             policy,
             view: Arc::new(View::default()),
             runners: Runners::default(),
-            lanes: Vec::new(),
-            index: 0,
-            near_hosts: 1,
+            queues: Vec::new(),
+            host_index: 0,
+            zone_hosts: 1,
             hosts: 1,
-            waiting_mates: Arc::default(),
-            users: Vec::new(),
+            waiting_peers: Arc::default(),
+            pool_priorities: Vec::new(),
             waiting: 0,
             running: 0,
-            decayed: Moment::default(),
-            span: 0.0,
+            last_decay: Moment::default(),
+            counted_s: 0.0,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -157,10 +157,10 @@
     /// Takes a new view; calls whose key was withdrawn meanwhile are refused.
     pub fn set_view(&mut self, view: Arc<View>) -> Vec<Decision> {
         self.view = view;
-        self.users = pool_users(&self.view);
+        self.pool_priorities = pool_priorities(&self.view);
         let mut out = Vec::new();
         let view = &self.view;
-        for lane in &mut self.lanes {
+        for lane in &mut self.queues {
             lane.tier = view.document.tiers.position(&lane.name);
             let (refused, kind) = match lane.tier {
                 Some(_) => (
@@ -172,9 +172,9 @@
             let refuse = |item: Entry| Decision::Refuse(item.submission.call, kind.into());
             out.extend(refused.into_iter().map(refuse));
         }
-        self.lanes.retain(|lane| lane.tier.is_some());
-        for at in 0..self.lanes.len() {
-            self.lanes[at].contention = self.pool_rivals(at);
+        self.queues.retain(|lane| lane.tier.is_some());
+        for at in 0..self.queues.len() {
+            self.queues[at].contention = self.pool_contention(at);
         }
         self.waiting -= out.len();
         out
@@ -183,9 +183,9 @@
     /// Entry hosts that are live in this zone, and in all zones, both with
     /// this one; and this one's place among all.
     pub fn set_hosts(&mut self, near: usize, all: usize, index: usize) {
-        self.index = index;
-        self.near_hosts = near.max(1);
-        self.hosts = all.max(self.near_hosts);
+        self.host_index = index;
+        self.zone_hosts = near.max(1);
+        self.hosts = all.max(self.zone_hosts);
     }
 
     /// Pools for which calls wait at zone mates; each mate names a pool once.
@@ -197,21 +197,21 @@
                 None => mates.push((pool.to_string(), 1)),
             }
         }
-        self.waiting_mates = mates.into();
+        self.waiting_peers = mates.into();
     }
 
     /// A call seeks a runner.
     pub fn submit(&mut self, now: Moment, seek: Submission) -> Vec<Decision> {
         self.decay(now);
         let call = seek.call;
-        let Some(at) = self.lane(&seek) else {
+        let Some(at) = self.queue_for(&seek) else {
             return vec![Decision::Refuse(call, Kind::NotSelected.into())];
         };
-        if !seek.avoid.is_empty() && !self.lanes[at].take_retry() {
+        if !seek.avoid.is_empty() && !self.queues[at].take_retry() {
             let refusal = Refusal::new(Kind::Overloaded).retry_after(self.back(Duration::from_secs(1)));
             return vec![Decision::Refuse(call, refusal)];
         }
-        if !self.listed(&seek) {
+        if !self.has_listed_runner(&seek) {
             let refusal = Refusal::new(Kind::NoRunner).retry_after(self.back(Duration::from_secs(2)));
             return vec![Decision::Refuse(call, refusal)];
         }
@@ -219,27 +219,27 @@
             return vec![Decision::Refuse(call, refusal)];
         }
         let (target, patience) = (self.tier(at).target, self.tier(at).patience);
-        self.lanes[at].push(Entry {
+        self.queues[at].push(Entry {
             submission: seek,
             queued_at: now,
             late_at: now + target,
             expires_at: now + patience,
         });
         self.waiting += 1;
-        self.place(now)
+        self.start_waiting(now)
     }
 
     /// The lane of a call: its tier and the pools that may run it. Calls that
     /// need other runners never stand before it.
-    fn lane(&mut self, seek: &Submission) -> Option<usize> {
+    fn queue_for(&mut self, seek: &Submission) -> Option<usize> {
         let tier = self.view.document.tiers.position(&seek.tier)?;
         let place = (seek.tier.as_str(), &seek.pools[..]);
         Some(
-            match self.lanes.binary_search_by(|lane| lane.sort_key().cmp(&place)) {
+            match self.queues.binary_search_by(|lane| lane.sort_key().cmp(&place)) {
                 Ok(at) => at,
                 Err(at) => {
-                    self.lanes.insert(at, Queue::new(seek, tier));
-                    self.lanes[at].contention = self.pool_rivals(at);
+                    self.queues.insert(at, Queue::new(seek, tier));
+                    self.queues[at].contention = self.pool_contention(at);
                     at
                 }
             },
@@ -248,7 +248,7 @@
 
     fn tier(&self, at: usize) -> &Tier {
         // `set_view` drops the lanes whose tier is gone.
-        &self.view.document.tiers[self.lanes[at].tier.unwrap_or_default()]
+        &self.view.document.tiers[self.queues[at].tier.unwrap_or_default()]
     }
 
     /// A call on a runner ended.
@@ -280,16 +280,16 @@
                 *tokens
             }
         };
-        if let Some(at) = self.lane(seek) {
+        if let Some(at) = self.queue_for(seek) {
             let whole = matches!(outcome, Outcome::Completed { .. });
-            self.lanes[at].record_usage(seek, tokens, whole);
+            self.queues[at].record_usage(seek, tokens, whole);
         }
-        self.place(now)
+        self.start_waiting(now)
     }
 
     /// A waiting call whose caller went away.
     pub fn cancel(&mut self, call: Call) {
-        for lane in &mut self.lanes {
+        for lane in &mut self.queues {
             if lane.remove(call) {
                 self.waiting -= 1;
                 return;
@@ -302,25 +302,25 @@
         self.decay(now);
         self.runners.expire_shares(now);
         let mut out = Vec::new();
-        for at in 0..self.lanes.len() {
-            self.lanes[at].expire_reservations(now);
+        for at in 0..self.queues.len() {
+            self.queues[at].expire_reservations(now);
             if self.policy.defers_late() {
-                self.lanes[at].defer_late(now);
+                self.queues[at].defer_late(now);
             }
-            for item in self.lanes[at].expire(now) {
+            for item in self.queues[at].expire(now) {
                 self.waiting -= 1;
                 let refusal = Refusal::new(Kind::Late).retry_after(self.back(Duration::from_secs(1)));
                 out.push(Decision::Refuse(item.submission.call, refusal));
             }
         }
-        out.extend(self.place(now));
+        out.extend(self.start_waiting(now));
         out
     }
 
     /// Calls that wait, by the first pool that may run them.
     pub fn waiting_by_pool(&self) -> Vec<(String, u32)> {
         let mut all: Vec<(String, u32)> = Vec::new();
-        for lane in self.lanes.iter().filter(|lane| !lane.is_empty()) {
+        for lane in self.queues.iter().filter(|lane| !lane.is_empty()) {
             let Some(pool) = lane.sort_key().1.first() else {
                 continue;
             };
@@ -335,17 +335,17 @@
 
     /// Calls that wait, by tier.
     pub fn waiting_by_tier(&self) -> impl Iterator<Item = (&str, usize)> {
-        self.lanes.iter().map(|lane| (lane.name.as_str(), lane.len()))
+        self.queues.iter().map(|lane| (lane.name.as_str(), lane.len()))
     }
 
-    fn place(&mut self, now: Moment) -> Vec<Decision> {
+    fn start_waiting(&mut self, now: Moment) -> Vec<Decision> {
         let mut out = Vec::new();
-        let mut blocked = vec![false; self.lanes.len()];
+        let mut blocked = vec![false; self.queues.len()];
         while self.waiting > 0 {
-            let Some(at) = self.next_lane(&blocked) else {
+            let Some(at) = self.next_queue(&blocked) else {
                 break;
             };
-            match self.start_from(now, at) {
+            match self.start_next(now, at) {
                 Some(start) => out.push(Decision::Start(start)),
                 None => blocked[at] = true,
             }
@@ -354,35 +354,38 @@
     }
 
     /// Lanes under their floor first, then by priority.
-    fn next_lane(&self, blocked: &[bool]) -> Option<usize> {
-        let open = |at: &usize| !blocked[*at] && !self.lanes[*at].is_empty();
+    fn next_queue(&self, blocked: &[bool]) -> Option<usize> {
+        let open = |at: &usize| !blocked[*at] && !self.queues[*at].is_empty();
         let rank = |at: &usize| {
             (
-                !self.starved(*at),
+                !self.is_below_floor(*at),
                 self.policy.effective_priority(self.tier(*at).priority),
             )
         };
         match self.policy.uses_tiers() {
-            true => (0..self.lanes.len()).filter(open).min_by_key(rank),
-            false => (0..self.lanes.len())
+            true => (0..self.queues.len()).filter(open).min_by_key(rank),
+            false => (0..self.queues.len())
                 .filter(open)
-                .min_by_key(|at| self.lanes[*at].oldest_since()),
+                .min_by_key(|at| self.queues[*at].oldest_since()),
         }
     }
 
     /// Whether a lane gets less than its floor of the starts on its runners.
-    fn starved(&self, at: usize) -> bool {
+    fn is_below_floor(&self, at: usize) -> bool {
         let floor = f64::from(self.tier(at).floor);
-        let all: f64 = self.rivals(at).map(|other| self.lanes[other].starts()).sum();
-        self.policy.enforces_floors() && self.lanes[at].starts() * 100.0 < floor * all
+        let all: f64 = self
+            .overlapping(at)
+            .map(|other| self.queues[other].starts())
+            .sum();
+        self.policy.enforces_floors() && self.queues[at].starts() * 100.0 < floor * all
     }
 
     /// Lanes that want the same runners, this one included.
-    fn rivals(&self, at: usize) -> impl Iterator<Item = usize> {
-        (0..self.lanes.len()).filter(move |other| self.lanes[*other].overlaps(&self.lanes[at]))
+    fn overlapping(&self, at: usize) -> impl Iterator<Item = usize> {
+        (0..self.queues.len()).filter(move |other| self.queues[*other].overlaps(&self.queues[at]))
     }
 
-    fn start_from(&mut self, now: Moment, at: usize) -> Option<Assignment> {
+    fn start_next(&mut self, now: Moment, at: usize) -> Option<Assignment> {
         let (protected, priority) = (self.tier(at).protected, self.tier(at).priority);
         let chooser = placement::Picker {
             now,
@@ -390,15 +393,15 @@
             policy: self.policy,
             protected,
             reserve_percent: self.view.document.settings.reserve,
-            host_index: self.index,
-            zone_hosts: self.near_hosts,
+            host_index: self.host_index,
+            zone_hosts: self.zone_hosts,
             hosts: self.hosts,
-            contention: self.lanes[at].contention.clone(),
-            waiting_peers: self.waiting_mates.clone(),
+            contention: self.queues[at].contention.clone(),
+            waiting_peers: self.waiting_peers.clone(),
         };
         let runners = &self.runners;
         let rng = &mut self.rng;
-        let (item, runner) = self.lanes[at].take(self.policy, |seek| chooser.pick(runners, rng, seek))?;
+        let (item, runner) = self.queues[at].take(self.policy, |seek| chooser.pick(runners, rng, seek))?;
         self.waiting -= 1;
         self.running += 1;
         self.runners.start(runner);
@@ -413,33 +416,33 @@
     }
 
     /// Who else uses each pool of a lane, by the selectors.
-    fn pool_rivals(&self, at: usize) -> Arc<[(String, placement::Contention)]> {
+    fn pool_contention(&self, at: usize) -> Arc<[(String, placement::Contention)]> {
         let priority = self.tier(at).priority;
         let rivals = |pool: &String| {
-            let found = self.users.binary_search_by(|(have, _)| have.cmp(pool));
-            let users = found.map_or(&[][..], |at| &self.users[at].1);
+            let found = self.pool_priorities.binary_search_by(|(have, _)| have.cmp(pool));
+            let users = found.map_or(&[][..], |at| &self.pool_priorities[at].1);
             placement::Contention {
                 higher_priority: users.iter().any(|other| *other < priority),
                 lower_priority: users.iter().any(|other| *other > priority),
             }
         };
-        let pools = self.lanes[at].sort_key().1;
+        let pools = self.queues[at].sort_key().1;
         pools.iter().map(|pool| (pool.clone(), rivals(pool))).collect()
     }
 
-    fn listed(&self, seek: &Submission) -> bool {
+    fn has_listed_runner(&self, seek: &Submission) -> bool {
         let keys = |pool: &String| self.runners.pool(pool).iter().any(|(_, keys)| !keys.is_empty());
         seek.pools.iter().any(keys)
     }
 
     fn decay(&mut self, now: Moment) {
-        let span = now.since(self.decayed);
+        let span = now.since(self.last_decay);
         if span < Duration::from_millis(100) {
             return;
         }
-        self.decayed = now;
+        self.last_decay = now;
         let seconds = span.as_secs_f64();
-        let factor = 0.5_f64.powf(seconds / HALF_LIFE.as_secs_f64());
+        let factor = 0.5_f64.powf(seconds / COUNT_HALF_LIFE.as_secs_f64());
         // An idle host starts nothing because nobody calls. Counted, the first calls of
         // a burst foretold waits of many seconds and had the rest refused.
         let idle = self.waiting == 0 && self.running == 0;
@@ -448,15 +451,15 @@
         } else {
             seconds
         };
-        self.span = (self.span + counted.min(HALF_LIFE.as_secs_f64())) * factor;
-        for lane in &mut self.lanes {
-            lane.decay(factor, RETRY_SHARE, RETRY_LEAST);
+        self.counted_s = (self.counted_s + counted.min(COUNT_HALF_LIFE.as_secs_f64())) * factor;
+        for lane in &mut self.queues {
+            lane.decay(factor, RETRY_SHARE, MIN_RETRIES);
         }
     }
 }
 
 /// Priorities of the tiers whose selectors reach each pool.
-fn pool_users(view: &View) -> Vec<(String, Vec<u8>)> {
+fn pool_priorities(view: &View) -> Vec<(String, Vec<u8>)> {
     let document = &view.document;
     let users = |pool: &Pool| {
         let reach = document
--- a/crates/core/src/dispatch/admission.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -52,16 +52,16 @@
         let priority = self.tier(at).priority;
         let before = |other: &usize| *other != at && self.tier(*other).priority < priority;
         let ahead: usize = self
-            .rivals(at)
+            .overlapping(at)
             .filter(before)
-            .map(|other| self.lanes[other].len())
+            .map(|other| self.queues[other].len())
             .sum();
-        let due = self.lanes[at].reserved_until(now + limit);
-        let own = self.lanes[at].calls_ahead(customer) + due;
+        let due = self.queues[at].reserved_until(now + limit);
+        let own = self.queues[at].calls_ahead(customer) + due;
         let starts: f64 = self
-            .rivals(at)
+            .overlapping(at)
             .filter(|other| self.tier(*other).priority <= priority)
-            .map(|other| self.lanes[other].starts())
+            .map(|other| self.queues[other].starts())
             .sum();
         // Before a few starts only what has waited tells anything.
         if starts < STARTS_KNOWN {
@@ -72,15 +72,15 @@
         if ahead + own == 0 {
             return Some(Duration::ZERO);
         }
-        let mut wait = (ahead + own) as f64 * self.span / starts;
+        let mut wait = (ahead + own) as f64 * self.counted_s / starts;
         // Customers with short queues overtake one with a long queue for as
         // long as they keep coming: its own pace tells what that comes to.
         let (queued, pace) = (
-            self.lanes[at].len_for(customer),
-            self.lanes[at].starts_for(customer),
+            self.queues[at].len_for(customer),
+            self.queues[at].starts_for(customer),
         );
         if self.policy.defers_late() && queued > 0 && pace >= 1.0 {
-            wait = wait.max(queued as f64 * self.span / pace);
+            wait = wait.max(queued as f64 * self.counted_s / pace);
         }
         Some(Duration::from_secs_f64(wait.min(LONGEST_WAIT)))
     }
@@ -94,7 +94,7 @@
     /// its target is foretold to take as long again. Half of the target, as elsewhere,
     /// says too little: a host that has just started has two long calls and no pace.
     fn stuck(&self, now: Moment, at: usize) -> Option<Duration> {
-        let lane = &self.lanes[at];
+        let lane = &self.queues[at];
         let hardly = self.policy.yields_to_peers() && lane.starts() < STARTS_KNOWN;
         let oldest = lane.oldest_since().filter(|_| hardly);
         oldest.map(|since| now.since(since))
@@ -107,17 +107,17 @@
     /// refused a little earlier to keep that room. Past the longest time
     /// nothing is promised.
     fn promise(&mut self, now: Moment, at: usize, customer: &str, least: Duration) -> Option<Duration> {
-        let starts = self.lanes[at].starts();
+        let starts = self.queues[at].starts();
         if !self.policy.reserves_retries() {
             return None;
         }
         let pace = match starts < STARTS_KNOWN {
             true => 1.0 / self.stuck(now, at)?.max(BACK_LEAST).as_secs_f64(),
-            false => starts / self.span,
+            false => starts / self.counted_s,
         };
         let pace = pace * PROMISED_PART;
         let least = least.clamp(BACK_LEAST, BACK_MOST);
-        let due = self.lanes[at].reserve(now + least, customer, pace);
+        let due = self.queues[at].reserve(now + least, customer, pace);
         let after = now.until(due);
         (after <= PROMISED_MOST).then_some(after)
     }
