--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -208,14 +208,15 @@
             return vec![Decision::Refuse(call, Kind::NotSelected.into())];
         };
         if !seek.avoid.is_empty() && !self.queues[at].take_retry() {
-            let refusal = Refusal::new(Kind::Overloaded).retry_after(self.back(Duration::from_secs(1)));
+            let refusal =
+                Refusal::new(Kind::Overloaded).retry_after(self.retry_delay(Duration::from_secs(1)));
             return vec![Decision::Refuse(call, refusal)];
         }
         if !self.has_listed_runner(&seek) {
-            let refusal = Refusal::new(Kind::NoRunner).retry_after(self.back(Duration::from_secs(2)));
+            let refusal = Refusal::new(Kind::NoRunner).retry_after(self.retry_delay(Duration::from_secs(2)));
             return vec![Decision::Refuse(call, refusal)];
         }
-        if let Some(refusal) = self.refuse_early(now, at, &seek) {
+        if let Some(refusal) = self.reject_early(now, at, &seek) {
             return vec![Decision::Refuse(call, refusal)];
         }
         let (target, patience) = (self.tier(at).target, self.tier(at).patience);
@@ -309,7 +310,7 @@
             }
             for item in self.queues[at].expire(now) {
                 self.waiting -= 1;
-                let refusal = Refusal::new(Kind::Late).retry_after(self.back(Duration::from_secs(1)));
+                let refusal = Refusal::new(Kind::Late).retry_after(self.retry_delay(Duration::from_secs(1)));
                 out.push(Decision::Refuse(item.submission.call, refusal));
             }
         }
--- a/crates/core/src/dispatch/admission.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -9,24 +9,24 @@
 use crate::time::Moment;
 
 /// Starts that must have been seen before a wait is foretold.
-const STARTS_KNOWN: f64 = 3.0;
+const MIN_STARTS: f64 = 3.0;
 /// Longest wait that is foretold, in seconds.
-const LONGEST_WAIT: f64 = 3_600.0;
+const MAX_WAIT_S: f64 = 3_600.0;
 /// Part of a lane's pace that is kept for callers that come back.
-const PROMISED_PART: f64 = 0.4;
+const RESERVED_SHARE: f64 = 0.4;
 /// Longest time ahead that is promised.
-const PROMISED_MOST: Duration = Duration::from_secs(300);
+const MAX_RESERVED_AHEAD: Duration = Duration::from_secs(300);
 /// Earliest time to come back.
-const BACK_LEAST: Duration = Duration::from_millis(500);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Latest time to come back.
-const BACK_MOST: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 /// Most calls that wait at one host.
-const WAITING: usize = 4_096;
+const MAX_WAITING: usize = 4_096;
 
 impl Dispatcher {
     /// Refuses a call that would miss its target, by the rate at which
     /// its lane and those before it have been starting.
-    pub(super) fn refuse_early(&mut self, now: Moment, at: usize, seek: &Submission) -> Option<Refusal> {
+    pub(super) fn reject_early(&mut self, now: Moment, at: usize, seek: &Submission) -> Option<Refusal> {
         if seek.reserved && self.policy.reserves_retries() {
             return None;
         }
@@ -36,19 +36,19 @@
             true => tier.target.mul_f64(self.policy.target_fraction()).min(patience),
             false => patience,
         };
-        let wait = self.expected_wait(now, at, &seek.customer, limit);
+        let wait = self.estimate_wait(now, at, &seek.customer, limit);
         let hopeless = self.policy.rejects_early() && wait.is_some_and(|wait| wait > limit);
-        if !hopeless && (protected || self.waiting < WAITING) {
+        if !hopeless && (protected || self.waiting < MAX_WAITING) {
             return None;
         }
         let over = wait.unwrap_or(limit).saturating_sub(limit / 2);
-        if let Some(after) = self.promise(now, at, &seek.customer, over) {
+        if let Some(after) = self.reserve_retry(now, at, &seek.customer, over) {
             return Some(Refusal::new(Kind::Overloaded).reserve(after));
         }
-        Some(Refusal::new(Kind::Overloaded).retry_after(self.back(over)))
+        Some(Refusal::new(Kind::Overloaded).retry_after(self.retry_delay(over)))
     }
 
-    fn expected_wait(&self, now: Moment, at: usize, customer: &str, limit: Duration) -> Option<Duration> {
+    fn estimate_wait(&self, now: Moment, at: usize, customer: &str, limit: Duration) -> Option<Duration> {
         let priority = self.tier(at).priority;
         let before = |other: &usize| *other != at && self.tier(*other).priority < priority;
         let ahead: usize = self
@@ -64,9 +64,9 @@
             .map(|other| self.queues[other].starts())
             .sum();
         // Before a few starts only what has waited tells anything.
-        if starts < STARTS_KNOWN {
+        if starts < MIN_STARTS {
             let late = self.tier(at).target;
-            let stuck = self.stuck(now, at).filter(|stuck| *stuck > late);
+            let stuck = self.stalled_for(now, at).filter(|stuck| *stuck > late);
             return stuck.map(|stuck| stuck * 2);
         }
         if ahead + own == 0 {
@@ -82,7 +82,7 @@
         if self.policy.defers_late() && queued > 0 && pace >= 1.0 {
             wait = wait.max(queued as f64 * self.counted_s / pace);
         }
-        Some(Duration::from_secs_f64(wait.min(LONGEST_WAIT)))
+        Some(Duration::from_secs_f64(wait.min(MAX_WAIT_S)))
     }
 
     /// How long the oldest call of a lane has waited, where the lane has hardly
@@ -93,9 +93,9 @@
     /// have nobody before it, and nobody was told to come back. What has not begun by
     /// its target is foretold to take as long again. Half of the target, as elsewhere,
     /// says too little: a host that has just started has two long calls and no pace.
-    fn stuck(&self, now: Moment, at: usize) -> Option<Duration> {
+    fn stalled_for(&self, now: Moment, at: usize) -> Option<Duration> {
         let lane = &self.queues[at];
-        let hardly = self.policy.yields_to_peers() && lane.starts() < STARTS_KNOWN;
+        let hardly = self.policy.yields_to_peers() && lane.starts() < MIN_STARTS;
         let oldest = lane.oldest_since().filter(|_| hardly);
         oldest.map(|since| now.since(since))
     }
@@ -106,25 +106,25 @@
     /// again and again; so each is told a time of its own, and fresh calls are
     /// refused a little earlier to keep that room. Past the longest time
     /// nothing is promised.
-    fn promise(&mut self, now: Moment, at: usize, customer: &str, least: Duration) -> Option<Duration> {
+    fn reserve_retry(&mut self, now: Moment, at: usize, customer: &str, least: Duration) -> Option<Duration> {
         let starts = self.queues[at].starts();
         if !self.policy.reserves_retries() {
             return None;
         }
-        let pace = match starts < STARTS_KNOWN {
-            true => 1.0 / self.stuck(now, at)?.max(BACK_LEAST).as_secs_f64(),
+        let pace = match starts < MIN_STARTS {
+            true => 1.0 / self.stalled_for(now, at)?.max(MIN_RETRY_AFTER).as_secs_f64(),
             false => starts / self.counted_s,
         };
-        let pace = pace * PROMISED_PART;
-        let least = least.clamp(BACK_LEAST, BACK_MOST);
+        let pace = pace * RESERVED_SHARE;
+        let least = least.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         let due = self.queues[at].reserve(now + least, customer, pace);
         let after = now.until(due);
-        (after <= PROMISED_MOST).then_some(after)
+        (after <= MAX_RESERVED_AHEAD).then_some(after)
     }
 
     /// A time to come back, spread so that callers do not return together.
-    pub(super) fn back(&mut self, least: Duration) -> Duration {
+    pub(super) fn retry_delay(&mut self, least: Duration) -> Duration {
         let spread = self.rng.random_range(1.0..1.5);
-        least.clamp(BACK_LEAST, BACK_MOST).mul_f64(spread)
+        least.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER).mul_f64(spread)
     }
 }
