--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -15,11 +15,11 @@
 use crate::time::Moment;
 
 /// Heads of queues looked at for one start.
-const HEADS: usize = 8;
+const MAX_CANDIDATES: usize = 8;
 /// Decayed starts from which a customer counts as active.
-const ACTIVE: f64 = 0.25;
+const ACTIVE_STARTS: f64 = 0.25;
 /// Weight of the newest answer in learned lengths.
-const GAIN: f64 = 0.05;
+const LENGTH_GAIN: f64 = 0.05;
 
 plain! {
     /// A call that waits.
@@ -38,10 +38,10 @@
 plain! {
     struct Flow {
         customer: String,
-        served: f64,
+        served_tokens: f64,
         starts: f64,
-        promised: Moment,
-        queue: VecDeque<Entry>,
+        last_reservation: Moment,
+        waiting: VecDeque<Entry>,
         late: VecDeque<Entry>,
     }
 }
@@ -56,15 +56,15 @@
     /// Who else uses its pools.
     pub contention: Arc<[(String, Contention)]>,
     pools: Arc<[String]>,
-    accounts: Vec<Flow>,
+    flows: Vec<Flow>,
     /// Calls that came back as promised.
-    back: VecDeque<Entry>,
+    returned: VecDeque<Entry>,
     /// Times at which calls were told to come back, in order.
-    promises: Vec<Moment>,
-    lengths: Vec<(String, f64)>,
-    level: f64,
+    reservations: Vec<Moment>,
+    mean_tokens: Vec<(String, f64)>,
+    virtual_tokens: f64,
     starts: f64,
-    retries: f64,
+    retry_budget: f64,
     len: usize,
 }
 
@@ -76,13 +76,13 @@
             tier: Some(tier),
             contention: Arc::from([]),
             pools: seek.pools.clone(),
-            accounts: Vec::new(),
-            back: VecDeque::new(),
-            promises: Vec::new(),
-            lengths: Vec::new(),
-            level: 0.0,
+            flows: Vec::new(),
+            returned: VecDeque::new(),
+            reservations: Vec::new(),
+            mean_tokens: Vec::new(),
+            virtual_tokens: 0.0,
             starts: 0.0,
-            retries: 10.0,
+            retry_budget: 10.0,
             len: 0,
         }
     }
@@ -114,11 +114,11 @@
 
     /// When the longest waiting call came.
     pub fn oldest_since(&self) -> Option<Moment> {
-        let late = self.accounts.iter().filter_map(|account| account.late.front());
+        let late = self.flows.iter().filter_map(|account| account.late.front());
         let heads = self.heads().map(|(_, head)| head);
         heads
             .chain(late)
-            .chain(self.back.front())
+            .chain(self.returned.front())
             .map(|head| head.queued_at)
             .min()
     }
@@ -127,36 +127,37 @@
     pub fn push(&mut self, item: Entry) {
         self.len += 1;
         if item.submission.reserved {
-            self.back.push_back(item);
+            self.returned.push_back(item);
             return;
         }
-        let at = self.account(&item.submission.customer);
-        if self.accounts[at].queue.is_empty() {
-            self.accounts[at].served = self.accounts[at].served.max(self.level);
+        let at = self.flow_index(&item.submission.customer);
+        if self.flows[at].waiting.is_empty() {
+            self.flows[at].served_tokens = self.flows[at].served_tokens.max(self.virtual_tokens);
         }
-        self.accounts[at].queue.push_back(item);
+        self.flows[at].waiting.push_back(item);
     }
 
     /// Starts of a customer, decayed.
     pub fn starts_for(&self, customer: &str) -> f64 {
-        self.find(customer).map_or(0.0, |at| self.accounts[at].starts)
+        self.find_flow(customer).map_or(0.0, |at| self.flows[at].starts)
     }
 
     /// Calls of a customer that wait and can be in time.
     pub fn len_for(&self, customer: &str) -> usize {
-        self.find(customer).map_or(0, |at| self.accounts[at].queue.len())
+        self.find_flow(customer)
+            .map_or(0, |at| self.flows[at].waiting.len())
     }
 
     /// Sets calls aside that can no longer be in time, so that they do not
     /// make the next ones late as well.
     pub fn defer_late(&mut self, now: Moment) {
-        for account in &mut self.accounts {
+        for account in &mut self.flows {
             while account
-                .queue
+                .waiting
                 .front()
                 .is_some_and(|head| now.reached(head.late_at))
             {
-                account.late.extend(account.queue.pop_front());
+                account.late.extend(account.waiting.pop_front());
             }
         }
     }
@@ -165,37 +166,39 @@
     /// has an even part of the pace, in calls a second, whether it asks for it
     /// or not: one that floods would else take the others' part as well.
     pub fn reserve(&mut self, least: Moment, customer: &str, pace: f64) -> Moment {
-        let active = self.accounts.iter().filter(|account| account.starts >= ACTIVE);
+        let active = self
+            .flows
+            .iter()
+            .filter(|account| account.starts >= ACTIVE_STARTS);
         let parts = active.count().max(1) as f64;
-        let at = self.account(customer);
-        let next = self.accounts[at].promised + Duration::from_secs_f64(parts / pace.max(1e-3));
+        let at = self.flow_index(customer);
+        let next = self.flows[at].last_reservation + Duration::from_secs_f64(parts / pace.max(1e-3));
         let due = next.max(least);
-        self.accounts[at].promised = due;
-        let place = self.promises.partition_point(|have| *have <= due);
-        self.promises.insert(place, due);
+        self.flows[at].last_reservation = due;
+        let place = self.reservations.partition_point(|have| *have <= due);
+        self.reservations.insert(place, due);
         due
     }
 
     /// Calls that were told to come back by then.
     pub fn reserved_until(&self, then: Moment) -> usize {
-        self.promises.partition_point(|due| *due <= then)
+        self.reservations.partition_point(|due| *due <= then)
     }
 
     /// Drops promises whose time has passed.
     pub fn expire_reservations(&mut self, now: Moment) {
         let passed = self.reserved_until(now);
-        self.promises.drain(..passed);
+        self.reservations.drain(..passed);
     }
 
     /// Calls that would start before one more of this customer.
     pub fn calls_ahead(&self, customer: &str) -> usize {
-        let own = self.find(customer).map_or(0, |at| self.accounts[at].queue.len());
-        let others = self
-            .accounts
-            .iter()
-            .filter(|account| account.customer != customer);
+        let own = self
+            .find_flow(customer)
+            .map_or(0, |at| self.flows[at].waiting.len());
+        let others = self.flows.iter().filter(|account| account.customer != customer);
         own + others
-            .map(|account| account.queue.len().min(own + 1))
+            .map(|account| account.waiting.len().min(own + 1))
             .sum::<usize>()
     }
 
@@ -205,14 +208,14 @@
         policy: Policy,
         mut choose: impl FnMut(&Submission) -> Option<Key>,
     ) -> Option<(Entry, Key)> {
-        if let Some(taken) = self.take_back(&mut choose) {
+        if let Some(taken) = self.take_returned(&mut choose) {
             return Some(taken);
         }
         if self.heads().next().is_none() {
             return self.take_late(choose);
         }
-        for at in self.order(policy) {
-            let Some(head) = self.accounts[at].queue.front() else {
+        for at in self.candidates(policy) {
+            let Some(head) = self.flows[at].waiting.front() else {
                 continue;
             };
             let Some(runner) = choose(&head.submission) else {
@@ -223,55 +226,57 @@
                 }
                 continue;
             };
-            let item = self.accounts[at].queue.pop_front()?;
+            let item = self.flows[at].waiting.pop_front()?;
             self.len -= 1;
             self.starts += 1.0;
-            self.accounts[at].starts += 1.0;
-            self.level = self.level.max(self.accounts[at].served);
-            self.accounts[at].served += self.expected(&item.submission);
+            self.flows[at].starts += 1.0;
+            self.virtual_tokens = self.virtual_tokens.max(self.flows[at].served_tokens);
+            self.flows[at].served_tokens += self.expected_tokens(&item.submission);
             return Some((item, runner));
         }
         None
     }
 
     /// Takes a call that came back as promised.
-    fn take_back(&mut self, choose: &mut impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
-        let runner = choose(&self.back.front()?.submission)?;
-        let item = self.back.pop_front()?;
+    fn take_returned(&mut self, choose: &mut impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
+        let runner = choose(&self.returned.front()?.submission)?;
+        let item = self.returned.pop_front()?;
         self.len -= 1;
         self.starts += 1.0;
-        let at = self.account(&item.submission.customer);
-        self.accounts[at].starts += 1.0;
-        self.accounts[at].served += self.expected(&item.submission);
+        let at = self.flow_index(&item.submission.customer);
+        self.flows[at].starts += 1.0;
+        self.flows[at].served_tokens += self.expected_tokens(&item.submission);
         Some((item, runner))
     }
 
     /// Takes the call that has been late for the longest; nothing that can be
     /// in time waits.
     fn take_late(&mut self, mut choose: impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
-        let late = |at: &usize| self.accounts[*at].late.front().map(|head| head.queued_at);
-        let at = (0..self.accounts.len())
+        let late = |at: &usize| self.flows[*at].late.front().map(|head| head.queued_at);
+        let at = (0..self.flows.len())
             .filter(|at| late(at).is_some())
             .min_by_key(late)?;
-        let runner = choose(&self.accounts[at].late.front()?.submission)?;
-        let item = self.accounts[at].late.pop_front()?;
+        let runner = choose(&self.flows[at].late.front()?.submission)?;
+        let item = self.flows[at].late.pop_front()?;
         self.len -= 1;
         self.starts += 1.0;
-        self.accounts[at].starts += 1.0;
+        self.flows[at].starts += 1.0;
         Some((item, runner))
     }
 
     /// Customers whose turn it is, the first few.
-    fn order(&self, policy: Policy) -> Vec<usize> {
-        let since = |at: &usize| self.accounts[*at].queue.front().map(|head| head.queued_at);
+    fn candidates(&self, policy: Policy) -> Vec<usize> {
+        let since = |at: &usize| self.flows[*at].waiting.front().map(|head| head.queued_at);
         let compare = |a: &usize, b: &usize| match policy.is_fair() {
-            true => self.accounts[*a].served.total_cmp(&self.accounts[*b].served),
+            true => self.flows[*a]
+                .served_tokens
+                .total_cmp(&self.flows[*b].served_tokens),
             false => since(a).cmp(&since(b)),
         };
         let mut order: Vec<usize> = self.heads().map(|(at, _)| at).collect();
-        if order.len() > HEADS {
-            order.select_nth_unstable_by(HEADS, compare);
-            order.truncate(HEADS);
+        if order.len() > MAX_CANDIDATES {
+            order.select_nth_unstable_by(MAX_CANDIDATES, compare);
+            order.truncate(MAX_CANDIDATES);
         }
         order.sort_by(compare);
         order
@@ -279,19 +284,19 @@
 
     /// Corrects what a call was expected to cost, and learns its length.
     pub fn record_usage(&mut self, seek: &Submission, tokens: u32, whole: bool) {
-        let expected = self.expected(seek);
-        let at = self.account(&seek.customer);
-        self.accounts[at].served += f64::from(tokens) - expected;
+        let expected = self.expected_tokens(seek);
+        let at = self.flow_index(&seek.customer);
+        self.flows[at].served_tokens += f64::from(tokens) - expected;
         if whole {
-            self.learn(&seek.class, f64::from(tokens));
+            self.learn_length(&seek.class, f64::from(tokens));
         }
     }
 
     /// Takes a retry from the budget, if there is one left.
     pub fn take_retry(&mut self) -> bool {
-        let left = self.retries >= 1.0;
+        let left = self.retry_budget >= 1.0;
         if left {
-            self.retries -= 1.0;
+            self.retry_budget -= 1.0;
         }
         left
     }
@@ -299,9 +304,9 @@
     /// Ages the counts and refills the retry budget.
     pub fn decay(&mut self, factor: f64, share: f64, least: f64) {
         let most = (self.starts * share).max(least);
-        self.retries = (self.retries + most * (1.0 - factor)).min(most);
+        self.retry_budget = (self.retry_budget + most * (1.0 - factor)).min(most);
         self.starts *= factor;
-        for account in &mut self.accounts {
+        for account in &mut self.flows {
             account.starts *= factor;
         }
     }
@@ -309,11 +314,15 @@
     /// Takes out the calls that waited too long.
     pub fn expire(&mut self, now: Moment) -> Vec<Entry> {
         let mut out = Vec::new();
-        while self.back.front().is_some_and(|head| now.reached(head.expires_at)) {
-            out.extend(self.back.pop_front());
+        while self
+            .returned
+            .front()
+            .is_some_and(|head| now.reached(head.expires_at))
+        {
+            out.extend(self.returned.pop_front());
         }
-        for account in &mut self.accounts {
-            for queue in [&mut account.late, &mut account.queue] {
+        for account in &mut self.flows {
+            for queue in [&mut account.late, &mut account.waiting] {
                 while queue.front().is_some_and(|head| now.reached(head.expires_at)) {
                     out.extend(queue.pop_front());
                 }
@@ -325,13 +334,13 @@
 
     /// Takes a call out by name.
     pub fn remove(&mut self, call: Call) -> bool {
-        if let Some(at) = self.back.iter().position(|item| item.submission.call == call) {
-            self.back.remove(at);
+        if let Some(at) = self.returned.iter().position(|item| item.submission.call == call) {
+            self.returned.remove(at);
             self.len -= 1;
             return true;
         }
-        for account in &mut self.accounts {
-            for queue in [&mut account.late, &mut account.queue] {
+        for account in &mut self.flows {
+            for queue in [&mut account.late, &mut account.waiting] {
                 if let Some(at) = queue.iter().position(|item| item.submission.call == call) {
                     queue.remove(at);
                     self.len -= 1;
@@ -344,12 +353,12 @@
 
     /// Takes out the calls for which `leaves` holds.
     pub fn drain_if(&mut self, leaves: impl Fn(&Submission) -> bool) -> Vec<Entry> {
-        let (mut out, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.back)
+        let (mut out, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.returned)
             .into_iter()
             .partition(|item| leaves(&item.submission));
-        self.back = rest.into();
-        for account in &mut self.accounts {
-            for queue in [&mut account.late, &mut account.queue] {
+        self.returned = rest.into();
+        for account in &mut self.flows {
+            for queue in [&mut account.late, &mut account.waiting] {
                 let (gone, rest): (Vec<_>, Vec<_>) = std::mem::take(queue)
                     .into_iter()
                     .partition(|item| leaves(&item.submission));
@@ -361,50 +370,52 @@
         out
     }
 
-    fn expected(&self, seek: &Submission) -> f64 {
+    fn expected_tokens(&self, seek: &Submission) -> f64 {
         let most = f64::from(seek.max_tokens);
-        let learned = self.lengths.binary_search_by(|(class, _)| class.cmp(&seek.class));
-        learned.map_or(most, |at| self.lengths[at].1.min(most))
+        let learned = self
+            .mean_tokens
+            .binary_search_by(|(class, _)| class.cmp(&seek.class));
+        learned.map_or(most, |at| self.mean_tokens[at].1.min(most))
     }
 
-    fn learn(&mut self, class: &str, tokens: f64) {
+    fn learn_length(&mut self, class: &str, tokens: f64) {
         match self
-            .lengths
+            .mean_tokens
             .binary_search_by(|(have, _)| have.as_str().cmp(class))
         {
-            Ok(at) => self.lengths[at].1 += (tokens - self.lengths[at].1) * GAIN,
-            Err(at) => self.lengths.insert(at, (class.to_string(), tokens)),
+            Ok(at) => self.mean_tokens[at].1 += (tokens - self.mean_tokens[at].1) * LENGTH_GAIN,
+            Err(at) => self.mean_tokens.insert(at, (class.to_string(), tokens)),
         }
     }
 
     fn heads(&self) -> impl Iterator<Item = (usize, &Entry)> {
-        self.accounts
+        self.flows
             .iter()
             .enumerate()
-            .filter_map(|(at, account)| Some((at, account.queue.front()?)))
+            .filter_map(|(at, account)| Some((at, account.waiting.front()?)))
     }
 
-    fn find(&self, customer: &str) -> Option<usize> {
-        self.accounts
+    fn find_flow(&self, customer: &str) -> Option<usize> {
+        self.flows
             .binary_search_by(|account| account.customer.as_str().cmp(customer))
             .ok()
     }
 
-    fn account(&mut self, customer: &str) -> usize {
+    fn flow_index(&mut self, customer: &str) -> usize {
         match self
-            .accounts
+            .flows
             .binary_search_by(|account| account.customer.as_str().cmp(customer))
         {
             Ok(at) => at,
             Err(at) => {
-                self.accounts.insert(
+                self.flows.insert(
                     at,
                     Flow {
                         customer: customer.to_string(),
-                        served: self.level,
+                        served_tokens: self.virtual_tokens,
                         starts: 0.0,
-                        promised: Moment::default(),
-                        queue: VecDeque::new(),
+                        last_reservation: Moment::default(),
+                        waiting: VecDeque::new(),
                         late: VecDeque::new(),
                     },
                 );
