--- a/crates/core/src/dispatch/placement.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -17,16 +17,16 @@
 use crate::time::Moment;
 
 /// Pairs drawn before the whole zone is searched.
-const DRAWS: usize = 3;
+const MAX_DRAWS: usize = 3;
 /// How far above the mean load prefix affinity may push a runner.
 const AFFINITY_SLACK: f64 = 1.25;
 /// Most that one host takes at once of what is free, in percent of an even
 /// share.
 const HOST_SHARE_PERCENT: u32 = 125;
 /// Part of a runner that is given out to hosts of other zones.
-const FAR_PERCENT: u32 = 12;
+const REMOTE_PERCENT: u32 = 12;
 /// Part of a target that a foretold wait may take.
-const MARGIN: f64 = 0.5;
+const TARGET_FRACTION: f64 = 0.5;
 /// Overbooking of runners by better tiers in earlier versions: the engine's
 /// own priorities were to be the second line.
 const OVERBOOKED_PERCENT: u32 = 150;
@@ -126,7 +126,7 @@
     /// Part of the target that a foretold wait may take. A queue that is let
     /// grow to the whole target serves everyone just as it passes.
     pub fn target_fraction(self) -> f64 {
-        if self.defers_late() { MARGIN } else { 1.0 }
+        if self.defers_late() { TARGET_FRACTION } else { 1.0 }
     }
 
     /// Whether a reserve is kept for protected tiers.
@@ -171,7 +171,7 @@
 
 /// Where the runners of a choice are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reach {
+enum Locality {
     /// In this host's zone.
     Near,
     /// In other zones, beside open ones in this.
@@ -201,27 +201,27 @@
             .copied()
             .flatten()
             .any(|key| runners.get(*key).is_available(self.now));
-        self.choose_among(runners, rng, seek, &near, Reach::Near)
+        self.pick_among(runners, rng, seek, &near, Locality::Near)
             .or_else(|| {
                 let far: Vec<&[Key]> = far.map(|(_, keys)| keys.as_slice()).collect();
-                let reach = if alone { Reach::Alone } else { Reach::Far };
-                self.choose_among(runners, rng, seek, &far, reach)
+                let reach = if alone { Locality::Alone } else { Locality::Far };
+                self.pick_among(runners, rng, seek, &far, reach)
             })
     }
 
-    fn choose_among(
+    fn pick_among(
         &self,
         runners: &Runners,
         rng: &mut ChaCha8Rng,
         seek: &Submission,
         groups: &[&[Key]],
-        reach: Reach,
+        reach: Locality,
     ) -> Option<Key> {
         let count: usize = groups.iter().map(|group| group.len()).sum();
         if count == 0 {
             return None;
         }
-        let avoid = self.avoid(runners, seek);
+        let avoid = self.excluded(runners, seek);
         let fits = |key: &Key| self.fits(runners.get(*key), reach) && !avoid.contains(key);
         let all = || groups.iter().flat_map(|group| group.iter().copied()).filter(fits);
         match self.policy {
@@ -237,7 +237,7 @@
                 let best = self.draw(runners, rng, groups, count, fits).or_else(|| {
                     all().min_by(|a, b| self.cost(runners.get(*a)).total_cmp(&self.cost(runners.get(*b))))
                 })?;
-                Some(self.affine(runners, seek, all, best))
+                Some(self.prefer_cached(runners, seek, all, best))
             }
         }
     }
@@ -250,7 +250,7 @@
         count: usize,
         fits: impl Fn(&Key) -> bool,
     ) -> Option<Key> {
-        for _ in 0..DRAWS {
+        for _ in 0..MAX_DRAWS {
             let pair = [pick(rng, groups, count), pick(rng, groups, count)];
             let best = pair
                 .into_iter()
@@ -264,7 +264,7 @@
     }
 
     /// The prompt's own runner, if its load stays near that of the best found.
-    fn affine<I: Iterator<Item = Key>>(
+    fn prefer_cached<I: Iterator<Item = Key>>(
         &self,
         runners: &Runners,
         seek: &Submission,
@@ -278,7 +278,8 @@
         let bound = runners.get(best).load() * AFFINITY_SLACK + 0.25;
         match home {
             Some(home)
-                if runners.get(home).load() <= bound && self.steady(runners.get(home), runners.get(best)) =>
+                if runners.get(home).load() <= bound
+                    && self.is_comparable(runners.get(home), runners.get(best)) =>
             {
                 home
             }
@@ -287,14 +288,14 @@
     }
 
     /// Affinity must not hold on to a straggler.
-    fn steady(&self, home: &Runner, best: &Runner) -> bool {
+    fn is_comparable(&self, home: &Runner, best: &Runner) -> bool {
         home.ms_per_token == 0.0 || best.ms_per_token == 0.0 || home.ms_per_token <= best.ms_per_token * 2.0
     }
 
     /// Runners to leave out: those that failed the call before, as long as
     /// there is any other. Where there is none the call would else wait for
     /// nothing until its patience ends.
-    fn avoid<'a>(&self, runners: &Runners, seek: &'a Submission) -> &'a [Key] {
+    fn excluded<'a>(&self, runners: &Runners, seek: &'a Submission) -> &'a [Key] {
         let mut all = seek
             .pools
             .iter()
@@ -307,23 +308,24 @@
         }
     }
 
-    fn fits(&self, runner: &Runner, reach: Reach) -> bool {
+    fn fits(&self, runner: &Runner, reach: Locality) -> bool {
         let far = self.policy.shares_remote();
         let room = match reach {
-            Reach::Far if far => self.room_far(runner),
-            Reach::Alone if far => self.room(runner).min(self.even_share(runner)),
+            Locality::Far if far => self.remote_capacity(runner),
+            Locality::Alone if far => self.capacity(runner).min(self.even_share(runner)),
             // A protected tier need not leave that part alone: waiting here
             // beside a free slot would be worse than sharing it.
-            Reach::Near if far && !self.protected && self.hosts > self.zone_hosts => {
-                self.room(runner).saturating_sub(given_out(runner)).max(1)
+            Locality::Near if far && !self.protected && self.hosts > self.zone_hosts => {
+                self.capacity(runner).saturating_sub(remote_slots(runner)).max(1)
             }
-            Reach::Near | Reach::Far | Reach::Alone => self.room(runner),
+            Locality::Near | Locality::Far | Locality::Alone => self.capacity(runner),
         };
-        let races = far && reach == Reach::Near && !self.protected && self.rivals_at(runner).higher_priority;
+        let races =
+            far && reach == Locality::Near && !self.protected && self.contention_for(runner).higher_priority;
         let taken = runner.running + runner.peer_running;
         let wins = !races || runner.unreported < self.share_of_free(room, taken, runner.unreported);
-        let yields = self.policy.yields_to_peers() && reach == Reach::Near && !self.protected;
-        let leaves_room = !yields || runner.running < self.share_beside_mates(runner, room);
+        let yields = self.policy.yields_to_peers() && reach == Locality::Near && !self.protected;
+        let leaves_room = !yields || runner.running < self.share_beside_peers(runner, room);
         runner.is_available(self.now) && taken < room && wins && leaves_room
     }
 
@@ -334,7 +336,7 @@
     /// host had both for 4.5 s, while its mate's 28 calls all became late. Each host
     /// that waits is left an even part; one that has less than it wants leaves the
     /// rest, so that no slot stays free for longer than its word takes.
-    fn share_beside_mates(&self, runner: &Runner, room: u32) -> u32 {
+    fn share_beside_peers(&self, runner: &Runner, room: u32) -> u32 {
         let pool = runner.listing.pool.as_str();
         let mates = self.waiting_peers.iter().find(|(name, _)| name == pool);
         room.div_ceil(mates.map_or(0, |(_, count)| *count) + 1)
@@ -346,11 +348,11 @@
     /// So a part of each runner is given out, one call each, to a few hosts
     /// that take turns by the runner's name, never more than the part; the
     /// hosts of its own zone leave that part alone.
-    fn room_far(&self, runner: &Runner) -> u32 {
+    fn remote_capacity(&self, runner: &Runner) -> u32 {
         let hosts = self.hosts.max(1);
         let first = id::digest(runner.listing.name.as_bytes()) as usize % hosts;
         let turn = (self.host_index + hosts - first) % hosts;
-        u32::from(turn < given_out(runner) as usize)
+        u32::from(turn < remote_slots(runner) as usize)
     }
 
     /// Most that this host takes at once of what was free when it last heard
@@ -361,7 +363,7 @@
         (free * HOST_SHARE_PERCENT / 100).div_ceil(self.zone_hosts.max(1) as u32)
     }
 
-    fn rivals_at(&self, runner: &Runner) -> Contention {
+    fn contention_for(&self, runner: &Runner) -> Contention {
         let pool = runner.listing.pool.as_str();
         let rivals = self.contention.iter().find(|(name, _)| *name == pool);
         rivals.map_or(Contention::default(), |(_, rivals)| *rivals)
@@ -378,7 +380,7 @@
     /// worse tier that fills every slot makes them wait for the end of a long
     /// answer. Nobody queues at the engine: what waits there is not seen by
     /// the foretold waits, and makes its whole tier late in a burst.
-    fn room(&self, runner: &Runner) -> u32 {
+    fn capacity(&self, runner: &Runner) -> u32 {
         let slots = runner.listing.slots;
         let reserved = (slots * (100 - u32::from(self.reserve_percent)) / 100).max(1);
         let overbooked = slots * OVERBOOKED_PERCENT / 100;
@@ -388,7 +390,7 @@
         if !self.policy.reserves_per_tier() {
             return if self.protected { overbooked } else { reserved };
         }
-        match self.rivals_at(runner) {
+        match self.contention_for(runner) {
             Contention {
                 higher_priority: true,
                 ..
@@ -407,8 +409,8 @@
 }
 
 /// Calls of a runner that hosts of other zones may have.
-fn given_out(runner: &Runner) -> u32 {
-    (runner.listing.slots * FAR_PERCENT / 100).max(1)
+fn remote_slots(runner: &Runner) -> u32 {
+    (runner.listing.slots * REMOTE_PERCENT / 100).max(1)
 }
 
 fn pick(rng: &mut ChaCha8Rng, groups: &[&[Key]], count: usize) -> Key {
