--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -18,24 +18,24 @@
 /// Watchers a zone.
 pub const WATCHERS_PER_ZONE: usize = 2;
 /// Entries kept for peers that lag.
-const TAIL: usize = 256;
+const MAX_TAIL: usize = 256;
 /// Entries in one answer from the store.
-const BATCH: u32 = 64;
+const BATCH_ENTRIES: u32 = 64;
 /// Versions after which the snapshot in the store is made anew.
 const SNAPSHOT_EVERY: u64 = 32;
 /// Wait for a store answer before asking again; a watch takes longer.
-const PATIENCE: Duration = Duration::from_secs(15);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Pause after a store call that failed.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How long a host that has just started listens to its peers before it
 /// trusts what it read: long enough for two heartbeats.
-const BOOT: Duration = Duration::from_secs(3);
+const STARTUP_WAIT: Duration = Duration::from_secs(3);
 /// Pause between pulls from peers.
-const PULL: Duration = Duration::from_millis(300);
+const PULL_INTERVAL: Duration = Duration::from_millis(300);
 
 plain! {
     #[derive(Copy)]
-    enum Step {
+    enum State {
         Idle,
         Snapshot,
         Range,
@@ -49,16 +49,16 @@
 pub struct Service {
     view: Arc<View>,
     tail: Vec<Entry>,
-    step: Step,
-    sent: Moment,
-    next: Moment,
-    pulled: Option<Moment>,
-    snapshot: (u64, u64),
-    booted: bool,
-    fresh: Option<Moment>,
-    began: Option<Moment>,
-    heard: u64,
-    settled: bool,
+    state: State,
+    sent_at: Moment,
+    next_call: Moment,
+    last_pull: Option<Moment>,
+    stored_snapshot: (u64, u64),
+    snapshot_read: bool,
+    fresh_at: Option<Moment>,
+    started_at: Option<Moment>,
+    newest_heard: u64,
+    caught_up: bool,
     watcher: bool,
 }
 
@@ -67,16 +67,16 @@
         Self {
             view: Arc::new(View::default()),
             tail: Vec::new(),
-            step: Step::Idle,
-            sent: Moment::default(),
-            next: Moment::default(),
-            pulled: None,
-            snapshot: (0, 0),
-            booted: false,
-            fresh: None,
-            began: None,
-            heard: 0,
-            settled: false,
+            state: State::Idle,
+            sent_at: Moment::default(),
+            next_call: Moment::default(),
+            last_pull: None,
+            stored_snapshot: (0, 0),
+            snapshot_read: false,
+            fresh_at: None,
+            started_at: None,
+            newest_heard: 0,
+            caught_up: false,
             watcher: false,
         }
     }
@@ -91,85 +91,85 @@
     /// Time since this host knew, first-hand or through peers, that nothing
     /// newer stood in the store.
     pub fn age(&self, now: Moment) -> Option<Duration> {
-        self.fresh.map(|fresh| now.since(fresh))
+        self.fresh_at.map(|fresh| now.since(fresh))
     }
 
     /// Whether keys may be trusted: this host has listened to its peers since
     /// it started, and has not been cut off for too long.
     pub fn trusted(&self, now: Moment) -> bool {
         let horizon = self.view.document.settings.key_horizon;
-        self.settled && self.age(now).is_some_and(|age| age <= horizon)
+        self.caught_up && self.age(now).is_some_and(|age| age <= horizon)
     }
 
     /// A host that starts during an outage may read an old snapshot while its
     /// peers hold a newer version; a key withdrawn in between would work again
     /// here. So it waits to hear them and until it is as new as any of them.
-    fn settle(&mut self, now: Moment) {
-        let began = *self.began.get_or_insert(now);
-        let listened = now.since(began) >= BOOT;
-        self.settled |= listened && self.view.version > 0 && self.view.version >= self.heard;
+    fn update_caught_up(&mut self, now: Moment) {
+        let began = *self.started_at.get_or_insert(now);
+        let listened = now.since(began) >= STARTUP_WAIT;
+        self.caught_up |= listened && self.view.version > 0 && self.view.version >= self.newest_heard;
     }
 
     /// Moves on; `watcher` tells whether to ask the store. A host that has no
     /// configuration asks whatever its rank, as it may have no peer.
     pub fn tick(&mut self, now: Moment, watcher: bool) -> Option<Call> {
-        self.settle(now);
+        self.update_caught_up(now);
         self.watcher = watcher;
-        if self.step != Step::Idle && now.since(self.sent) >= PATIENCE + PATIENCE {
-            self.step = Step::Idle;
+        if self.state != State::Idle && now.since(self.sent_at) >= ANSWER_TIMEOUT + ANSWER_TIMEOUT {
+            self.state = State::Idle;
         }
-        if self.step != Step::Idle || !now.reached(self.next) {
+        if self.state != State::Idle || !now.reached(self.next_call) {
             return None;
         }
         if !watcher && self.view.version > 0 {
             return None;
         }
-        self.sent = now;
-        if !self.booted {
-            self.step = Step::Snapshot;
+        self.sent_at = now;
+        if !self.snapshot_read {
+            self.state = State::Snapshot;
             return Some(Call::Get {
                 key: change::SNAPSHOT_KEY.into(),
             });
         }
-        if watcher && self.view.version >= self.snapshot.0 + SNAPSHOT_EVERY {
-            return Some(self.publish());
+        if watcher && self.view.version >= self.stored_snapshot.0 + SNAPSHOT_EVERY {
+            return Some(self.write_snapshot());
         }
-        Some(self.range())
+        Some(self.read_log())
     }
 
     /// The store's answer; tells whether the view changed.
     pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> (bool, Option<Call>) {
-        let step = std::mem::replace(&mut self.step, Step::Idle);
+        let step = std::mem::replace(&mut self.state, State::Idle);
         match (step, answer) {
-            (Step::Snapshot, Answer::Found(entries)) => {
+            (State::Snapshot, Answer::Found(entries)) => {
                 let entry = entries.first().filter(|entry| entry.version > 0);
                 let snapshot = entry.and_then(|entry| serde_json::from_str::<Snapshot>(&entry.value).ok());
-                self.snapshot = (
+                self.stored_snapshot = (
                     snapshot.as_ref().map_or(0, |snapshot| snapshot.version),
                     entry.map_or(0, |entry| entry.version),
                 );
-                self.booted = true;
+                self.snapshot_read = true;
                 let changed = snapshot.is_some_and(|snapshot| self.replace(snapshot));
-                self.sent = now;
-                (changed, Some(self.range()))
+                self.sent_at = now;
+                (changed, Some(self.read_log()))
             }
-            (Step::Range, Answer::Found(entries)) => self.ranged(now, entries),
-            (Step::Watch, Answer::Found(_)) => {
-                self.fresh = Some(now);
-                self.sent = now;
-                (false, Some(self.range()))
+            (State::Range, Answer::Found(entries)) => self.on_log_entries(now, entries),
+            (State::Watch, Answer::Found(_)) => {
+                self.fresh_at = Some(now);
+                self.sent_at = now;
+                (false, Some(self.read_log()))
             }
-            (Step::Publish, Answer::Written(version)) => {
-                self.snapshot = (self.view.version, *version);
+            (State::Publish, Answer::Written(version)) => {
+                self.stored_snapshot = (self.view.version, *version);
                 (false, None)
             }
-            (Step::Publish, _) => {
-                self.booted = false;
-                self.next = now + PAUSE;
+            (State::Publish, _) => {
+                self.snapshot_read = false;
+                self.next_call = now + RETRY_DELAY;
                 (false, None)
             }
             _ => {
-                self.next = now + PAUSE;
+                self.next_call = now + RETRY_DELAY;
                 (false, None)
             }
         }
@@ -177,15 +177,17 @@
 
     /// A peer's beat: where it is ahead, its address is worth a pull.
     pub fn on_heartbeat(&mut self, now: Moment, beat: &Heartbeat) -> Option<Pull> {
-        self.heard = self.heard.max(beat.version);
+        self.newest_heard = self.newest_heard.max(beat.version);
         if beat.version == self.view.version && beat.version > 0 {
-            self.freshen(now, beat.age);
+            self.update_freshness(now, beat.age);
         }
-        let due = self.pulled.is_none_or(|pulled| now.since(pulled) >= PULL);
+        let due = self
+            .last_pull
+            .is_none_or(|pulled| now.since(pulled) >= PULL_INTERVAL);
         if beat.version <= self.view.version || !due {
             return None;
         }
-        self.pulled = Some(now);
+        self.last_pull = Some(now);
         Some(Pull {
             have: self.view.version,
         })
@@ -232,7 +234,7 @@
         changed
     }
 
-    fn ranged(&mut self, now: Moment, entries: &[crate::store::Entry]) -> (bool, Option<Call>) {
+    fn on_log_entries(&mut self, now: Moment, entries: &[crate::store::Entry]) -> (bool, Option<Call>) {
         let parsed: Vec<Entry> = entries
             .iter()
             .filter_map(|entry| serde_json::from_str(&entry.value).ok())
@@ -241,19 +243,19 @@
             .first()
             .is_some_and(|entry| entry.version > self.view.version + 1);
         if gap {
-            self.booted = false;
-            self.next = now + PAUSE;
+            self.snapshot_read = false;
+            self.next_call = now + RETRY_DELAY;
             return (false, None);
         }
         let mut changed = false;
-        let full = parsed.len() >= BATCH as usize;
+        let full = parsed.len() >= BATCH_ENTRIES as usize;
         for entry in parsed {
             changed |= self.apply(entry);
         }
-        self.fresh = Some(self.sent);
-        self.sent = now;
+        self.fresh_at = Some(self.sent_at);
+        self.sent_at = now;
         if full {
-            return (changed, Some(self.range()));
+            return (changed, Some(self.read_log()));
         }
         // A host is a watcher for a moment at its start, before it hears its
         // peers. Going on with it would leave a waiting watch a host in the
@@ -261,10 +263,10 @@
         if !self.watcher {
             return (changed, None);
         }
-        if self.view.version >= self.snapshot.0 + SNAPSHOT_EVERY {
-            return (changed, Some(self.publish()));
+        if self.view.version >= self.stored_snapshot.0 + SNAPSHOT_EVERY {
+            return (changed, Some(self.write_snapshot()));
         }
-        self.step = Step::Watch;
+        self.state = State::Watch;
         let call = Call::Watch {
             prefix: change::LOG_PREFIX.into(),
             after: change::log_key(self.view.version),
@@ -272,24 +274,24 @@
         (changed, Some(call))
     }
 
-    fn range(&mut self) -> Call {
-        self.step = Step::Range;
+    fn read_log(&mut self) -> Call {
+        self.state = State::Range;
         Call::Range {
             prefix: change::LOG_PREFIX.into(),
             after: change::log_key(self.view.version),
-            limit: BATCH,
+            limit: BATCH_ENTRIES,
         }
     }
 
-    fn publish(&mut self) -> Call {
-        self.step = Step::Publish;
+    fn write_snapshot(&mut self) -> Call {
+        self.state = State::Publish;
         let snapshot = Snapshot {
             version: self.view.version,
             document: self.view.document.clone(),
         };
         Call::Swap {
             key: change::SNAPSHOT_KEY.into(),
-            expect: self.snapshot.1,
+            expect: self.stored_snapshot.1,
             value: serde_json::to_string(&snapshot).unwrap_or_default(),
         }
     }
@@ -305,7 +307,7 @@
         let _ = change::apply(&mut document, &entry.ops);
         self.view = Arc::new(View::new(entry.version, document));
         self.tail.push(entry);
-        if self.tail.len() > TAIL {
+        if self.tail.len() > MAX_TAIL {
             self.tail.remove(0);
         }
         true
@@ -320,7 +322,7 @@
         true
     }
 
-    fn freshen(&mut self, now: Moment, age: u64) {
+    fn update_freshness(&mut self, now: Moment, age: u64) {
         let Some(mono) = now.mono.checked_sub(age.saturating_mul(1_000)) else {
             return;
         };
@@ -328,8 +330,8 @@
             mono,
             wall: now.wall.saturating_sub(age),
         };
-        if self.fresh.is_none_or(|have| have < fresh) {
-            self.fresh = Some(fresh);
+        if self.fresh_at.is_none_or(|have| have < fresh) {
+            self.fresh_at = Some(fresh);
         }
     }
 }
