--- a/crates/core/src/config/view.rs
+++ b/crates/core/src/config/view.rs
@@ -45,7 +45,7 @@
     /// The document itself.
     pub document: Document,
     hashes: Vec<([u8; 32], usize)>,
-    order: Vec<usize>,
+    selector_order: Vec<usize>,
 }
 
 impl View {
@@ -68,7 +68,7 @@
             version,
             document,
             hashes,
-            order,
+            selector_order: order,
         }
     }
 
@@ -136,7 +136,7 @@
             .get(class)
             .ok_or_else(|| Refusal::new(Kind::UnknownClass).detail(class))?;
         let selector = self
-            .order
+            .selector_order
             .iter()
             .map(|&at| &self.document.selectors[at])
             .find(|selector| self.matches(selector, caller, class))
