--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -22,9 +22,9 @@
 /// Peers that keep copies.
 pub const CHUNK_REPLICAS: usize = 2;
 /// Chunks in one heartbeat.
-const CHUNKS_A_BEAT: usize = 16;
+const CHUNKS_PER_HEARTBEAT: usize = 16;
 /// Most chunks kept for others.
-const KEPT: usize = 20_000;
+const MAX_CHUNKS: usize = 20_000;
 
 plain! {
     /// One thing to count.
@@ -56,13 +56,13 @@
 pub fn merge_rows(into: &mut Vec<Row>, rows: &[Row]) {
     for row in rows {
         match into.binary_search_by(|have| (&have.customer, &have.class).cmp(&(&row.customer, &row.class))) {
-            Ok(at) => add(&mut into[at], row),
+            Ok(at) => add_row(&mut into[at], row),
             Err(at) => into.insert(at, row.clone()),
         }
     }
 }
 
-fn add(into: &mut Row, row: &Row) {
+fn add_row(into: &mut Row, row: &Row) {
     into.calls += row.calls;
     into.prompt += row.prompt;
     into.tokens += row.tokens;
@@ -74,11 +74,11 @@
 pub struct Meter {
     me: Incarnation,
     length: Duration,
-    open: Vec<Row>,
-    opened: Moment,
+    open_rows: Vec<Row>,
+    opened_at: Moment,
     window: u64,
-    number: u64,
-    sealed: u64,
+    last_number: u64,
+    own_sealed: u64,
     chunks: Vec<Chunk>,
     acked: Vec<(Incarnation, u64)>,
 }
@@ -89,11 +89,11 @@
         Self {
             me,
             length,
-            open: Vec::new(),
-            opened: now,
+            open_rows: Vec::new(),
+            opened_at: now,
             window: window_start(now, length),
-            number: 0,
-            sealed: 0,
+            last_number: 0,
+            own_sealed: 0,
             chunks: Vec::new(),
             acked: Vec::new(),
         }
@@ -115,39 +115,39 @@
             tokens: item.output_tokens,
             broken: u64::from(!item.completed),
         };
-        merge_rows(&mut self.open, &[row]);
+        merge_rows(&mut self.open_rows, &[row]);
     }
 
     /// Closes the open chunk when it is old or its window has ended.
     pub fn tick(&mut self, now: Moment) {
         let current = window_start(now, self.length);
-        if current != self.window || now.since(self.opened) >= MAX_CHUNK_AGE {
+        if current != self.window || now.since(self.opened_at) >= MAX_CHUNK_AGE {
             self.flush(now);
         }
     }
 
     /// Closes the open chunk.
     pub fn flush(&mut self, now: Moment) {
-        if !self.open.is_empty() {
-            self.number += 1;
+        if !self.open_rows.is_empty() {
+            self.last_number += 1;
             let chunk = Chunk {
                 source: self.me.0,
-                number: self.number,
+                number: self.last_number,
                 window: self.window,
-                rows: std::mem::take(&mut self.open),
+                rows: std::mem::take(&mut self.open_rows),
             };
             self.insert(chunk);
         }
-        self.opened = now;
+        self.opened_at = now;
         self.window = window_start(now, self.length).max(self.window);
     }
 
     /// Chunks that a keeper has not confirmed yet.
     pub fn unacknowledged(&self, keeper: Incarnation) -> Vec<Chunk> {
         let acked = self.acked(keeper);
-        self.own()
+        self.own_chunks()
             .filter(|chunk| chunk.number > acked)
-            .take(CHUNKS_A_BEAT)
+            .take(CHUNKS_PER_HEARTBEAT)
             .cloned()
             .collect()
     }
@@ -167,13 +167,13 @@
 
     /// Whether some keeper has all closed chunks.
     pub fn is_replicated(&self) -> bool {
-        let last = self.own().last().map_or(0, |chunk| chunk.number);
-        self.open.is_empty() && (last == 0 || self.acked.iter().any(|(_, number)| *number >= last))
+        let last = self.own_chunks().last().map_or(0, |chunk| chunk.number);
+        self.open_rows.is_empty() && (last == 0 || self.acked.iter().any(|(_, number)| *number >= last))
     }
 
     /// Takes a chunk in for safe keeping; a second copy changes nothing.
     pub fn insert(&mut self, chunk: Chunk) {
-        if self.chunks.len() >= KEPT {
+        if self.chunks.len() >= MAX_CHUNKS {
             return;
         }
         let place = (chunk.source, chunk.number);
@@ -188,7 +188,7 @@
     /// Highest chunk kept of a source, without gaps from the lowest kept.
     pub fn contiguous_until(&self, source: Incarnation) -> u64 {
         let mut last = 0;
-        for chunk in self.of(source.0) {
+        for chunk in self.chunks_of(source.0) {
             if last != 0 && chunk.number != last + 1 {
                 break;
             }
@@ -211,14 +211,14 @@
         }
         // A cursor is forgotten after long silence; without this bound the
         // next chunk of an idle process would look like one after a gap.
-        self.sealed = self.sealed.max(sealed_until(&ask.cursors, self.me.0));
+        self.own_sealed = self.own_sealed.max(sealed_until(&ask.cursors, self.me.0));
         self.chunks
             .retain(|chunk| chunk.number > sealed_until(&ask.cursors, chunk.source));
         let mut sums: Vec<Sum> = Vec::new();
         for chunk in &self.chunks {
             let last = match sums.last() {
                 Some(sum) if sum.source == chunk.source => sum.number,
-                _ if chunk.source == self.me.0 => self.sealed,
+                _ if chunk.source == self.me.0 => self.own_sealed,
                 _ => sealed_until(&ask.cursors, chunk.source),
             };
             let other = chunk.source != self.me.0 && answers(Incarnation(chunk.source));
@@ -242,11 +242,11 @@
         }
     }
 
-    fn own(&self) -> impl Iterator<Item = &Chunk> {
-        self.of(self.me.0)
+    fn own_chunks(&self) -> impl Iterator<Item = &Chunk> {
+        self.chunks_of(self.me.0)
     }
 
-    fn of(&self, source: u64) -> impl Iterator<Item = &Chunk> {
+    fn chunks_of(&self, source: u64) -> impl Iterator<Item = &Chunk> {
         let from = self.chunks.partition_point(|chunk| chunk.source < source);
         self.chunks[from..]
             .iter()
