--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -20,7 +20,7 @@
 pub struct Collection {
     /// Whom to answer; the reporter of this process when absent.
     pub call: Option<Call>,
-    since: Moment,
+    started_at: Moment,
     sums: Vec<Sum>,
 }
 
@@ -29,7 +29,7 @@
     pub fn new(now: Moment, call: Option<Call>, own: Collected) -> Self {
         let mut gather = Self {
             call,
-            since: now,
+            started_at: now,
             sums: Vec::new(),
         };
         gather.add_answer(own);
@@ -51,7 +51,7 @@
 
     /// Whether the mates had their time.
     pub fn is_due(&self, now: Moment) -> bool {
-        now.since(self.since) >= GATHER_TIMEOUT
+        now.since(self.started_at) >= GATHER_TIMEOUT
     }
 
     /// The zone's sum.
