--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -19,11 +19,11 @@
 /// Store key that tells how far reports went.
 pub const PROGRESS_KEY: &str = "usage/head";
 /// Wait for the zones' answers to a collection.
-const COLLECT: Duration = Duration::from_secs(4);
+const COLLECT_TIMEOUT: Duration = Duration::from_secs(4);
 /// Wait for one store answer or report before it counts as lost.
-const PATIENCE: Duration = Duration::from_secs(8);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 /// Pause after a failed step.
-const PAUSE: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Milliseconds after which a source that is silent loses its cursor, and a
 /// chunk that is older is not counted any more: both in one rule, so that a
 /// chunk cannot be counted again once its cursor is gone.
@@ -101,13 +101,13 @@
 plain! {
     enum State {
         Idle,
-        ReadHead { since: Moment },
-        ReadSeals { since: Moment, head: u64 },
+        ReadingProgress { since: Moment },
+        ReadingWindows { since: Moment, head: u64 },
         Ready,
         Collecting { since: Moment, window: u64, bundle: Bundle },
         Sealing,
         Reporting { since: Moment },
-        Recording { since: Moment },
+        RecordingProgress { since: Moment },
     }
 }
 
@@ -117,9 +117,9 @@
     state: State,
     writer: Writer<SealedWindow>,
     unreported: Vec<SealedWindow>,
-    last: Option<SealedWindow>,
-    head_version: u64,
-    next: Moment,
+    last_sealed: Option<SealedWindow>,
+    progress_version: u64,
+    next_step: Moment,
 }
 
 impl Default for Reporter {
@@ -128,9 +128,9 @@
             state: State::Idle,
             writer: Writer::default(),
             unreported: Vec::new(),
-            last: None,
-            head_version: 0,
-            next: Moment::default(),
+            last_sealed: None,
+            progress_version: 0,
+            next_step: Moment::default(),
         }
     }
 }
@@ -148,13 +148,13 @@
             *self = Self::default();
             return None;
         };
-        self.give_up(now);
-        if !now.reached(self.next) {
+        self.time_out(now);
+        if !now.reached(self.next_step) {
             return None;
         }
         match &self.state {
             State::Idle => {
-                self.state = State::ReadHead { since: now };
+                self.state = State::ReadingProgress { since: now };
                 Some(Effect::Store(Call::Get {
                     key: PROGRESS_KEY.into(),
                 }))
@@ -164,8 +164,8 @@
                 since,
                 window,
                 bundle,
-            } if now.since(*since) >= COLLECT => {
-                let seal = self.seal(*window, bundle);
+            } if now.since(*since) >= COLLECT_TIMEOUT => {
+                let seal = self.seal_window(*window, bundle);
                 self.state = State::Sealing;
                 let call = self.writer.write(now, seal_key(seal.number), seal);
                 call.map(Effect::Store)
@@ -206,7 +206,7 @@
     fn next_window(&self, now: Moment, millis: u64) -> u64 {
         let millis = millis.max(1);
         let ended = (now.wall / millis).saturating_sub(1) * millis;
-        match &self.last {
+        match &self.last_sealed {
             Some(seal) => ((seal.window / millis + 1) * millis).max(ended.saturating_sub(millis)),
             None => ended,
         }
@@ -244,15 +244,15 @@
     /// The store's answer.
     pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> Option<Call> {
         if let Some(outcome) = self.writer.on_answer(now, answer) {
-            return self.sealed(now, outcome);
+            return self.on_sealed(now, outcome);
         }
         match (std::mem::replace(&mut self.state, State::Idle), answer) {
-            (State::ReadHead { .. }, Answer::Found(entries)) => {
+            (State::ReadingProgress { .. }, Answer::Found(entries)) => {
                 let entry = entries.first().filter(|entry| entry.version > 0);
-                self.head_version = entry.map_or(0, |entry| entry.version);
+                self.progress_version = entry.map_or(0, |entry| entry.version);
                 let head = entry.and_then(|entry| serde_json::from_str::<Progress>(&entry.value).ok());
                 let reported = head.map_or(0, |head| head.reported);
-                self.state = State::ReadSeals {
+                self.state = State::ReadingWindows {
                     since: now,
                     head: reported,
                 };
@@ -262,12 +262,12 @@
                     limit: 1_000,
                 })
             }
-            (State::ReadSeals { head, .. }, Answer::Found(entries)) => {
+            (State::ReadingWindows { head, .. }, Answer::Found(entries)) => {
                 self.recover(head, entries);
                 None
             }
-            (State::Recording { .. }, Answer::Written(version)) => {
-                self.head_version = *version;
+            (State::RecordingProgress { .. }, Answer::Written(version)) => {
+                self.progress_version = *version;
                 self.state = State::Ready;
                 None
             }
@@ -281,7 +281,7 @@
     }
 
     /// What came of sealing a window.
-    fn sealed(&mut self, now: Moment, outcome: Outcome<SealedWindow>) -> Option<Call> {
+    fn on_sealed(&mut self, now: Moment, outcome: Outcome<SealedWindow>) -> Option<Call> {
         match outcome {
             Outcome::Pending(call) => return Some(call),
             Outcome::Stored(seal, _) => self.adopt(seal),
@@ -293,7 +293,7 @@
 
     fn restart(&mut self, now: Moment) {
         *self = Self {
-            next: now + PAUSE,
+            next_step: now + RETRY_DELAY,
             ..Self::default()
         };
     }
@@ -305,17 +305,17 @@
         };
         if !accepted || self.unreported.is_empty() {
             self.state = State::Ready;
-            self.next = now + PAUSE;
+            self.next_step = now + RETRY_DELAY;
             return None;
         }
         let seal = self.unreported.remove(0);
-        self.state = State::Recording { since: now };
+        self.state = State::RecordingProgress { since: now };
         let head = Progress {
             reported: seal.number,
         };
         Some(Call::Swap {
             key: PROGRESS_KEY.into(),
-            expect: self.head_version,
+            expect: self.progress_version,
             value: serde_json::to_string(&head).unwrap_or_default(),
         })
     }
@@ -326,19 +326,19 @@
             .filter_map(|entry| serde_json::from_str(&entry.value).ok())
             .collect();
         seals.sort_by_key(|seal| seal.number);
-        self.last = seals.last().cloned();
+        self.last_sealed = seals.last().cloned();
         self.unreported = seals.into_iter().filter(|seal| seal.number > head).collect();
         self.state = State::Ready;
     }
 
     fn adopt(&mut self, seal: SealedWindow) {
-        self.last = Some(seal.clone());
+        self.last_sealed = Some(seal.clone());
         self.unreported.push(seal);
         self.state = State::Ready;
     }
 
     fn cursors(&self) -> Vec<Cursor> {
-        let marks = self.last.as_ref().map_or(&[][..], |seal| &seal.marks);
+        let marks = self.last_sealed.as_ref().map_or(&[][..], |seal| &seal.marks);
         marks
             .iter()
             .map(|mark| Cursor {
@@ -348,35 +348,38 @@
             .collect()
     }
 
-    fn seal(&self, window: u64, bundle: &Bundle) -> SealedWindow {
-        let mut marks = self.last.as_ref().map_or(Vec::new(), |seal| seal.marks.clone());
+    fn seal_window(&self, window: u64, bundle: &Bundle) -> SealedWindow {
+        let mut marks = self
+            .last_sealed
+            .as_ref()
+            .map_or(Vec::new(), |seal| seal.marks.clone());
         marks.retain(|mark| mark.moved + RETENTION_MS > window);
         bundle
             .spans
             .iter()
-            .for_each(|span| mark(&mut marks, span, window));
+            .for_each(|span| set_checkpoint(&mut marks, span, window));
         let counts = |part: &&Part| part.window + RETENTION_MS > window;
         let parts: Vec<&Part> = bundle.parts.iter().filter(counts).collect();
         SealedWindow {
-            number: self.last.as_ref().map_or(1, |seal| seal.number + 1),
+            number: self.last_sealed.as_ref().map_or(1, |seal| seal.number + 1),
             window,
             lines: lines(window, &parts),
             marks,
         }
     }
 
-    fn give_up(&mut self, now: Moment) {
-        if self.writer.time_out(now, PATIENCE) {
+    fn time_out(&mut self, now: Moment) {
+        if self.writer.time_out(now, ANSWER_TIMEOUT) {
             *self = Self::default();
         }
         let since = match &self.state {
             State::Idle | State::Ready | State::Collecting { .. } | State::Sealing => return,
-            State::ReadHead { since }
-            | State::ReadSeals { since, .. }
+            State::ReadingProgress { since }
+            | State::ReadingWindows { since, .. }
             | State::Reporting { since }
-            | State::Recording { since } => *since,
+            | State::RecordingProgress { since } => *since,
         };
-        if now.since(since) >= PATIENCE {
+        if now.since(since) >= ANSWER_TIMEOUT {
             *self = Self::default();
         }
     }
@@ -387,7 +390,7 @@
     format!("{SEALED_PREFIX}{number:016}")
 }
 
-fn mark(marks: &mut Vec<Checkpoint>, span: &Span, window: u64) {
+fn set_checkpoint(marks: &mut Vec<Checkpoint>, span: &Span, window: u64) {
     let source = crate::id::Incarnation(span.source);
     let mark = Checkpoint {
         source,
