--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -33,9 +33,9 @@
 /// Longest idempotency key, in bytes.
 pub const MAX_KEY_BYTES: usize = 128;
 /// Reads that settle one lost answer before the caller is told.
-const SETTLE_READS: u32 = 3;
+const MAX_READ_BACKS: u32 = 3;
 /// Claims in the air at once; past it callers are sent away at once.
-const IN_AIR: usize = 256;
+const MAX_PENDING: usize = 256;
 
 record! {
     /// What a claim says.
@@ -51,11 +51,11 @@
     struct Pending {
         call: Call,
         claim: Claim,
-        place: String,
+        store_key: String,
         customer: String,
         body: u64,
         nonce: u64,
-        reads: u32,
+        read_backs: u32,
     }
 }
 
@@ -81,7 +81,7 @@
 
 /// Store key of the claim of an idempotency key.
 pub fn store_key(key: &str, claim: &Claim) -> String {
-    let prefix = if stamp(key).is_some() {
+    let prefix = if timestamp_ms(key).is_some() {
         TIMESTAMPED_PREFIX
     } else {
         PREFIX
@@ -95,7 +95,7 @@
     if key.is_empty() || key.len() > MAX_KEY_BYTES || !printable || key.starts_with(crate::ticket::PREFIX) {
         return Err(Kind::BadIdempotencyKey.into());
     }
-    let Some(stamp) = stamp(key) else {
+    let Some(stamp) = timestamp_ms(key) else {
         return Ok(());
     };
     if stamp > now.wall + MAX_CLOCK_SKEW.as_millis() as u64 {
@@ -107,7 +107,7 @@
     Ok(())
 }
 
-fn stamp(key: &str) -> Option<u64> {
+fn timestamp_ms(key: &str) -> Option<u64> {
     let id = uuid::Uuid::try_parse(key).ok()?;
     let (secs, nanos) = id
         .get_timestamp()
@@ -139,7 +139,7 @@
         if records.contains(&claim) {
             return Ok(records.begin_claim(now, call, claim, customer, body));
         }
-        if !records.has_capacity() || self.pending.len() >= IN_AIR {
+        if !records.has_capacity() || self.pending.len() >= MAX_PENDING {
             let refusal = Refusal::new(Kind::ClaimUnsettled).retry_after(Duration::from_secs(1));
             return Ok(Verdict::Refuse(refusal));
         }
@@ -147,17 +147,17 @@
         let pending = Pending {
             call,
             claim,
-            place: store_key(key, &claim),
+            store_key: store_key(key, &claim),
             customer: customer.to_string(),
             body,
             nonce: self.nonce,
-            reads: 0,
+            read_backs: 0,
         };
         let record = Record {
             owner: self.me,
             nonce: self.nonce,
         };
-        let place = pending.place.clone();
+        let place = pending.store_key.clone();
         self.pending.push((token, pending));
         Err(Ask::Swap {
             key: place,
@@ -180,18 +180,18 @@
         let (_, mut pending) = self.pending.swap_remove(at);
         let call = pending.call;
         let step = match answer {
-            Answer::Written(_) => Ok(self.own(now, records, &pending)),
-            Answer::Conflict(entry) => Ok(self.judge(now, records, &pending, entry)),
+            Answer::Written(_) => Ok(self.begin_own(now, records, &pending)),
+            Answer::Conflict(entry) => Ok(self.on_entry(now, records, &pending, entry)),
             Answer::Found(entries) => match entries.first() {
-                Some(entry) => Ok(self.judge(now, records, &pending, entry)),
+                Some(entry) => Ok(self.on_entry(now, records, &pending, entry)),
                 None => Ok(unsettled()),
             },
             Answer::Refused | Answer::Same => Ok(unsettled()),
             // The write may stand. Without the read-back a claim of our own
             // would look like a stranger's and the call would never run.
-            Answer::Lost if pending.reads < SETTLE_READS => {
-                pending.reads += 1;
-                let key = pending.place.clone();
+            Answer::Lost if pending.read_backs < MAX_READ_BACKS => {
+                pending.read_backs += 1;
+                let key = pending.store_key.clone();
                 self.pending.push((again, pending));
                 Err(Ask::Get { key })
             }
@@ -200,18 +200,18 @@
         Some((call, step))
     }
 
-    fn judge(&self, now: Moment, records: &mut Records, pending: &Pending, entry: &Entry) -> Verdict {
+    fn on_entry(&self, now: Moment, records: &mut Records, pending: &Pending, entry: &Entry) -> Verdict {
         match serde_json::from_str::<Record>(&entry.value) {
             // Any claim under my incarnation is mine, also one whose answer
             // was lost in an earlier try: nobody else can have run it, and
             // the records tell whether I have.
-            Ok(record) if record.owner == self.me => self.own(now, records, pending),
+            Ok(record) if record.owner == self.me => self.begin_own(now, records, pending),
             Ok(record) => Verdict::Forward(record.owner),
             Err(_) => unsettled(),
         }
     }
 
-    fn own(&self, now: Moment, records: &mut Records, pending: &Pending) -> Verdict {
+    fn begin_own(&self, now: Moment, records: &mut Records, pending: &Pending) -> Verdict {
         records.begin_claim(now, pending.call, pending.claim, &pending.customer, pending.body)
     }
 }
