--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -27,7 +27,7 @@
 /// Most claims remembered without their answer; past it no claim is made.
 pub const MAX_SPENT_CLAIMS: usize = 500_000;
 /// How often claims are pruned.
-const PRUNE: Duration = Duration::from_secs(10);
+const PRUNE_INTERVAL: Duration = Duration::from_secs(10);
 /// Longest answer kept for repetition, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 4 * 1024;
 
@@ -94,7 +94,7 @@
 plain! {
     struct Record {
         customer: String,
-        issued: Moment,
+        created: Moment,
         state: State,
     }
 }
@@ -104,12 +104,12 @@
 pub struct Records {
     me: Incarnation,
     secret: Secret,
-    base: u64,
+    first_number: u64,
     tickets: VecDeque<Record>,
     claims: Vec<(Claim, Record)>,
     spent: Vec<Claim>,
-    pruned: Moment,
-    closing: bool,
+    last_prune: Moment,
+    stopping: bool,
     sealed: bool,
 }
 
@@ -119,20 +119,20 @@
         Self {
             me,
             secret,
-            base: 0,
+            first_number: 0,
             tickets: VecDeque::new(),
             claims: Vec::new(),
             spent: Vec::new(),
-            pruned: Moment::default(),
-            closing: false,
+            last_prune: Moment::default(),
+            stopping: false,
             sealed: false,
         }
     }
 
     /// Issues tickets to a customer.
     pub fn issue(&mut self, now: Moment, customer: &str, count: u32) -> Result<Vec<String>, Refusal> {
-        self.prune(now);
-        if self.closing {
+        self.prune_tickets(now);
+        if self.stopping {
             return Err(Kind::Stopping.into());
         }
         let count = count.clamp(1, MAX_TICKETS_PER_REQUEST);
@@ -143,10 +143,10 @@
     }
 
     fn issue_one(&mut self, now: Moment, customer: &str) -> String {
-        let number = self.base + self.tickets.len() as u64;
+        let number = self.first_number + self.tickets.len() as u64;
         self.tickets.push_back(Record {
             customer: customer.to_string(),
-            issued: now,
+            created: now,
             state: State::Open,
         });
         Ticket::issue(&self.secret, self.me, number, customer).to_string()
@@ -167,7 +167,7 @@
         if !ticket.verify(&self.secret, customer) {
             return Verdict::Refuse(Kind::BadIdempotencyKey.into());
         }
-        let Some(at) = ticket.number.checked_sub(self.base) else {
+        let Some(at) = ticket.number.checked_sub(self.first_number) else {
             return Verdict::Refuse(Kind::KeyExpired.into());
         };
         match self.tickets.get_mut(at as usize) {
@@ -194,7 +194,7 @@
             Err(at) => {
                 let record = Record {
                     customer: customer.to_string(),
-                    issued: now,
+                    created: now,
                     state: State::Open,
                 };
                 self.claims.insert(at, (claim, record));
@@ -216,7 +216,7 @@
 
     /// Whether another claim can be recorded.
     pub fn has_capacity(&self) -> bool {
-        !self.closing && self.claims.len() < MAX_CLAIM_RECORDS && self.spent.len() < MAX_SPENT_CLAIMS
+        !self.stopping && self.claims.len() < MAX_CLAIM_RECORDS && self.spent.len() < MAX_SPENT_CLAIMS
     }
 
     /// Records an end; returns the copies that wait for it.
@@ -256,7 +256,7 @@
 
     /// No further ticket or claim; what runs goes on.
     pub fn stop_issuing(&mut self) {
-        self.closing = true;
+        self.stopping = true;
     }
 
     /// Which keys ran or may have run; from here on no other ever will.
@@ -264,7 +264,7 @@
     /// Handed to the store by a graceful exit, so that the keys of a process
     /// that ended properly get a true "not run" from its peers.
     pub fn seal(&mut self) -> Tombstone {
-        self.closing = true;
+        self.stopping = true;
         self.sealed = true;
         let used = |record: &Record| {
             !matches!(
@@ -285,14 +285,14 @@
                 .collect::<std::collections::BTreeSet<_>>()
                 .into_iter()
                 .collect(),
-            base: self.base,
-            next: self.base + self.tickets.len() as u64,
+            base: self.first_number,
+            next: self.first_number + self.tickets.len() as u64,
             used: self
                 .tickets
                 .iter()
                 .enumerate()
                 .filter(|(_, record)| used(record))
-                .map(|(at, _)| self.base + at as u64)
+                .map(|(at, _)| self.first_number + at as u64)
                 .collect(),
         }
     }
@@ -305,7 +305,7 @@
     fn record(&mut self, key: Key) -> Option<&mut Record> {
         match key {
             Key::Ticket(number) => {
-                let at = number.checked_sub(self.base)?;
+                let at = number.checked_sub(self.first_number)?;
                 self.tickets.get_mut(at as usize)
             }
             Key::Claim(claim) => {
@@ -319,12 +319,12 @@
     /// that stands in the store under this incarnation and is not known here
     /// counts as never begun, and would run a second time.
     fn prune_claims(&mut self, now: Moment) {
-        if now.since(self.pruned) < PRUNE {
+        if now.since(self.last_prune) < PRUNE_INTERVAL {
             return;
         }
-        self.pruned = now;
+        self.last_prune = now;
         let old = |record: &Record| {
-            matches!(record.state, State::Ended { .. }) && now.since(record.issued) >= RECORD_RETENTION
+            matches!(record.state, State::Ended { .. }) && now.since(record.created) >= RECORD_RETENTION
         };
         let spent = self.claims.iter().filter(|(_, record)| old(record));
         self.spent.extend(spent.map(|(claim, _)| *claim));
@@ -334,14 +334,14 @@
 
     /// Drops the oldest tickets; their numbers are refused as expired from
     /// then on, so pruning never opens a key again.
-    fn prune(&mut self, now: Moment) {
+    fn prune_tickets(&mut self, now: Moment) {
         while let Some(front) = self.tickets.front() {
             let running = matches!(front.state, State::Running { .. });
-            if running || now.since(front.issued) < TICKET_LIFETIME + RECORD_RETENTION {
+            if running || now.since(front.created) < TICKET_LIFETIME + RECORD_RETENTION {
                 return;
             }
             self.tickets.pop_front();
-            self.base += 1;
+            self.first_number += 1;
         }
     }
 }
@@ -377,7 +377,7 @@
 fn begin(now: Moment, call: Call, key: Key, record: &mut Record, body: u64, sealed: bool) -> Verdict {
     match &mut record.state {
         State::Open
-            if sealed || (matches!(key, Key::Ticket(_)) && now.since(record.issued) >= TICKET_LIFETIME) =>
+            if sealed || (matches!(key, Key::Ticket(_)) && now.since(record.created) >= TICKET_LIFETIME) =>
         {
             record.state = State::Ended {
                 body,
