--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -67,18 +67,18 @@
 #[derive(Clone, Debug)]
 pub struct History<K> {
     tried: Vec<K>,
-    sent: u32,
+    sends: u32,
     unreachable: u32,
-    ran: bool,
+    may_have_run: bool,
 }
 
 impl<K> Default for History<K> {
     fn default() -> Self {
         Self {
             tried: Vec::new(),
-            sent: 0,
+            sends: 0,
             unreachable: 0,
-            ran: false,
+            may_have_run: false,
         }
     }
 }
@@ -91,7 +91,7 @@
 
     /// Bytes of the request may leave from now on.
     pub fn record_send(&mut self) {
-        self.sent += 1;
+        self.sends += 1;
     }
 
     /// The attempt ended without an answer; why no further runner gets the request,
@@ -112,15 +112,15 @@
                 return (self.unreachable >= rule.max_unreachable).then_some(Denial::Unreachable);
             }
             Fault::NotRun => {}
-            Fault::MayHaveRun => self.ran = true,
+            Fault::MayHaveRun => self.may_have_run = true,
         }
-        if self.ran && rule.at_most_once {
+        if self.may_have_run && rule.at_most_once {
             return Some(Denial::MayHaveRun);
         }
         if over {
             return Some(Denial::TimedOut);
         }
-        if self.sent >= rule.max_attempts {
+        if self.sends >= rule.max_attempts {
             return Some(Denial::AttemptsExhausted);
         }
         (!budget()).then_some(Denial::BudgetExhausted)
@@ -128,18 +128,18 @@
 
     /// What was sent has not left after all.
     pub fn revert_send(&mut self) {
-        self.sent -= 1;
+        self.sends -= 1;
     }
 
     /// The time is over while a runner may be at work.
     pub fn record_timeout(&mut self) {
-        self.ran = true;
+        self.may_have_run = true;
     }
 
     /// A refusal that says "not run" only if that is so: an earlier attempt may have
     /// run, also where no further runner is to be had.
     pub fn adjust_refusal(&self, refusal: Refusal) -> Refusal {
-        match self.ran {
+        match self.may_have_run {
             true => Refusal {
                 ran: Ran::Unknown,
                 ..refusal
@@ -155,11 +155,11 @@
 
     /// Runners that it was sent to.
     pub fn sends(&self) -> u32 {
-        self.sent
+        self.sends
     }
 
     /// Whether it may have run.
     pub fn may_have_run(&self) -> bool {
-        self.ran
+        self.may_have_run
     }
 }
