--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -19,17 +19,17 @@
 /// How long first-hand news outweighs the list.
 pub const LEAVING_TTL: Duration = Duration::from_secs(90);
 /// First rest of a runner that refused a connection or broke off.
-const REST: Duration = Duration::from_secs(1);
+const MIN_BACKOFF: Duration = Duration::from_secs(1);
 /// Longest rest.
-const REST_MOST: Duration = Duration::from_secs(30);
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
 /// How long a peer's shares count without a newer heartbeat.
-const SHARES: Duration = Duration::from_secs(20);
+const PEER_SHARES_TTL: Duration = Duration::from_secs(20);
 /// Shortest time in which peers hear of a call.
-const ROUND: Duration = Duration::from_secs(2);
+const MIN_ROUND: Duration = Duration::from_secs(2);
 /// Longest time that a round waits for a peer.
-const ROUND_MOST: Duration = Duration::from_secs(12);
+const MAX_ROUND: Duration = Duration::from_secs(12);
 /// Weight of the newest reading in running means.
-const GAIN: f64 = 0.1;
+const PACE_GAIN: f64 = 0.1;
 
 record! {
     /// A runner as the platform lists it.
@@ -64,22 +64,22 @@
         pub unreported: u32,
         /// Milliseconds a token, as this host saw them; 0 before the first.
         pub ms_per_token: f64,
-        gone: bool,
-        news: Option<Moment>,
+        delisted: bool,
+        notice_at: Option<Moment>,
         failures: u32,
-        rest: Moment,
+        backoff_until: Moment,
     }
 }
 
 impl Runner {
     /// Whether new work may go there.
     pub fn is_available(&self, now: Moment) -> bool {
-        !self.gone && !self.is_leaving(now) && now.reached(self.rest)
+        !self.delisted && !self.is_leaving(now) && now.reached(self.backoff_until)
     }
 
     /// Whether it leaves, by the list or first-hand.
     pub fn is_leaving(&self, now: Moment) -> bool {
-        self.listing.leaving || self.news.is_some_and(|news| now.since(news) < LEAVING_TTL)
+        self.listing.leaving || self.notice_at.is_some_and(|news| now.since(news) < LEAVING_TTL)
     }
 
     /// Share of its slots in use.
@@ -91,7 +91,7 @@
 plain! {
     struct PeerShares {
         peer: Incarnation,
-        heard: Moment,
+        received_at: Moment,
         shares: Vec<(Key, u32)>,
     }
 }
@@ -104,42 +104,42 @@
 pub struct Runners {
     arena: Vec<Runner>,
     names: Vec<(String, Key)>,
-    shorts: Vec<(u32, Key)>,
+    short_ids: Vec<(u32, Key)>,
     pools: Vec<(String, Zones)>,
     peers: Vec<PeerShares>,
-    round: Moment,
+    round_start: Moment,
 }
 
 impl Runners {
     /// Takes the platform's list.
     pub fn set_listings(&mut self, listed: Vec<Listing>) {
         for runner in &mut self.arena {
-            runner.gone = true;
+            runner.delisted = true;
         }
         for item in listed {
             match self.find(&item.name) {
-                Some(key) => self.relist(key, item),
-                None => self.add(item),
+                Some(key) => self.update_listing(key, item),
+                None => self.add_listing(item),
             }
         }
-        self.index();
+        self.rebuild_index();
     }
 
-    fn relist(&mut self, key: Key, item: Listing) {
+    fn update_listing(&mut self, key: Key, item: Listing) {
         let runner = &mut self.arena[key.index()];
         // A new address under an old name is a new process: what was known
         // of the former one no longer counts.
         if runner.listing.address != item.address {
-            runner.news = None;
+            runner.notice_at = None;
             runner.failures = 0;
-            runner.rest = Moment::default();
+            runner.backoff_until = Moment::default();
             runner.ms_per_token = 0.0;
         }
         runner.listing = item;
-        runner.gone = false;
+        runner.delisted = false;
     }
 
-    fn add(&mut self, item: Listing) {
+    fn add_listing(&mut self, item: Listing) {
         let key = Key(self.arena.len() as u32);
         let at = self.names.partition_point(|(name, _)| *name < item.name);
         self.names.insert(at, (item.name.clone(), key));
@@ -149,23 +149,28 @@
             peer_running: 0,
             unreported: 0,
             ms_per_token: 0.0,
-            gone: false,
-            news: None,
+            delisted: false,
+            notice_at: None,
             failures: 0,
-            rest: Moment::default(),
+            backoff_until: Moment::default(),
         });
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.pools.clear();
-        self.shorts.clear();
-        for (at, runner) in self.arena.iter().enumerate().filter(|(_, runner)| !runner.gone) {
+        self.short_ids.clear();
+        for (at, runner) in self
+            .arena
+            .iter()
+            .enumerate()
+            .filter(|(_, runner)| !runner.delisted)
+        {
             let key = Key(at as u32);
-            let zones = entry(&mut self.pools, &runner.listing.pool);
-            entry(zones, &runner.listing.zone).push(key);
-            self.shorts.push((short(&runner.listing.name), key));
+            let zones = entry_mut(&mut self.pools, &runner.listing.pool);
+            entry_mut(zones, &runner.listing.zone).push(key);
+            self.short_ids.push((short_id(&runner.listing.name), key));
         }
-        self.shorts.sort_unstable();
+        self.short_ids.sort_unstable();
     }
 
     /// A runner by name.
@@ -192,7 +197,7 @@
 
     /// Every runner that is listed.
     pub fn iter(&self) -> impl Iterator<Item = &Runner> {
-        self.arena.iter().filter(|runner| !runner.gone)
+        self.arena.iter().filter(|runner| !runner.delisted)
     }
 
     /// A call starts.
@@ -213,11 +218,11 @@
     pub fn record_success(&mut self, key: Key, pace: f64) {
         let runner = &mut self.arena[key.index()];
         runner.failures = 0;
-        runner.rest = Moment::default();
+        runner.backoff_until = Moment::default();
         if pace > 0.0 {
             runner.ms_per_token = match runner.ms_per_token {
                 0.0 => pace,
-                have => have + (pace - have) * GAIN,
+                have => have + (pace - have) * PACE_GAIN,
             };
         }
     }
@@ -225,9 +230,9 @@
     /// It refused or broke off: it rests, longer each time.
     pub fn record_failure(&mut self, now: Moment, key: Key) {
         let runner = &mut self.arena[key.index()];
-        let span = REST.saturating_mul(1 << runner.failures.min(5));
+        let span = MIN_BACKOFF.saturating_mul(1 << runner.failures.min(5));
         runner.failures += 1;
-        runner.rest = now + span.min(REST_MOST);
+        runner.backoff_until = now + span.min(MAX_BACKOFF);
     }
 
     /// First-hand news that it leaves; tells whether it is new.
@@ -238,7 +243,7 @@
         let runner = &mut self.arena[key.index()];
         let new = !runner.is_leaving(now);
         if new {
-            runner.news = Some(now);
+            runner.notice_at = Some(now);
         }
         new
     }
@@ -246,7 +251,11 @@
     /// Runners known first-hand to leave, for the peers.
     pub fn leaving_names(&self, now: Moment) -> Vec<String> {
         self.iter()
-            .filter(|runner| runner.news.is_some_and(|news| now.since(news) < LEAVING_TTL / 2))
+            .filter(|runner| {
+                runner
+                    .notice_at
+                    .is_some_and(|news| now.since(news) < LEAVING_TTL / 2)
+            })
             .map(|runner| runner.listing.name.clone())
             .collect()
     }
@@ -255,7 +264,7 @@
     pub fn shares(&self) -> Shares {
         let mut shares = Shares::default();
         for runner in self.iter().filter(|runner| runner.running > 0) {
-            shares.runners.push(short(&runner.listing.name));
+            shares.runners.push(short_id(&runner.listing.name));
             shares.running.push(runner.running);
         }
         shares
@@ -265,17 +274,20 @@
     pub fn set_peer_shares(&mut self, now: Moment, peer: Incarnation, shares: &Shares) {
         let pairs = shares.runners.iter().zip(&shares.running);
         let known = pairs.filter_map(|(runner, running)| {
-            let at = self.shorts.binary_search_by(|(have, _)| have.cmp(runner)).ok()?;
-            Some((self.shorts[at].1, *running))
+            let at = self
+                .short_ids
+                .binary_search_by(|(have, _)| have.cmp(runner))
+                .ok()?;
+            Some((self.short_ids[at].1, *running))
         });
         let shares: Vec<(Key, u32)> = known.collect();
-        self.forget(peer);
+        self.remove_peer(peer);
         for (key, running) in &shares {
             self.arena[key.index()].peer_running += running;
         }
         self.peers.push(PeerShares {
             peer,
-            heard: now,
+            received_at: now,
             shares,
         });
     }
@@ -283,29 +295,29 @@
     /// Drops the shares of peers that fell silent.
     pub fn expire_shares(&mut self, now: Moment) {
         if self.round_is_over(now) {
-            self.round = now;
+            self.round_start = now;
             self.arena.iter_mut().for_each(|runner| runner.unreported = 0);
         }
         let silent: Vec<Incarnation> = self
             .peers
             .iter()
-            .filter(|peer| now.since(peer.heard) >= SHARES)
+            .filter(|peer| now.since(peer.received_at) >= PEER_SHARES_TTL)
             .map(|peer| peer.peer)
             .collect();
         for peer in silent {
-            self.forget(peer);
+            self.remove_peer(peer);
         }
     }
 
     /// A round ends when every peer has told its calls since it began: two
     /// rounds within one lag would let all take their share twice.
     fn round_is_over(&self, now: Moment) -> bool {
-        let span = now.since(self.round);
-        let all_told = self.peers.iter().all(|peer| peer.heard > self.round);
-        span >= ROUND_MOST || (span >= ROUND && all_told)
+        let span = now.since(self.round_start);
+        let all_told = self.peers.iter().all(|peer| peer.received_at > self.round_start);
+        span >= MAX_ROUND || (span >= MIN_ROUND && all_told)
     }
 
-    fn forget(&mut self, peer: Incarnation) {
+    fn remove_peer(&mut self, peer: Incarnation) {
         let Some(at) = self.peers.iter().position(|have| have.peer == peer) else {
             return;
         };
@@ -331,11 +343,11 @@
 
 /// Name of a runner between peers. Two runners that share one count as each
 /// other's load, which two random choices live with.
-fn short(name: &str) -> u32 {
+fn short_id(name: &str) -> u32 {
     id::digest(name.as_bytes()) as u32
 }
 
-fn entry<'a, T: Default>(table: &'a mut Vec<(String, T)>, name: &str) -> &'a mut T {
+fn entry_mut<'a, T: Default>(table: &'a mut Vec<(String, T)>, name: &str) -> &'a mut T {
     let at = match table.binary_search_by(|(have, _)| have.as_str().cmp(name)) {
         Ok(at) => at,
         Err(at) => {
