--- a/crates/core/src/write_once.rs
+++ b/crates/core/src/write_once.rs
@@ -79,18 +79,18 @@
         let (_, step) = self.step.take()?;
         Some(match (step, answer) {
             (Step::Writing { value, .. }, Answer::Written(version)) => Outcome::Stored(value, *version),
-            (Step::Writing { .. }, Answer::Conflict(entry)) => standing(Some(entry)),
+            (Step::Writing { .. }, Answer::Conflict(entry)) => stored(Some(entry)),
             (Step::Writing { key, .. }, Answer::Lost) => {
                 self.step = Some((now, Step::Reading));
                 Outcome::Pending(Call::Get { key })
             }
-            (Step::Reading, Answer::Found(entries)) => standing(entries.first()),
+            (Step::Reading, Answer::Found(entries)) => stored(entries.first()),
             _ => Outcome::Failed,
         })
     }
 }
 
-fn standing<V: DeserializeOwned>(entry: Option<&Entry>) -> Outcome<V> {
+fn stored<V: DeserializeOwned>(entry: Option<&Entry>) -> Outcome<V> {
     let entry = entry.filter(|entry| entry.version > 0);
     let stands = entry.and_then(|entry| Some((serde_json::from_str(&entry.value).ok()?, entry.version)));
     match stands {
