--- a/crates/core/src/reservation.rs
+++ b/crates/core/src/reservation.rs
@@ -13,10 +13,10 @@
 use crate::time::Moment;
 
 /// How much too early a caller may come; clocks differ.
-const EARLY: Duration = Duration::from_secs(1);
+const MAX_EARLY: Duration = Duration::from_secs(1);
 /// How much too late. A token can be used more than once in this time, which
 /// bounds what a caller gains by it.
-const LATE: Duration = Duration::from_secs(5);
+const MAX_LATE: Duration = Duration::from_secs(5);
 
 /// Key for promises, the same at all hosts.
 #[derive(Clone, Debug)]
@@ -45,8 +45,8 @@
         let (Ok(due), Ok(mac)) = (due.parse::<u64>(), hex::decode(mac)) else {
             return false;
         };
-        let early = due.saturating_sub(EARLY.as_millis() as u64);
-        let late = due.saturating_add(LATE.as_millis() as u64);
+        let early = due.saturating_sub(MAX_EARLY.as_millis() as u64);
+        let late = due.saturating_add(MAX_LATE.as_millis() as u64);
         let in_time = (early..=late).contains(&now.wall);
         in_time && mac.len() == 16 && self.mac(customer, class, due).verify_truncated_left(&mac).is_ok()
     }
