--- a/crates/core/src/ticket.rs
+++ b/crates/core/src/ticket.rs
@@ -34,7 +34,7 @@
 impl Ticket {
     /// Makes a ticket for a customer.
     pub fn issue(secret: &Secret, owner: Incarnation, number: u64, customer: &str) -> Self {
-        let full: [u8; 32] = keyed(secret, number, customer).finalize().into_bytes().into();
+        let full: [u8; 32] = mac(secret, number, customer).finalize().into_bytes().into();
         let mut mac = [0; MAC_BYTES];
         mac.copy_from_slice(&full[..MAC_BYTES]);
         Self { owner, number, mac }
@@ -55,7 +55,7 @@
 
     /// Whether the owner issued it to this customer; in constant time.
     pub fn verify(&self, secret: &Secret, customer: &str) -> bool {
-        keyed(secret, self.number, customer)
+        mac(secret, self.number, customer)
             .verify_truncated_left(&self.mac)
             .is_ok()
     }
@@ -73,7 +73,7 @@
     }
 }
 
-fn keyed(secret: &Secret, number: u64, customer: &str) -> Hmac<Sha256> {
+fn mac(secret: &Secret, number: u64, customer: &str) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(secret).expect("HMAC takes any key length");
     mac.update(&number.to_le_bytes());
     mac.update(customer.as_bytes());
