--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,11 +1,10 @@
-//! Admission and dispatch: which call starts where, and which waits.
+//! Admission and dispatch: where a call starts, and which calls wait.
 //!
-//! Calls wait in lanes, one a tier and set of pools, and inside a lane by
-//! customer. A floor
-//! gives each tier a least share of the starts; beyond it, lower priority
-//! numbers go first. Unprotected tiers leave a reserve of every runner free.
-//! A call that cannot start in time is refused at once with a time to come
-//! back, never held until its deadline.
+//! Calls wait in one queue per tier and set of pools, and in each queue by customer. A tier's
+//! floor guarantees it a minimum share of the starts; otherwise tiers with lower priority
+//! numbers go first. Unprotected tiers leave a reserve of every runner's slots free. A call that
+//! is not expected to start in time is refused on arrival with a retry time instead of being
+//! held until its deadline.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,35 +26,35 @@
 
 pub use placement::Policy;
 
-/// Half-life of the counts behind floors and rates.
+/// Half-life of the start counts that floors and rate estimates use.
 const COUNT_HALF_LIFE: Duration = Duration::from_secs(10);
-/// Retries allowed beside a tier's starts, as a share.
+/// Upstream retries allowed per start.
 const RETRY_SHARE: f64 = 0.2;
-/// Retries allowed however few the starts.
+/// Upstream retries allowed even after hardly any starts.
 const MIN_RETRIES: f64 = 10.0;
 
 plain! {
-    /// A call that seeks a runner.
+    /// A call submitted for dispatch to a runner.
     pub struct Submission {
         /// The call.
         pub call: Call,
-        /// Tier by name, so that it outlives a change of the view.
+        /// Name of its tier; a position would not survive a change of the view.
         pub tier: String,
-        /// Customer by name.
+        /// Name of its customer.
         pub customer: String,
         /// Public name of the caller's key.
         pub key: String,
-        /// Class by name.
+        /// Name of its request class.
         pub class: String,
-        /// Pools that may run it.
+        /// Names of the pools that may run it.
         pub pools: Arc<[String]>,
-        /// Most tokens that it may generate; 1 for plain calls.
+        /// Maximum number of generated tokens; 1 for plain calls.
         pub max_tokens: u32,
-        /// Hash of the prompt's beginning, for prefix caches.
+        /// Hash of the start of the prompt, for prefix cache affinity.
         pub prefix_hash: Option<u64>,
-        /// Runners that already failed it.
+        /// Runners on which it has already failed.
         pub avoid: Vec<Key>,
-        /// It comes back at the time that it was promised.
+        /// Whether it is a retry at the time of a valid reservation.
         pub reserved: bool,
     }
 }
@@ -64,75 +63,75 @@
     /// How a call on a runner ended.
     #[allow(missing_docs)]
     pub enum Outcome {
-        /// A whole answer.
+        /// The runner sent a complete answer.
         Completed {
             /// Generated tokens.
             tokens: u32,
-            /// Milliseconds a token.
+            /// Milliseconds per token.
             ms_per_token: f64,
         },
-        /// The caller went away; says nothing of the runner.
+        /// The caller disconnected; not counted for or against the runner.
         Cancelled { tokens: u32 },
-        /// The connection was refused: no byte went out.
+        /// The connection was refused; no byte was sent.
         ConnectionRefused,
-        /// It broke off or answered wrongly.
+        /// The runner broke off or sent an invalid answer.
         Failed { tokens: u32 },
     }
 }
 
 plain! {
-    /// Where a call starts.
+    /// The runner that a call is to start on.
     pub struct Assignment {
         /// The call.
         pub call: Call,
-        /// The runner, to be named at the end.
+        /// Key of the runner, to be passed to [`Dispatcher::finish`].
         pub runner: Key,
-        /// Its name.
+        /// Name of the runner.
         pub name: String,
-        /// Its address.
+        /// Address of the runner.
         pub address: String,
-        /// Priority for the engine.
+        /// Priority passed to the engine; lower goes first.
         pub priority: u8,
     }
 }
 
 plain! {
-    /// What became of a call that sought a runner.
+    /// What to do with a submitted call.
     pub enum Decision {
-        /// It starts.
+        /// Start it.
         Start(Assignment),
-        /// It is refused.
+        /// Refuse it.
         Refuse(Call, Refusal),
     }
 }
 
-/// The dispatcher of one host.
+/// The dispatcher of one entry host.
 #[derive(Debug)]
 pub struct Dispatcher {
     zone: String,
     policy: Policy,
     view: Arc<View>,
-    /// The runners, fed by the list and by peers.
+    /// Known runners, updated from the platform's list and by peers.
     pub runners: Runners,
     queues: Vec<Queue>,
     host_index: usize,
     zone_hosts: usize,
     hosts: usize,
-    /// Zone mates that have calls waiting, by pool.
+    /// Number of peers in this zone with calls waiting, by pool.
     waiting_peers: Arc<[(String, u32)]>,
-    /// Priorities of the tiers that use each pool.
+    /// Priorities of the tiers that use each pool, sorted by pool.
     pool_priorities: Vec<(String, Vec<u8>)>,
     waiting: usize,
-    /// This host's calls on all runners.
+    /// Calls of this host that are running.
     running: usize,
     last_decay: Moment,
-    /// Seconds that the decayed counts stand for.
+    /// Seconds covered by the decayed counts, with the same decay.
     counted_s: f64,
     rng: ChaCha8Rng,
 }
 
 impl Dispatcher {
-    /// A dispatcher with nothing to do.
+    /// Creates a dispatcher without runners or calls.
     pub fn new(zone: &str, seed: u64, policy: Policy) -> Self {
         use rand::SeedableRng;
         Self {
@@ -154,25 +153,25 @@
         }
     }
 
-    /// Takes a new view; calls whose key was withdrawn meanwhile are refused.
+    /// Applies a new view; refuses waiting calls whose key or tier is no longer valid.
     pub fn set_view(&mut self, view: Arc<View>) -> Vec<Decision> {
         self.view = view;
         self.pool_priorities = pool_priorities(&self.view);
         let mut out = Vec::new();
         let view = &self.view;
-        for lane in &mut self.queues {
-            lane.tier = view.document.tiers.position(&lane.name);
-            let (refused, kind) = match lane.tier {
+        for queue in &mut self.queues {
+            queue.tier = view.document.tiers.position(&queue.name);
+            let (refused, kind) = match queue.tier {
                 Some(_) => (
-                    lane.drain_if(|seek| !view.is_key_valid(&seek.key)),
+                    queue.drain_if(|submission| !view.is_key_valid(&submission.key)),
                     Kind::KeyWithdrawn,
                 ),
-                None => (lane.drain_if(|_| true), Kind::NotSelected),
+                None => (queue.drain_if(|_| true), Kind::NotSelected),
             };
-            let refuse = |item: Entry| Decision::Refuse(item.submission.call, kind.into());
+            let refuse = |entry: Entry| Decision::Refuse(entry.submission.call, kind.into());
             out.extend(refused.into_iter().map(refuse));
         }
-        self.queues.retain(|lane| lane.tier.is_some());
+        self.queues.retain(|queue| queue.tier.is_some());
         for at in 0..self.queues.len() {
             self.queues[at].contention = self.pool_contention(at);
         }
@@ -180,48 +179,49 @@
         out
     }
 
-    /// Entry hosts that are live in this zone, and in all zones, both with
-    /// this one; and this one's place among all.
-    pub fn set_hosts(&mut self, near: usize, all: usize, index: usize) {
-        self.host_index = index;
-        self.zone_hosts = near.max(1);
-        self.hosts = all.max(self.zone_hosts);
+    /// Sets the number of live entry hosts in this zone and in all zones, both including this
+    /// host, and this host's index among all.
+    pub fn set_hosts(&mut self, zone_hosts: usize, hosts: usize, host_index: usize) {
+        self.host_index = host_index;
+        self.zone_hosts = zone_hosts.max(1);
+        self.hosts = hosts.max(self.zone_hosts);
     }
 
-    /// Pools for which calls wait at zone mates; each mate names a pool once.
+    /// Sets the pools for which peers in this zone have calls waiting; each peer lists a
+    /// pool at most once.
     pub fn set_waiting_peers<'a>(&mut self, pools: impl Iterator<Item = &'a str>) {
-        let mut mates: Vec<(String, u32)> = Vec::new();
+        let mut peers: Vec<(String, u32)> = Vec::new();
         for pool in pools {
-            match mates.iter_mut().find(|(have, _)| have == pool) {
+            match peers.iter_mut().find(|(have, _)| have == pool) {
                 Some((_, count)) => *count += 1,
-                None => mates.push((pool.to_string(), 1)),
+                None => peers.push((pool.to_string(), 1)),
             }
         }
-        self.waiting_peers = mates.into();
+        self.waiting_peers = peers.into();
     }
 
-    /// A call seeks a runner.
-    pub fn submit(&mut self, now: Moment, seek: Submission) -> Vec<Decision> {
+    /// Queues a call, or refuses it.
+    pub fn submit(&mut self, now: Moment, submission: Submission) -> Vec<Decision> {
         self.decay(now);
-        let call = seek.call;
-        let Some(at) = self.queue_for(&seek) else {
+        let call = submission.call;
+        let Some(at) = self.queue_for(&submission) else {
             return vec![Decision::Refuse(call, Kind::NotSelected.into())];
         };
-        if !seek.avoid.is_empty() && !self.queues[at].take_retry() {
+        if !submission.avoid.is_empty() && !self.queues[at].take_retry() {
             let refusal =
                 Refusal::new(Kind::Overloaded).retry_after(self.retry_delay(Duration::from_secs(1)));
             return vec![Decision::Refuse(call, refusal)];
         }
-        if !self.has_listed_runner(&seek) {
+        if !self.has_listed_runner(&submission) {
             let refusal = Refusal::new(Kind::NoRunner).retry_after(self.retry_delay(Duration::from_secs(2)));
             return vec![Decision::Refuse(call, refusal)];
         }
-        if let Some(refusal) = self.reject_early(now, at, &seek) {
+        if let Some(refusal) = self.reject_early(now, at, &submission) {
             return vec![Decision::Refuse(call, refusal)];
         }
         let (target, patience) = (self.tier(at).target, self.tier(at).patience);
         self.queues[at].push(Entry {
-            submission: seek,
+            submission,
             queued_at: now,
             late_at: now + target,
             expires_at: now + patience,
@@ -230,16 +230,16 @@
         self.start_waiting(now)
     }
 
-    /// The lane of a call: its tier and the pools that may run it. Calls that
-    /// need other runners never stand before it.
-    fn queue_for(&mut self, seek: &Submission) -> Option<usize> {
-        let tier = self.view.document.tiers.position(&seek.tier)?;
-        let place = (seek.tier.as_str(), &seek.pools[..]);
+    /// The queue for a call, by its tier and the pools that may run it, so that calls for other
+    /// runners are never ahead of it.
+    fn queue_for(&mut self, submission: &Submission) -> Option<usize> {
+        let tier = self.view.document.tiers.position(&submission.tier)?;
+        let key = (submission.tier.as_str(), &submission.pools[..]);
         Some(
-            match self.queues.binary_search_by(|lane| lane.sort_key().cmp(&place)) {
+            match self.queues.binary_search_by(|queue| queue.sort_key().cmp(&key)) {
                 Ok(at) => at,
                 Err(at) => {
-                    self.queues.insert(at, Queue::new(seek, tier));
+                    self.queues.insert(at, Queue::new(submission, tier));
                     self.queues[at].contention = self.pool_contention(at);
                     at
                 }
@@ -248,15 +248,15 @@
     }
 
     fn tier(&self, at: usize) -> &Tier {
-        // `set_view` drops the lanes whose tier is gone.
+        // `set_view` drops queues whose tier no longer exists.
         &self.view.document.tiers[self.queues[at].tier.unwrap_or_default()]
     }
 
-    /// A call on a runner ended.
+    /// Records the end of a call on a runner.
     pub fn finish(
         &mut self,
         now: Moment,
-        seek: &Submission,
+        submission: &Submission,
         runner: Key,
         outcome: &Outcome,
     ) -> Vec<Decision> {
@@ -264,11 +264,8 @@
         self.runners.finish(runner);
         self.running = self.running.saturating_sub(1);
         let tokens = match outcome {
-            Outcome::Completed {
-                tokens,
-                ms_per_token: pace,
-            } => {
-                self.runners.record_success(runner, *pace);
+            Outcome::Completed { tokens, ms_per_token } => {
+                self.runners.record_success(runner, *ms_per_token);
                 *tokens
             }
             Outcome::Cancelled { tokens } => *tokens,
@@ -281,24 +278,24 @@
                 *tokens
             }
         };
-        if let Some(at) = self.queue_for(seek) {
-            let whole = matches!(outcome, Outcome::Completed { .. });
-            self.queues[at].record_usage(seek, tokens, whole);
+        if let Some(at) = self.queue_for(submission) {
+            let completed = matches!(outcome, Outcome::Completed { .. });
+            self.queues[at].record_usage(submission, tokens, completed);
         }
         self.start_waiting(now)
     }
 
-    /// A waiting call whose caller went away.
+    /// Removes a waiting call whose caller has disconnected.
     pub fn cancel(&mut self, call: Call) {
-        for lane in &mut self.queues {
-            if lane.remove(call) {
+        for queue in &mut self.queues {
+            if queue.remove(call) {
                 self.waiting -= 1;
                 return;
             }
         }
     }
 
-    /// Starts what can start and refuses what waited too long.
+    /// Starts the calls that can start and refuses those that waited too long.
     pub fn tick(&mut self, now: Moment) -> Vec<Decision> {
         self.decay(now);
         self.runners.expire_shares(now);
@@ -308,24 +305,24 @@
             if self.policy.defers_late() {
                 self.queues[at].defer_late(now);
             }
-            for item in self.queues[at].expire(now) {
+            for entry in self.queues[at].expire(now) {
                 self.waiting -= 1;
                 let refusal = Refusal::new(Kind::Late).retry_after(self.retry_delay(Duration::from_secs(1)));
-                out.push(Decision::Refuse(item.submission.call, refusal));
+                out.push(Decision::Refuse(entry.submission.call, refusal));
             }
         }
         out.extend(self.start_waiting(now));
         out
     }
 
-    /// Calls that wait, by the first pool that may run them.
+    /// Number of waiting calls, by the first pool that may run them.
     pub fn waiting_by_pool(&self) -> Vec<(String, u32)> {
         let mut all: Vec<(String, u32)> = Vec::new();
-        for lane in self.queues.iter().filter(|lane| !lane.is_empty()) {
-            let Some(pool) = lane.sort_key().1.first() else {
+        for queue in self.queues.iter().filter(|queue| !queue.is_empty()) {
+            let Some(pool) = queue.sort_key().1.first() else {
                 continue;
             };
-            let count = lane.len() as u32;
+            let count = queue.len() as u32;
             match all.iter_mut().find(|(have, _)| have == pool) {
                 Some((_, sum)) => *sum += count,
                 None => all.push((pool.clone(), count)),
@@ -334,9 +331,9 @@
         all
     }
 
-    /// Calls that wait, by tier.
+    /// Number of waiting calls, by tier.
     pub fn waiting_by_tier(&self) -> impl Iterator<Item = (&str, usize)> {
-        self.queues.iter().map(|lane| (lane.name.as_str(), lane.len()))
+        self.queues.iter().map(|queue| (queue.name.as_str(), queue.len()))
     }
 
     fn start_waiting(&mut self, now: Moment) -> Vec<Decision> {
@@ -354,7 +351,7 @@
         out
     }
 
-    /// Lanes under their floor first, then by priority.
+    /// The queue to start from next: queues below their floor first, then by priority.
     fn next_queue(&self, blocked: &[bool]) -> Option<usize> {
         let open = |at: &usize| !blocked[*at] && !self.queues[*at].is_empty();
         let rank = |at: &usize| {
@@ -371,7 +368,7 @@
         }
     }
 
-    /// Whether a lane gets less than its floor of the starts on its runners.
+    /// Whether a queue has had less than its floor of the starts on the pools it shares.
     fn is_below_floor(&self, at: usize) -> bool {
         let floor = f64::from(self.tier(at).floor);
         let all: f64 = self
@@ -381,14 +378,14 @@
         self.policy.enforces_floors() && self.queues[at].starts() * 100.0 < floor * all
     }
 
-    /// Lanes that want the same runners, this one included.
+    /// Indexes of the queues that share a pool with this one, itself included.
     fn overlapping(&self, at: usize) -> impl Iterator<Item = usize> {
         (0..self.queues.len()).filter(move |other| self.queues[*other].overlaps(&self.queues[at]))
     }
 
     fn start_next(&mut self, now: Moment, at: usize) -> Option<Assignment> {
         let (protected, priority) = (self.tier(at).protected, self.tier(at).priority);
-        let chooser = placement::Picker {
+        let picker = placement::Picker {
             now,
             zone: &self.zone,
             policy: self.policy,
@@ -402,78 +399,82 @@
         };
         let runners = &self.runners;
         let rng = &mut self.rng;
-        let (item, runner) = self.queues[at].take(self.policy, |seek| chooser.pick(runners, rng, seek))?;
+        let (entry, runner) =
+            self.queues[at].take(self.policy, |submission| picker.pick(runners, rng, submission))?;
         self.waiting -= 1;
         self.running += 1;
         self.runners.start(runner);
-        let listed = &self.runners.get(runner).listing;
+        let listing = &self.runners.get(runner).listing;
         Some(Assignment {
-            call: item.submission.call,
+            call: entry.submission.call,
             runner,
-            name: listed.name.clone(),
-            address: listed.address.clone(),
+            name: listing.name.clone(),
+            address: listing.address.clone(),
             priority,
         })
     }
 
-    /// Who else uses each pool of a lane, by the selectors.
+    /// Contention on each pool of a queue, according to the selectors.
     fn pool_contention(&self, at: usize) -> Arc<[(String, placement::Contention)]> {
         let priority = self.tier(at).priority;
-        let rivals = |pool: &String| {
+        let contention = |pool: &String| {
             let found = self.pool_priorities.binary_search_by(|(have, _)| have.cmp(pool));
-            let users = found.map_or(&[][..], |at| &self.pool_priorities[at].1);
+            let priorities = found.map_or(&[][..], |at| &self.pool_priorities[at].1);
             placement::Contention {
-                higher_priority: users.iter().any(|other| *other < priority),
-                lower_priority: users.iter().any(|other| *other > priority),
+                higher_priority: priorities.iter().any(|other| *other < priority),
+                lower_priority: priorities.iter().any(|other| *other > priority),
             }
         };
         let pools = self.queues[at].sort_key().1;
-        pools.iter().map(|pool| (pool.clone(), rivals(pool))).collect()
+        pools
+            .iter()
+            .map(|pool| (pool.clone(), contention(pool)))
+            .collect()
     }
 
-    fn has_listed_runner(&self, seek: &Submission) -> bool {
+    fn has_listed_runner(&self, submission: &Submission) -> bool {
         let keys = |pool: &String| self.runners.pool(pool).iter().any(|(_, keys)| !keys.is_empty());
-        seek.pools.iter().any(keys)
+        submission.pools.iter().any(keys)
     }
 
     fn decay(&mut self, now: Moment) {
-        let span = now.since(self.last_decay);
-        if span < Duration::from_millis(100) {
+        let elapsed = now.since(self.last_decay);
+        if elapsed < Duration::from_millis(100) {
             return;
         }
         self.last_decay = now;
-        let seconds = span.as_secs_f64();
-        let factor = 0.5_f64.powf(seconds / COUNT_HALF_LIFE.as_secs_f64());
-        // An idle host starts nothing because nobody calls. Counted, the first calls of
-        // a burst foretold waits of many seconds and had the rest refused.
+        let elapsed_s = elapsed.as_secs_f64();
+        let factor = 0.5_f64.powf(elapsed_s / COUNT_HALF_LIFE.as_secs_f64());
+        // Idle time is not counted: a host without calls starts none, and the low rate made the
+        // first calls of a burst expect waits of many seconds, so that the rest was refused.
         let idle = self.waiting == 0 && self.running == 0;
-        let counted = if idle && self.policy.yields_to_peers() {
+        let counted_s = if idle && self.policy.yields_to_peers() {
             0.0
         } else {
-            seconds
+            elapsed_s
         };
-        self.counted_s = (self.counted_s + counted.min(COUNT_HALF_LIFE.as_secs_f64())) * factor;
-        for lane in &mut self.queues {
-            lane.decay(factor, RETRY_SHARE, MIN_RETRIES);
+        self.counted_s = (self.counted_s + counted_s.min(COUNT_HALF_LIFE.as_secs_f64())) * factor;
+        for queue in &mut self.queues {
+            queue.decay(factor, RETRY_SHARE, MIN_RETRIES);
         }
     }
 }
 
-/// Priorities of the tiers whose selectors reach each pool.
+/// Priorities of the tiers whose selectors match each pool.
 fn pool_priorities(view: &View) -> Vec<(String, Vec<u8>)> {
     let document = &view.document;
-    let users = |pool: &Pool| {
-        let reach = document
+    let priorities = |pool: &Pool| {
+        let matching = document
             .selectors
             .iter()
             .filter(|selector| selector.matches_pool(pool));
-        let tiers = reach.filter_map(|selector| document.tiers.get(&selector.tier));
+        let tiers = matching.filter_map(|selector| document.tiers.get(&selector.tier));
         let may_use = tiers.filter(|tier| tier.reclaimable || !pool.reclaimable);
         may_use.map(|tier| tier.priority).collect()
     };
     document
         .pools
         .iter()
-        .map(|pool| (pool.name.clone(), users(pool)))
+        .map(|pool| (pool.name.clone(), priorities(pool)))
         .collect()
 }
