--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -1,8 +1,8 @@
-//! Waiting calls of one tier and set of pools, fair between its customers.
+//! A fair queue of the waiting calls of one tier and set of pools.
 //!
-//! The customer that was served the fewest tokens goes next. A customer that
-//! comes back after a pause starts level with the others, so that it can
-//! neither hoard turns nor be held to old debts.
+//! The customer that has been served the fewest tokens goes next. A customer that becomes active
+//! again starts at the queue's virtual time, level with the others, so that neither turns that
+//! it left unused nor its earlier usage count.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,54 +14,62 @@
 use crate::runner::Key;
 use crate::time::Moment;
 
-/// Heads of queues looked at for one start.
+/// Maximum customers considered for one start.
 const MAX_CANDIDATES: usize = 8;
-/// Decayed starts from which a customer counts as active.
+/// Minimum decayed starts of an active customer.
 const ACTIVE_STARTS: f64 = 0.25;
-/// Weight of the newest answer in learned lengths.
+/// Weight of the newest answer in the mean answer length.
 const LENGTH_GAIN: f64 = 0.05;
 
 plain! {
-    /// A call that waits.
+    /// A waiting call.
     pub struct Entry {
-        /// What it seeks.
+        /// The submitted call.
         pub submission: Submission,
-        /// Since when.
+        /// When it was queued.
         pub queued_at: Moment,
-        /// Late if it starts past this.
+        /// Time from which a start is late.
         pub late_at: Moment,
-        /// Refused past this.
+        /// Time at which it is refused.
         pub expires_at: Moment,
     }
 }
 
 plain! {
+    /// The calls of one customer.
     struct Flow {
         customer: String,
+        /// Tokens of finished calls, and expected tokens of running ones.
         served_tokens: f64,
+        /// Decayed number of starts.
         starts: f64,
+        /// Latest reserved retry time.
         last_reservation: Moment,
+        /// Waiting calls that are not late, in order of arrival.
         waiting: VecDeque<Entry>,
+        /// Waiting calls that are late, in order of arrival.
         late: VecDeque<Entry>,
     }
 }
 
-/// The lane of one tier and set of pools.
+/// The queue of one tier and set of pools.
 #[derive(Debug)]
 pub struct Queue {
-    /// Tier's name.
+    /// Name of its tier.
     pub name: String,
-    /// Tier's place in the current view.
+    /// Position of its tier in the current view; none if it no longer exists.
     pub tier: Option<usize>,
-    /// Who else uses its pools.
+    /// Contention on each of its pools.
     pub contention: Arc<[(String, Contention)]>,
     pools: Arc<[String]>,
     flows: Vec<Flow>,
-    /// Calls that came back as promised.
+    /// Retries that arrived at their reserved time.
     returned: VecDeque<Entry>,
-    /// Times at which calls were told to come back, in order.
+    /// Reserved retry times, sorted.
     reservations: Vec<Moment>,
+    /// Mean answer length in tokens, by class, sorted.
     mean_tokens: Vec<(String, f64)>,
+    /// Virtual time of fair queueing: `served_tokens` of the flow that started last; never falls.
     virtual_tokens: f64,
     starts: f64,
     retry_budget: f64,
@@ -69,13 +77,13 @@
 }
 
 impl Queue {
-    /// An empty lane for calls like one.
-    pub fn new(seek: &Submission, tier: usize) -> Self {
+    /// Creates an empty queue for calls of the same tier and pools.
+    pub fn new(submission: &Submission, tier: usize) -> Self {
         Self {
-            name: seek.tier.clone(),
+            name: submission.tier.clone(),
             tier: Some(tier),
             contention: Arc::from([]),
-            pools: seek.pools.clone(),
+            pools: submission.pools.clone(),
             flows: Vec::new(),
             returned: VecDeque::new(),
             reservations: Vec::new(),
@@ -87,34 +95,34 @@
         }
     }
 
-    /// What lanes are sorted by.
+    /// Tier and pools, by which queues are sorted.
     pub fn sort_key(&self) -> (&str, &[String]) {
         (&self.name, &self.pools)
     }
 
-    /// Whether two lanes want some of the same runners.
+    /// Whether two queues share a pool.
     pub fn overlaps(&self, other: &Queue) -> bool {
         self.pools.iter().any(|pool| other.pools.contains(pool))
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Whether no call waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Starts, decayed.
+    /// Decayed number of starts.
     pub fn starts(&self) -> f64 {
         self.starts
     }
 
-    /// When the longest waiting call came.
+    /// When the longest-waiting call was queued.
     pub fn oldest_since(&self) -> Option<Moment> {
-        let late = self.flows.iter().filter_map(|account| account.late.front());
+        let late = self.flows.iter().filter_map(|flow| flow.late.front());
         let heads = self.heads().map(|(_, head)| head);
         heads
             .chain(late)
@@ -123,155 +131,146 @@
             .min()
     }
 
-    /// A call waits.
-    pub fn push(&mut self, item: Entry) {
+    /// Adds a call.
+    pub fn push(&mut self, entry: Entry) {
         self.len += 1;
-        if item.submission.reserved {
-            self.returned.push_back(item);
+        if entry.submission.reserved {
+            self.returned.push_back(entry);
             return;
         }
-        let at = self.flow_index(&item.submission.customer);
+        let at = self.flow_index(&entry.submission.customer);
         if self.flows[at].waiting.is_empty() {
             self.flows[at].served_tokens = self.flows[at].served_tokens.max(self.virtual_tokens);
         }
-        self.flows[at].waiting.push_back(item);
+        self.flows[at].waiting.push_back(entry);
     }
 
-    /// Starts of a customer, decayed.
+    /// Decayed number of a customer's starts.
     pub fn starts_for(&self, customer: &str) -> f64 {
         self.find_flow(customer).map_or(0.0, |at| self.flows[at].starts)
     }
 
-    /// Calls of a customer that wait and can be in time.
+    /// Number of a customer's waiting calls that are not late.
     pub fn len_for(&self, customer: &str) -> usize {
         self.find_flow(customer)
             .map_or(0, |at| self.flows[at].waiting.len())
     }
 
-    /// Sets calls aside that can no longer be in time, so that they do not
-    /// make the next ones late as well.
+    /// Moves calls that are late behind all others, so that they do not make the next ones late
+    /// as well.
     pub fn defer_late(&mut self, now: Moment) {
-        for account in &mut self.flows {
-            while account
-                .waiting
-                .front()
-                .is_some_and(|head| now.reached(head.late_at))
-            {
-                account.late.extend(account.waiting.pop_front());
+        for flow in &mut self.flows {
+            while flow.waiting.front().is_some_and(|head| now.reached(head.late_at)) {
+                flow.late.extend(flow.waiting.pop_front());
             }
         }
     }
 
-    /// Promises a time to a customer, not before `least`. Each active customer
-    /// has an even part of the pace, in calls a second, whether it asks for it
-    /// or not: one that floods would else take the others' part as well.
-    pub fn reserve(&mut self, least: Moment, customer: &str, pace: f64) -> Moment {
-        let active = self
-            .flows
-            .iter()
-            .filter(|account| account.starts >= ACTIVE_STARTS);
-        let parts = active.count().max(1) as f64;
+    /// Reserves a retry time for a customer, not before `earliest`. `starts_per_s` is divided
+    /// evenly between the active customers, whether they need it or not; otherwise one that
+    /// floods the queue would take the shares of the others.
+    pub fn reserve(&mut self, earliest: Moment, customer: &str, starts_per_s: f64) -> Moment {
+        let active = self.flows.iter().filter(|flow| flow.starts >= ACTIVE_STARTS);
+        let flows = active.count().max(1) as f64;
         let at = self.flow_index(customer);
-        let next = self.flows[at].last_reservation + Duration::from_secs_f64(parts / pace.max(1e-3));
-        let due = next.max(least);
+        let next_free =
+            self.flows[at].last_reservation + Duration::from_secs_f64(flows / starts_per_s.max(1e-3));
+        let due = next_free.max(earliest);
         self.flows[at].last_reservation = due;
-        let place = self.reservations.partition_point(|have| *have <= due);
-        self.reservations.insert(place, due);
+        let position = self.reservations.partition_point(|have| *have <= due);
+        self.reservations.insert(position, due);
         due
     }
 
-    /// Calls that were told to come back by then.
+    /// Number of reserved retries up to a time.
     pub fn reserved_until(&self, then: Moment) -> usize {
         self.reservations.partition_point(|due| *due <= then)
     }
 
-    /// Drops promises whose time has passed.
+    /// Drops reservations whose time has passed.
     pub fn expire_reservations(&mut self, now: Moment) {
         let passed = self.reserved_until(now);
         self.reservations.drain(..passed);
     }
 
-    /// Calls that would start before one more of this customer.
+    /// Number of waiting calls that would start before a new one of this customer.
     pub fn calls_ahead(&self, customer: &str) -> usize {
         let own = self
             .find_flow(customer)
             .map_or(0, |at| self.flows[at].waiting.len());
-        let others = self.flows.iter().filter(|account| account.customer != customer);
-        own + others
-            .map(|account| account.waiting.len().min(own + 1))
-            .sum::<usize>()
+        let others = self.flows.iter().filter(|flow| flow.customer != customer);
+        own + others.map(|flow| flow.waiting.len().min(own + 1)).sum::<usize>()
     }
 
-    /// Takes the next call for which `choose` finds a runner.
+    /// Takes the next call for which `pick` finds a runner.
     pub fn take(
         &mut self,
         policy: Policy,
-        mut choose: impl FnMut(&Submission) -> Option<Key>,
+        mut pick: impl FnMut(&Submission) -> Option<Key>,
     ) -> Option<(Entry, Key)> {
-        if let Some(taken) = self.take_returned(&mut choose) {
+        if let Some(taken) = self.take_returned(&mut pick) {
             return Some(taken);
         }
         if self.heads().next().is_none() {
-            return self.take_late(choose);
+            return self.take_late(pick);
         }
         for at in self.candidates(policy) {
             let Some(head) = self.flows[at].waiting.front() else {
                 continue;
             };
-            let Some(runner) = choose(&head.submission) else {
-                // All heads want the same pools: without a runner for one
-                // there is none for the others, unless it avoids some.
+            let Some(runner) = pick(&head.submission) else {
+                // All calls in this queue use the same pools. If there is no runner for one,
+                // there is none for the others, unless the first excludes some.
                 if head.submission.avoid.is_empty() {
                     return None;
                 }
                 continue;
             };
-            let item = self.flows[at].waiting.pop_front()?;
+            let entry = self.flows[at].waiting.pop_front()?;
             self.len -= 1;
             self.starts += 1.0;
             self.flows[at].starts += 1.0;
             self.virtual_tokens = self.virtual_tokens.max(self.flows[at].served_tokens);
-            self.flows[at].served_tokens += self.expected_tokens(&item.submission);
-            return Some((item, runner));
+            self.flows[at].served_tokens += self.expected_tokens(&entry.submission);
+            return Some((entry, runner));
         }
         None
     }
 
-    /// Takes a call that came back as promised.
-    fn take_returned(&mut self, choose: &mut impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
-        let runner = choose(&self.returned.front()?.submission)?;
-        let item = self.returned.pop_front()?;
+    /// Takes a retry that arrived at its reserved time.
+    fn take_returned(&mut self, pick: &mut impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
+        let runner = pick(&self.returned.front()?.submission)?;
+        let entry = self.returned.pop_front()?;
         self.len -= 1;
         self.starts += 1.0;
-        let at = self.flow_index(&item.submission.customer);
+        let at = self.flow_index(&entry.submission.customer);
         self.flows[at].starts += 1.0;
-        self.flows[at].served_tokens += self.expected_tokens(&item.submission);
-        Some((item, runner))
+        self.flows[at].served_tokens += self.expected_tokens(&entry.submission);
+        Some((entry, runner))
     }
 
-    /// Takes the call that has been late for the longest; nothing that can be
-    /// in time waits.
-    fn take_late(&mut self, mut choose: impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
-        let late = |at: &usize| self.flows[*at].late.front().map(|head| head.queued_at);
+    /// Takes the late call that was queued first; used when no other calls wait.
+    fn take_late(&mut self, mut pick: impl FnMut(&Submission) -> Option<Key>) -> Option<(Entry, Key)> {
+        let late_since = |at: &usize| self.flows[*at].late.front().map(|head| head.queued_at);
         let at = (0..self.flows.len())
-            .filter(|at| late(at).is_some())
-            .min_by_key(late)?;
-        let runner = choose(&self.flows[at].late.front()?.submission)?;
-        let item = self.flows[at].late.pop_front()?;
+            .filter(|at| late_since(at).is_some())
+            .min_by_key(late_since)?;
+        let runner = pick(&self.flows[at].late.front()?.submission)?;
+        let entry = self.flows[at].late.pop_front()?;
         self.len -= 1;
         self.starts += 1.0;
         self.flows[at].starts += 1.0;
-        Some((item, runner))
+        Some((entry, runner))
     }
 
-    /// Customers whose turn it is, the first few.
+    /// The customers to serve next, in order; at most `MAX_CANDIDATES`.
     fn candidates(&self, policy: Policy) -> Vec<usize> {
-        let since = |at: &usize| self.flows[*at].waiting.front().map(|head| head.queued_at);
+        let queued_at = |at: &usize| self.flows[*at].waiting.front().map(|head| head.queued_at);
         let compare = |a: &usize, b: &usize| match policy.is_fair() {
             true => self.flows[*a]
                 .served_tokens
                 .total_cmp(&self.flows[*b].served_tokens),
-            false => since(a).cmp(&since(b)),
+            false => queued_at(a).cmp(&queued_at(b)),
         };
         let mut order: Vec<usize> = self.heads().map(|(at, _)| at).collect();
         if order.len() > MAX_CANDIDATES {
@@ -282,17 +281,18 @@
         order
     }
 
-    /// Corrects what a call was expected to cost, and learns its length.
-    pub fn record_usage(&mut self, seek: &Submission, tokens: u32, whole: bool) {
-        let expected = self.expected_tokens(seek);
-        let at = self.flow_index(&seek.customer);
+    /// Replaces the expected tokens of a finished call by the actual number, and updates the
+    /// mean answer length of its class.
+    pub fn record_usage(&mut self, submission: &Submission, tokens: u32, completed: bool) {
+        let expected = self.expected_tokens(submission);
+        let at = self.flow_index(&submission.customer);
         self.flows[at].served_tokens += f64::from(tokens) - expected;
-        if whole {
-            self.learn_length(&seek.class, f64::from(tokens));
+        if completed {
+            self.learn_length(&submission.class, f64::from(tokens));
         }
     }
 
-    /// Takes a retry from the budget, if there is one left.
+    /// Takes one upstream retry from the budget, if any is left.
     pub fn take_retry(&mut self) -> bool {
         let left = self.retry_budget >= 1.0;
         if left {
@@ -301,17 +301,17 @@
         left
     }
 
-    /// Ages the counts and refills the retry budget.
-    pub fn decay(&mut self, factor: f64, share: f64, least: f64) {
-        let most = (self.starts * share).max(least);
-        self.retry_budget = (self.retry_budget + most * (1.0 - factor)).min(most);
+    /// Decays the counts and refills the retry budget.
+    pub fn decay(&mut self, factor: f64, retry_share: f64, min_retries: f64) {
+        let max_retries = (self.starts * retry_share).max(min_retries);
+        self.retry_budget = (self.retry_budget + max_retries * (1.0 - factor)).min(max_retries);
         self.starts *= factor;
-        for account in &mut self.flows {
-            account.starts *= factor;
+        for flow in &mut self.flows {
+            flow.starts *= factor;
         }
     }
 
-    /// Takes out the calls that waited too long.
+    /// Removes and returns the calls that waited too long.
     pub fn expire(&mut self, now: Moment) -> Vec<Entry> {
         let mut out = Vec::new();
         while self
@@ -321,8 +321,8 @@
         {
             out.extend(self.returned.pop_front());
         }
-        for account in &mut self.flows {
-            for queue in [&mut account.late, &mut account.waiting] {
+        for flow in &mut self.flows {
+            for queue in [&mut flow.late, &mut flow.waiting] {
                 while queue.front().is_some_and(|head| now.reached(head.expires_at)) {
                     out.extend(queue.pop_front());
                 }
@@ -332,16 +332,20 @@
         out
     }
 
-    /// Takes a call out by name.
+    /// Removes a call; returns whether it was found.
     pub fn remove(&mut self, call: Call) -> bool {
-        if let Some(at) = self.returned.iter().position(|item| item.submission.call == call) {
+        if let Some(at) = self
+            .returned
+            .iter()
+            .position(|entry| entry.submission.call == call)
+        {
             self.returned.remove(at);
             self.len -= 1;
             return true;
         }
-        for account in &mut self.flows {
-            for queue in [&mut account.late, &mut account.waiting] {
-                if let Some(at) = queue.iter().position(|item| item.submission.call == call) {
+        for flow in &mut self.flows {
+            for queue in [&mut flow.late, &mut flow.waiting] {
+                if let Some(at) = queue.iter().position(|entry| entry.submission.call == call) {
                     queue.remove(at);
                     self.len -= 1;
                     return true;
@@ -351,18 +355,18 @@
         false
     }
 
-    /// Takes out the calls for which `leaves` holds.
-    pub fn drain_if(&mut self, leaves: impl Fn(&Submission) -> bool) -> Vec<Entry> {
+    /// Removes and returns the calls for which `matches` is true.
+    pub fn drain_if(&mut self, matches: impl Fn(&Submission) -> bool) -> Vec<Entry> {
         let (mut out, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.returned)
             .into_iter()
-            .partition(|item| leaves(&item.submission));
+            .partition(|entry| matches(&entry.submission));
         self.returned = rest.into();
-        for account in &mut self.flows {
-            for queue in [&mut account.late, &mut account.waiting] {
-                let (gone, rest): (Vec<_>, Vec<_>) = std::mem::take(queue)
+        for flow in &mut self.flows {
+            for queue in [&mut flow.late, &mut flow.waiting] {
+                let (removed, rest): (Vec<_>, Vec<_>) = std::mem::take(queue)
                     .into_iter()
-                    .partition(|item| leaves(&item.submission));
-                out.extend(gone);
+                    .partition(|entry| matches(&entry.submission));
+                out.extend(removed);
                 *queue = rest.into();
             }
         }
@@ -370,12 +374,12 @@
         out
     }
 
-    fn expected_tokens(&self, seek: &Submission) -> f64 {
-        let most = f64::from(seek.max_tokens);
-        let learned = self
+    fn expected_tokens(&self, submission: &Submission) -> f64 {
+        let max_tokens = f64::from(submission.max_tokens);
+        let known = self
             .mean_tokens
-            .binary_search_by(|(class, _)| class.cmp(&seek.class));
-        learned.map_or(most, |at| self.mean_tokens[at].1.min(most))
+            .binary_search_by(|(class, _)| class.cmp(&submission.class));
+        known.map_or(max_tokens, |at| self.mean_tokens[at].1.min(max_tokens))
     }
 
     fn learn_length(&mut self, class: &str, tokens: f64) {
@@ -392,19 +396,19 @@
         self.flows
             .iter()
             .enumerate()
-            .filter_map(|(at, account)| Some((at, account.waiting.front()?)))
+            .filter_map(|(at, flow)| Some((at, flow.waiting.front()?)))
     }
 
     fn find_flow(&self, customer: &str) -> Option<usize> {
         self.flows
-            .binary_search_by(|account| account.customer.as_str().cmp(customer))
+            .binary_search_by(|flow| flow.customer.as_str().cmp(customer))
             .ok()
     }
 
     fn flow_index(&mut self, customer: &str) -> usize {
         match self
             .flows
-            .binary_search_by(|account| account.customer.as_str().cmp(customer))
+            .binary_search_by(|flow| flow.customer.as_str().cmp(customer))
         {
             Ok(at) => at,
             Err(at) => {
