--- a/crates/core/src/dispatch/placement.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -1,10 +1,10 @@
-//! Choosing a runner, and the named policies that are measured side by side.
+//! Picking a runner for a call, and the named policies that experiments compare.
 //!
-//! Two random runners of the nearest zone with room are compared by load and
-//! by the pace that this host saw itself; a prompt's beginning pulls towards
-//! the runner that probably has it cached, unless that one is loaded well
-//! above the other. Random pairs keep many hosts with the same lagging reports
-//! from running to the same runner.
+//! In the nearest zone with free capacity, two random runners are compared by load and by the
+//! milliseconds per token that this host has measured. A call with a prompt prefix goes to the
+//! runner that probably has the prefix cached, unless that runner's load is well above the
+//! other's. Random pairs keep many hosts with the same delayed reports from picking the same
+//! runner.
 
 use std::sync::Arc;
 
@@ -16,125 +16,123 @@
 use crate::runner::{Key, Runner, Runners};
 use crate::time::Moment;
 
-/// Pairs drawn before the whole zone is searched.
+/// Random pairs drawn before all runners are searched.
 const MAX_DRAWS: usize = 3;
-/// How far above the mean load prefix affinity may push a runner.
+/// Factor by which the cached runner's load may exceed that of the best one.
 const AFFINITY_SLACK: f64 = 1.25;
-/// Most that one host takes at once of what is free, in percent of an even
-/// share.
+/// Maximum share of the free slots that one host takes at once, in percent of an even share.
 const HOST_SHARE_PERCENT: u32 = 125;
-/// Part of a runner that is given out to hosts of other zones.
+/// Share of a runner's slots that hosts of other zones may use, in percent.
 const REMOTE_PERCENT: u32 = 12;
-/// Part of a target that a foretold wait may take.
+/// Share of a tier's target that an estimated wait may take.
 const TARGET_FRACTION: f64 = 0.5;
-/// Overbooking of runners by better tiers in earlier versions: the engine's
-/// own priorities were to be the second line.
+/// Calls per runner of high-priority tiers in earlier policies, in percent of its slots. They
+/// relied on the engine's own priorities to order the excess.
 const OVERBOOKED_PERCENT: u32 = 150;
 
 record! {
-    /// How calls are ordered and placed.
+    /// How calls are ordered and assigned to runners.
     #[derive(Copy, Eq, Default)]
     pub enum Policy {
-        /// The newest: as promising, and a host leaves room to zone mates that wait.
+        /// The newest: as `Promising`, and a host leaves slots to zone peers with waiting calls.
         #[default]
         Full,
-        /// As shared, and times to come back are promises.
+        /// As `Shared`, and retry times are reserved.
         Promising,
-        /// As timely, and runners of other zones are given out in parts.
+        /// As `Timely`, and the slots of a runner for hosts of other zones are shared out.
         Shared,
-        /// As early, with waits foretold by customer, and calls that can be in
-        /// time before those that are late already.
+        /// As `Early`, with waits estimated by customer, and late calls after all others.
         Timely,
-        /// As tiered, and calls that would miss their target are refused.
+        /// As `Tiered`, and calls that are expected to miss their target are refused.
         Early,
-        /// As first, and a reserve for every better tier, not the protected
-        /// ones alone.
+        /// As `First`, with a reserve for every tier of higher priority, not only for protected
+        /// ones.
         Tiered,
-        /// The first version: tiers, floors, fairness, two choices, affinity.
+        /// The first version: tiers, floors, fair queueing, two random choices, prefix affinity.
         First,
-        /// As full, without prefix affinity.
+        /// As `Full`, without prefix affinity.
         NoAffinity,
-        /// As full, without refusing early.
+        /// As `Full`, without early rejection.
         NoEarly,
-        /// As full, without floors.
+        /// As `Full`, without floors.
         NoFloors,
-        /// First come, first served; two choices.
+        /// First come, first served; two random choices.
         Fifo,
-        /// First come, first served; the least reported load.
+        /// First come, first served; least reported load.
         LeastLoad,
-        /// First come, first served; one after another.
+        /// First come, first served; round robin.
         RoundRobin,
     }
 }
 
 impl Policy {
-    /// Whether tiers matter.
+    /// Whether tiers and their priorities are used.
     pub fn uses_tiers(self) -> bool {
         !matches!(self, Policy::Fifo | Policy::LeastLoad | Policy::RoundRobin)
     }
 
-    /// Whether customers take turns by tokens.
+    /// Whether customers are queued fairly by tokens.
     pub fn is_fair(self) -> bool {
         self.uses_tiers()
     }
 
-    /// Whether floors count.
+    /// Whether floors are enforced.
     pub fn enforces_floors(self) -> bool {
         self.uses_tiers() && self != Policy::NoFloors
     }
 
-    /// Whether hopeless calls are refused on arrival.
+    /// Whether calls are refused on arrival if the estimated wait is too long.
     pub fn rejects_early(self) -> bool {
         self.uses_tiers() && self != Policy::NoEarly
     }
 
-    /// Whether room on a runner depends on the tiers that share its pool.
+    /// Whether the capacity of a runner depends on the tiers that share its pool.
     pub fn reserves_per_tier(self) -> bool {
         self.uses_tiers() && self != Policy::First
     }
 
-    /// Whether calls are refused that would miss their target.
+    /// Whether calls are refused that are expected to miss their target.
     pub fn rejects_by_target(self) -> bool {
         self.rejects_early() && !matches!(self, Policy::First | Policy::Tiered)
     }
 
-    /// Whether room is kept for callers that were told when to come back.
+    /// Whether retry times are reserved.
     pub fn reserves_retries(self) -> bool {
         matches!(self, Policy::Promising) || self.yields_to_peers()
     }
 
-    /// Whether a host leaves room to mates that wait.
+    /// Whether a host leaves slots to zone peers with waiting calls.
     pub fn yields_to_peers(self) -> bool {
         matches!(self, Policy::Full | Policy::NoAffinity | Policy::NoFloors)
     }
 
-    /// Whether better tiers may queue at the engine.
+    /// Whether tiers of high priority may queue at the engine.
     pub fn overbooks(self) -> bool {
         !self.shares_remote()
     }
 
-    /// Whether runners of other zones are given out in parts.
+    /// Whether the slots of a runner for hosts of other zones are shared out.
     pub fn shares_remote(self) -> bool {
         self.reserves_retries() || self == Policy::Shared
     }
 
-    /// Whether waits are foretold by customer and late calls go last.
+    /// Whether waits are estimated by customer and late calls go last.
     pub fn defers_late(self) -> bool {
         self.shares_remote() || self == Policy::Timely
     }
 
-    /// Part of the target that a foretold wait may take. A queue that is let
-    /// grow to the whole target serves everyone just as it passes.
+    /// Share of the target that an estimated wait may take. In a queue that may grow to the
+    /// whole target, every call starts only as its target passes.
     pub fn target_fraction(self) -> f64 {
         if self.defers_late() { TARGET_FRACTION } else { 1.0 }
     }
 
-    /// Whether a reserve is kept for protected tiers.
+    /// Whether a reserve of slots is kept.
     pub fn keeps_reserve(self) -> bool {
         self.uses_tiers()
     }
 
-    /// Whether prompts stay with their runners.
+    /// Whether prompts prefer the runner that has their prefix cached.
     pub fn uses_affinity(self) -> bool {
         self.uses_tiers() && self != Policy::NoAffinity
     }
@@ -145,67 +143,71 @@
     }
 }
 
-/// One choice.
+/// Inputs for picking a runner for one call.
 pub struct Picker<'a> {
-    /// Now.
+    /// Current time.
     pub now: Moment,
     /// This host's zone.
     pub zone: &'a str,
-    /// How.
+    /// Policy in use.
     pub policy: Policy,
-    /// Whether the tier is protected.
+    /// Whether the call's tier is protected.
     pub protected: bool,
-    /// Percent of a runner kept for better tiers.
+    /// Slots of a runner kept for tiers of higher priority, in percent.
     pub reserve_percent: u8,
-    /// This host's place among all live hosts.
+    /// Index of this host among all live entry hosts.
     pub host_index: usize,
-    /// Entry hosts that are live in this zone.
+    /// Number of live entry hosts in this zone.
     pub zone_hosts: usize,
-    /// Entry hosts that are live, of all zones.
+    /// Number of live entry hosts in all zones.
     pub hosts: usize,
-    /// Pools of the call, and who shares them.
+    /// Pools of the call, with the contention on each.
     pub contention: Arc<[(String, Contention)]>,
-    /// Zone mates that have calls waiting, by pool.
+    /// Number of zone peers with waiting calls, by pool.
     pub waiting_peers: Arc<[(String, u32)]>,
 }
 
-/// Where the runners of a choice are.
+/// Zone of the candidate runners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Locality {
     /// In this host's zone.
-    Near,
-    /// In other zones, beside open ones in this.
-    Far,
-    /// In other zones; this one has none that is open.
-    Alone,
+    Local,
+    /// In other zones, while this zone has available runners.
+    Remote,
+    /// In other zones, as this zone has no available runner.
+    RemoteOnly,
 }
 
-/// Other tiers that use a pool.
+/// Whether tiers of other priorities use a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Contention {
-    /// One with a better priority.
+    /// A tier of higher priority uses it.
     pub higher_priority: bool,
-    /// One with a worse priority.
+    /// A tier of lower priority uses it.
     pub lower_priority: bool,
 }
 
 impl Picker<'_> {
-    /// A runner with room, nearest zone first.
-    pub fn pick(&self, runners: &Runners, rng: &mut ChaCha8Rng, seek: &Submission) -> Option<Key> {
-        let pools = || seek.pools.iter().flat_map(|pool| runners.pool(pool));
-        let near = pools().filter(|(zone, _)| zone == self.zone);
-        let far = pools().filter(|(zone, _)| zone != self.zone);
-        let near: Vec<&[Key]> = near.map(|(_, keys)| keys.as_slice()).collect();
-        let alone = !near
+    /// Picks a runner with free capacity, this zone first.
+    pub fn pick(&self, runners: &Runners, rng: &mut ChaCha8Rng, submission: &Submission) -> Option<Key> {
+        let pools = || submission.pools.iter().flat_map(|pool| runners.pool(pool));
+        let local = pools().filter(|(zone, _)| zone == self.zone);
+        let remote = pools().filter(|(zone, _)| zone != self.zone);
+        let local: Vec<&[Key]> = local.map(|(_, keys)| keys.as_slice()).collect();
+        let remote_only = !local
             .iter()
             .copied()
             .flatten()
             .any(|key| runners.get(*key).is_available(self.now));
-        self.pick_among(runners, rng, seek, &near, Locality::Near)
+        self.pick_among(runners, rng, submission, &local, Locality::Local)
             .or_else(|| {
-                let far: Vec<&[Key]> = far.map(|(_, keys)| keys.as_slice()).collect();
-                let reach = if alone { Locality::Alone } else { Locality::Far };
-                self.pick_among(runners, rng, seek, &far, reach)
+                let remote: Vec<&[Key]> = remote.map(|(_, keys)| keys.as_slice()).collect();
+                let locality = if remote_only {
+                    Locality::RemoteOnly
+                } else {
+                    Locality::Remote
+                };
+                self.pick_among(runners, rng, submission, &remote, locality)
             })
     }
 
@@ -213,23 +215,23 @@
         &self,
         runners: &Runners,
         rng: &mut ChaCha8Rng,
-        seek: &Submission,
+        submission: &Submission,
         groups: &[&[Key]],
-        reach: Locality,
+        locality: Locality,
     ) -> Option<Key> {
         let count: usize = groups.iter().map(|group| group.len()).sum();
         if count == 0 {
             return None;
         }
-        let avoid = self.excluded(runners, seek);
-        let fits = |key: &Key| self.fits(runners.get(*key), reach) && !avoid.contains(key);
+        let avoid = self.excluded(runners, submission);
+        let fits = |key: &Key| self.fits(runners.get(*key), locality) && !avoid.contains(key);
         let all = || groups.iter().flat_map(|group| group.iter().copied()).filter(fits);
         match self.policy {
             Policy::LeastLoad => {
                 all().min_by(|a, b| runners.get(*a).load().total_cmp(&runners.get(*b).load()))
             }
             Policy::RoundRobin => {
-                let from = seek.call.0 as usize % count;
+                let from = submission.call.0 as usize % count;
                 let keys: Vec<Key> = groups.iter().flat_map(|group| group.iter().copied()).collect();
                 (0..count).map(|step| keys[(from + step) % count]).find(fits)
             }
@@ -237,7 +239,7 @@
                 let best = self.draw(runners, rng, groups, count, fits).or_else(|| {
                     all().min_by(|a, b| self.cost(runners.get(*a)).total_cmp(&self.cost(runners.get(*b))))
                 })?;
-                Some(self.prefer_cached(runners, seek, all, best))
+                Some(self.prefer_cached(runners, submission, all, best))
             }
         }
     }
@@ -251,7 +253,10 @@
         fits: impl Fn(&Key) -> bool,
     ) -> Option<Key> {
         for _ in 0..MAX_DRAWS {
-            let pair = [pick(rng, groups, count), pick(rng, groups, count)];
+            let pair = [
+                random_runner(rng, groups, count),
+                random_runner(rng, groups, count),
+            ];
             let best = pair
                 .into_iter()
                 .filter(|key| fits(key))
@@ -263,123 +268,128 @@
         None
     }
 
-    /// The prompt's own runner, if its load stays near that of the best found.
+    /// The runner for the prompt's prefix, if its load is near that of the best found.
     fn prefer_cached<I: Iterator<Item = Key>>(
         &self,
         runners: &Runners,
-        seek: &Submission,
+        submission: &Submission,
         all: impl Fn() -> I,
         best: Key,
     ) -> Key {
-        let Some(prefix) = seek.prefix_hash.filter(|_| self.policy.uses_affinity()) else {
+        let Some(prefix) = submission.prefix_hash.filter(|_| self.policy.uses_affinity()) else {
             return best;
         };
-        let home = all().max_by_key(|key| id::weight(prefix, u64::from(key.0)));
-        let bound = runners.get(best).load() * AFFINITY_SLACK + 0.25;
-        match home {
-            Some(home)
-                if runners.get(home).load() <= bound
-                    && self.is_comparable(runners.get(home), runners.get(best)) =>
+        let cached = all().max_by_key(|key| id::weight(prefix, u64::from(key.0)));
+        let max_load = runners.get(best).load() * AFFINITY_SLACK + 0.25;
+        match cached {
+            Some(cached)
+                if runners.get(cached).load() <= max_load
+                    && self.is_comparable(runners.get(cached), runners.get(best)) =>
             {
-                home
+                cached
             }
             _ => best,
         }
     }
 
-    /// Affinity must not hold on to a straggler.
-    fn is_comparable(&self, home: &Runner, best: &Runner) -> bool {
-        home.ms_per_token == 0.0 || best.ms_per_token == 0.0 || home.ms_per_token <= best.ms_per_token * 2.0
+    /// Whether the cached runner takes at most twice the time of the best one, so that affinity does
+    /// not keep calls on a straggler.
+    fn is_comparable(&self, cached: &Runner, best: &Runner) -> bool {
+        cached.ms_per_token == 0.0
+            || best.ms_per_token == 0.0
+            || cached.ms_per_token <= best.ms_per_token * 2.0
     }
 
-    /// Runners to leave out: those that failed the call before, as long as
-    /// there is any other. Where there is none the call would else wait for
-    /// nothing until its patience ends.
-    fn excluded<'a>(&self, runners: &Runners, seek: &'a Submission) -> &'a [Key] {
-        let mut all = seek
+    /// Runners to exclude: those that have failed the call, as long as there is another. If
+    /// there is none, excluding them would leave the call waiting until its patience ends.
+    fn excluded<'a>(&self, runners: &Runners, submission: &'a Submission) -> &'a [Key] {
+        let mut all = submission
             .pools
             .iter()
             .flat_map(|pool| runners.pool(pool))
             .flat_map(|(_, keys)| keys);
-        let other = |key: &Key| !seek.avoid.contains(key) && !runners.get(*key).is_leaving(self.now);
-        match seek.avoid.is_empty() || all.any(other) {
-            true => &seek.avoid,
+        let usable = |key: &Key| !submission.avoid.contains(key) && !runners.get(*key).is_leaving(self.now);
+        match submission.avoid.is_empty() || all.any(usable) {
+            true => &submission.avoid,
             false => &[],
         }
     }
 
-    fn fits(&self, runner: &Runner, reach: Locality) -> bool {
-        let far = self.policy.shares_remote();
-        let room = match reach {
-            Locality::Far if far => self.remote_capacity(runner),
-            Locality::Alone if far => self.capacity(runner).min(self.even_share(runner)),
-            // A protected tier need not leave that part alone: waiting here
-            // beside a free slot would be worse than sharing it.
-            Locality::Near if far && !self.protected && self.hosts > self.zone_hosts => {
+    fn fits(&self, runner: &Runner, locality: Locality) -> bool {
+        let shares_remote = self.policy.shares_remote();
+        let capacity = match locality {
+            Locality::Remote if shares_remote => self.remote_capacity(runner),
+            Locality::RemoteOnly if shares_remote => self.capacity(runner).min(self.even_share(runner)),
+            // A protected tier may also use the slots meant for other zones: waiting next to a
+            // free slot would be worse than sharing it.
+            Locality::Local if shares_remote && !self.protected && self.hosts > self.zone_hosts => {
                 self.capacity(runner).saturating_sub(remote_slots(runner)).max(1)
             }
-            Locality::Near | Locality::Far | Locality::Alone => self.capacity(runner),
+            Locality::Local | Locality::Remote | Locality::RemoteOnly => self.capacity(runner),
         };
-        let races =
-            far && reach == Locality::Near && !self.protected && self.contention_for(runner).higher_priority;
-        let taken = runner.running + runner.peer_running;
-        let wins = !races || runner.unreported < self.share_of_free(room, taken, runner.unreported);
-        let yields = self.policy.yields_to_peers() && reach == Locality::Near && !self.protected;
-        let leaves_room = !yields || runner.running < self.share_beside_peers(runner, room);
-        runner.is_available(self.now) && taken < room && wins && leaves_room
+        let yields_share = shares_remote
+            && locality == Locality::Local
+            && !self.protected
+            && self.contention_for(runner).higher_priority;
+        let used = runner.running + runner.peer_running;
+        let within_share =
+            !yields_share || runner.unreported < self.share_of_free(capacity, used, runner.unreported);
+        let limits_to_peers = self.policy.yields_to_peers() && locality == Locality::Local && !self.protected;
+        let within_peer_share =
+            !limits_to_peers || runner.running < self.share_beside_peers(runner, capacity);
+        runner.is_available(self.now) && used < capacity && within_share && within_peer_share
     }
 
-    /// Most that this host has on a runner while zone mates wait for its pool.
+    /// Maximum calls of this host on a runner while zone peers have calls waiting for its pool.
     ///
-    /// On a full runner the host whose call ends sees the free slot at once and
-    /// takes it again, its mates hear of it too late. With one engine of two slots a
-    /// host had both for 4.5 s, while its mate's 28 calls all became late. Each host
-    /// that waits is left an even part; one that has less than it wants leaves the
-    /// rest, so that no slot stays free for longer than its word takes.
-    fn share_beside_peers(&self, runner: &Runner, room: u32) -> u32 {
+    /// On a full runner, the host whose call ends sees the free slot at once and uses it again
+    /// before its peers get the news. With one engine of two slots, a host held both for 4.5 s
+    /// while all 28 calls of its peer became late. So every host with waiting calls is left an
+    /// even share. A host that needs less than its share reports no waiting calls and the others
+    /// use the rest, so that a slot stays free no longer than that report takes.
+    fn share_beside_peers(&self, runner: &Runner, capacity: u32) -> u32 {
         let pool = runner.listing.pool.as_str();
-        let mates = self.waiting_peers.iter().find(|(name, _)| name == pool);
-        room.div_ceil(mates.map_or(0, |(_, count)| *count) + 1)
+        let peers = self.waiting_peers.iter().find(|(name, _)| name == pool);
+        capacity.div_ceil(peers.map_or(0, |(_, count)| *count) + 1)
     }
 
-    /// Calls that this host may have on a runner of another zone. It hears
-    /// nothing of the calls that others have there: were each host to fill it
-    /// by its own count, the calls would wait in the engine's queue, unseen.
-    /// So a part of each runner is given out, one call each, to a few hosts
-    /// that take turns by the runner's name, never more than the part; the
-    /// hosts of its own zone leave that part alone.
+    /// Calls that this host may have on a runner of another zone. It gets no reports of other
+    /// hosts' calls there. If each host filled the runner by its own count, calls would wait in
+    /// the engine's queue, where no host sees them. So a share of each runner's slots is
+    /// divided, one call each, between a few hosts selected by the runner's name. The hosts of
+    /// the runner's own zone do not use that share.
     fn remote_capacity(&self, runner: &Runner) -> u32 {
         let hosts = self.hosts.max(1);
-        let first = id::digest(runner.listing.name.as_bytes()) as usize % hosts;
-        let turn = (self.host_index + hosts - first) % hosts;
+        let offset = id::digest(runner.listing.name.as_bytes()) as usize % hosts;
+        let turn = (self.host_index + hosts - offset) % hosts;
         u32::from(turn < remote_slots(runner) as usize)
     }
 
-    /// Most that this host takes at once of what was free when it last heard
-    /// the others: in a burst all hosts of the zone see the same slots free,
-    /// and together they would take the reserve of the better tiers as well.
-    fn share_of_free(&self, room: u32, taken: u32, fresh: u32) -> u32 {
-        let free = room.saturating_sub(taken.saturating_sub(fresh));
+    /// Maximum slots that this host takes at once of those that were free at its peers' last
+    /// reports. In a burst all hosts of the zone see the same slots free, and together they
+    /// would take the reserve of the tiers of higher priority as well.
+    fn share_of_free(&self, capacity: u32, used: u32, unreported: u32) -> u32 {
+        let free = capacity.saturating_sub(used.saturating_sub(unreported));
         (free * HOST_SHARE_PERCENT / 100).div_ceil(self.zone_hosts.max(1) as u32)
     }
 
     fn contention_for(&self, runner: &Runner) -> Contention {
         let pool = runner.listing.pool.as_str();
-        let rivals = self.contention.iter().find(|(name, _)| *name == pool);
-        rivals.map_or(Contention::default(), |(_, rivals)| *rivals)
+        let contention = self.contention.iter().find(|(name, _)| *name == pool);
+        contention.map_or(Contention::default(), |(_, contention)| *contention)
     }
 
-    /// An even part of a runner, for a host whose zone has none of its own.
+    /// An even share of a runner's slots, for a host whose zone has no available runner.
     fn even_share(&self, runner: &Runner) -> u32 {
         (runner.listing.slots / self.hosts.max(1) as u32).max(1)
     }
 
     /// Calls that a runner may have.
     ///
-    /// A tier leaves the reserve to better ones that use the same pool: a
-    /// worse tier that fills every slot makes them wait for the end of a long
-    /// answer. Nobody queues at the engine: what waits there is not seen by
-    /// the foretold waits, and makes its whole tier late in a burst.
+    /// A tier leaves the reserve to tiers of higher priority that use the same pool; if it
+    /// filled every slot, they would wait for the end of a long answer. No call queues at the
+    /// engine: the estimated waits do not include such calls, and in a burst they make their
+    /// whole tier late.
     fn capacity(&self, runner: &Runner) -> u32 {
         let slots = runner.listing.slots;
         let reserved = (slots * (100 - u32::from(self.reserve_percent)) / 100).max(1);
@@ -408,12 +418,12 @@
     }
 }
 
-/// Calls of a runner that hosts of other zones may have.
+/// Slots of a runner that hosts of other zones may use.
 fn remote_slots(runner: &Runner) -> u32 {
     (runner.listing.slots * REMOTE_PERCENT / 100).max(1)
 }
 
-fn pick(rng: &mut ChaCha8Rng, groups: &[&[Key]], count: usize) -> Key {
+fn random_runner(rng: &mut ChaCha8Rng, groups: &[&[Key]], count: usize) -> Key {
     let mut at = rng.random_range(0..count);
     for group in groups {
         if at < group.len() {
