--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,8 +1,8 @@
-//! What operators declare: customers, classes, keys, pools and selectors.
+//! The configuration that operators declare: tiers, classes, customers, keys, pools and selectors.
 //!
 //! A [`Document`] holds the declarations as sorted tables. It changes only by
-//! numbered [`change::Entry`]s, each created once in the store, so the log is
-//! the agreement, the history and the audit trail in one. [`view::View`] is
+//! numbered [`change::Entry`]s, each created once in the store, so the log orders
+//! concurrent changes and serves as history and audit trail. [`view::View`] is
 //! the compiled form that the traffic threads read.
 
 use std::time::Duration;
@@ -19,37 +19,37 @@
 
 pub use table::Table;
 
-/// A label: free text under a free name.
+/// Labels: names and values that operators choose freely.
 pub type Labels = std::collections::BTreeMap<String, String>;
 
 #[serde_as]
-/// A service tier: target, priority and protection.
+/// A service tier.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
     /// Its name.
     pub name: String,
-    /// Lower goes first.
+    /// Priority; lower goes first.
     pub priority: u8,
-    /// First token, or whole answer of a plain call, within this.
+    /// Longest time to the first token, or to the answer of a plain call.
     #[serde_as(as = "Span")]
     pub target: Duration,
-    /// Longest wait for a runner; past it the call is refused.
+    /// Longest wait for a runner, after which the call is refused.
     #[serde_as(as = "Span")]
     pub patience: Duration,
-    /// Never shed or preempted for an unprotected tier.
+    /// Whether its calls are never shed or preempted for an unprotected tier.
     #[serde(default)]
     pub protected: bool,
-    /// Least share of starts while work waits, in percent.
+    /// Minimum share of the starts while it has waiting calls, in percent.
     #[serde(default)]
     pub floor: u8,
-    /// Whether its work may sit on runners that can vanish.
+    /// Whether its calls may run on reclaimable runners.
     #[serde(default)]
     pub reclaimable: bool,
 }
 
 record! {
-    /// How a class of calls may be run.
+    /// How the calls of a class are run.
     pub enum Mode {
         /// Token generation on a model engine.
         Generate,
@@ -65,7 +65,7 @@
     pub struct Class {
         /// Its name.
         pub name: String,
-        /// How its calls run.
+        /// How its calls are run.
         pub mode: Mode,
         /// Path of plain calls, such as `/ledger/postings`.
         #[serde(default)]
@@ -88,18 +88,18 @@
 }
 
 record! {
-    /// A caller's key; only its hash is known.
+    /// A caller's key, of which only the hash is stored.
     pub struct Key {
         /// Public name of the key.
         pub name: String,
         /// SHA-256 of the key, in hexadecimal.
         pub hash: String,
-        /// Whose it is.
+        /// Name of the customer that it belongs to.
         pub customer: String,
         /// Labels for selectors.
         #[serde(default)]
         pub labels: Labels,
-        /// A withdrawn key stays known, so that its caller learns why.
+        /// Whether it was withdrawn; it is kept so that its caller is told why.
         #[serde(default)]
         pub withdrawn: bool,
     }
@@ -108,48 +108,48 @@
 record! {
     /// A pool of upstream runners of one kind.
     pub struct Pool {
-        /// Its name, as the platform's host list gives it.
+        /// Its name, as in the platform's host list.
         pub name: String,
-        /// Models it serves; none for plain services.
+        /// Names of the models that it serves; empty for plain services.
         #[serde(default)]
         pub models: Vec<String>,
         /// Labels for selectors.
         #[serde(default)]
         pub labels: Labels,
-        /// Whether its runners are cheap and can vanish at short notice.
+        /// Whether its runners are cheap and can be reclaimed at short notice.
         #[serde(default)]
         pub reclaimable: bool,
-        /// Fewest runners a zone to order.
+        /// Minimum number of runners to order per zone.
         #[serde(default)]
         pub least: u32,
-        /// Most runners a zone to order.
+        /// Maximum number of runners to order per zone; 0 to order none.
         #[serde(default)]
         pub most: u32,
-        /// Whether the upstream refuses orders with an old fencing number.
+        /// Whether the upstream refuses orders with an outdated fencing number.
         #[serde(default)]
         pub fenced: bool,
     }
 }
 
 record! {
-    /// Gives matching traffic a tier and pools.
+    /// A rule that gives matching calls a tier and pools.
     pub struct Selector {
         /// Its name.
         pub name: String,
-        /// Lower ranks are tried first; the first match wins.
+        /// Rank; lower ranks are tried first, and the first match decides.
         pub rank: u32,
-        /// Pairs such as `"class": "posting"` or `"customer.size": "large"`.
+        /// Conditions such as `"class": "posting"` or `"customer.size": "large"`, all required.
         #[serde(default, rename = "match")]
         pub when: Labels,
-        /// The tier it gives.
+        /// Name of the tier that it gives.
         pub tier: String,
-        /// Labels that a pool must carry; several pools may.
+        /// Labels that a pool must have; several pools may match.
         pub pools: Labels,
     }
 }
 
 impl Selector {
-    /// Whether it gives a pool, by the pool's labels.
+    /// Whether a pool has the labels that it requires.
     pub fn matches_pool(&self, pool: &Pool) -> bool {
         self.pools
             .iter()
@@ -158,11 +158,11 @@
 }
 
 #[serde_as]
-/// Settings in force everywhere.
+/// Settings that apply to all hosts.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// How long a host cut off from every newer word goes on trusting keys.
+    /// How long a host that gets no news of the configuration still accepts keys.
     #[serde_as(as = "Span")]
     #[serde(default = "default_horizon")]
     pub key_horizon: Duration,
@@ -170,11 +170,11 @@
     #[serde_as(as = "Span")]
     #[serde(default = "default_window")]
     pub usage_window: Duration,
-    /// Wait after a window's end before it is sealed.
+    /// Time between the end of a window and its sealing.
     #[serde_as(as = "Span")]
     #[serde(default = "default_grace")]
     pub usage_grace: Duration,
-    /// Share of every runner kept free for protected tiers, in percent.
+    /// Share of every runner's slots kept free for tiers of higher priority, in percent.
     #[serde(default = "default_reserve")]
     pub reserve: u8,
 }
@@ -206,11 +206,11 @@
     }
 }
 
-/// Everything that operators declare.
+/// The declarations of one configuration version.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Settings in force everywhere.
+    /// Settings that apply to all hosts.
     #[serde(default)]
     pub settings: Settings,
     /// Service tiers.
--- a/crates/core/src/config/change.rs
+++ b/crates/core/src/config/change.rs
@@ -1,25 +1,25 @@
-//! Numbered changes: the unit of agreement between operators and hosts.
+//! Numbered configuration changes.
 //!
-//! Entry n+1 is created in the store only if absent, so of two racing
-//! operators one is told that it lost. A lost answer is settled by reading the
-//! entry back and comparing its change id.
+//! Entry n+1 is created in the store only if absent, so that of two concurrent
+//! operators one gets a conflict. If the store's answer is lost, the entry is
+//! read back and its change id compared.
 
 use anyhow::{Context, Result};
 
 use super::{Document, Settings, check, table::Table};
 
-/// Store prefix of the log; the version follows in sixteen digits.
+/// Store prefix of the log; followed by the version in sixteen digits.
 pub const LOG_PREFIX: &str = "config/log/";
 /// Store key of the newest snapshot.
 pub const SNAPSHOT_KEY: &str = "config/snapshot";
 
-/// Store key of one version.
+/// Store key of the log entry of a version.
 pub fn log_key(version: u64) -> String {
     format!("{LOG_PREFIX}{version:016}")
 }
 
 record! {
-    /// A part of the document.
+    /// A section of the document.
     #[derive(Copy, Eq)]
     pub enum Section {
         /// `settings`
@@ -40,14 +40,14 @@
 }
 
 record! {
-    /// One record put or removed.
+    /// The replacement or removal of one record.
     pub struct Op {
-        /// Where.
+        /// Section of the record.
         pub section: Section,
-        /// Which; empty for settings.
+        /// Name of the record; empty for settings.
         #[serde(default)]
         pub name: String,
-        /// Its new text; absent when removed.
+        /// New value of the record; absent if it is removed.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub value: Option<serde_json::Value>,
     }
@@ -56,17 +56,17 @@
 record! {
     /// One accepted change.
     pub struct Entry {
-        /// Version that it makes.
+        /// Version that it creates.
         pub version: u64,
-        /// Chosen by the operator's command, to settle lost answers.
+        /// Change id chosen by the operator's command, compared after a lost answer.
         pub id: String,
-        /// Who.
+        /// Operator who made it.
         pub who: String,
-        /// When, in milliseconds since the Unix epoch.
+        /// Time of the change, in milliseconds since the Unix epoch.
         pub when: u64,
-        /// Why, in a few words.
+        /// Reason, in a few words.
         pub note: String,
-        /// What.
+        /// Operations, applied in order.
         pub ops: Vec<Op>,
     }
 }
@@ -82,7 +82,12 @@
     }
 }
 
-/// Applies operations; the document is checked as a whole afterwards.
+/// Applies operations and checks the resulting document.
+///
+/// # Errors
+///
+/// Fails without changing the document if an operation has a malformed value or the result
+/// does not pass [`check::check`].
 pub fn apply(document: &mut Document, ops: &[Op]) -> Result<()> {
     let mut next = document.clone();
     for op in ops {
--- a/crates/core/src/config/check.rs
+++ b/crates/core/src/config/check.rs
@@ -1,10 +1,14 @@
-//! Checks of a document as a whole.
+//! Reading and checking a whole document.
 
 use anyhow::{Context, Result, bail, ensure};
 
 use super::Document;
 
-/// Reads a document and checks it; errors name the key and what is allowed.
+/// Parses and checks a document.
+///
+/// # Errors
+///
+/// Fails on malformed or inconsistent documents; the message names the key and what is allowed.
 pub fn parse(text: &str) -> Result<Document> {
     let mut de = serde_json::Deserializer::from_str(text);
     let document: Document = serde_path_to_error::deserialize(&mut de)
@@ -14,7 +18,11 @@
     Ok(document)
 }
 
-/// Checks what one record alone cannot show.
+/// Checks the rules that span several records or values.
+///
+/// # Errors
+///
+/// Fails at the first rule that the document breaks.
 pub fn check(document: &Document) -> Result<()> {
     check_tiers(document)?;
     check_classes(document)?;
@@ -64,12 +72,16 @@
             "classes.{}.path: paths under /v1/ are the router's own",
             class.name
         );
-        let twin = document
+        let duplicate = document
             .classes
             .iter()
             .find(|other| plain && other.name != class.name && other.path == class.path);
-        if let Some(twin) = twin {
-            bail!("classes.{}.path: `{}` has the same path", class.name, twin.name);
+        if let Some(duplicate) = duplicate {
+            bail!(
+                "classes.{}.path: `{}` has the same path",
+                class.name,
+                duplicate.name
+            );
         }
     }
     Ok(())
--- a/crates/core/src/config/table.rs
+++ b/crates/core/src/config/table.rs
@@ -6,7 +6,7 @@
 
 /// A record with a name.
 pub trait Named {
-    /// The name it is sorted by.
+    /// The name by which it is sorted.
     fn name(&self) -> &str;
 }
 
@@ -22,7 +22,7 @@
 
 named!(Tier, Class, Customer, Key, Pool, Selector);
 
-/// Records sorted by name, found by binary search.
+/// Records sorted by name and found by binary search.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Table<T>(Vec<T>);
 
@@ -33,12 +33,12 @@
 }
 
 impl<T: Named> Table<T> {
-    /// Position of a name.
+    /// Position of the record with a name.
     pub fn position(&self, name: &str) -> Option<usize> {
         self.0.binary_search_by(|item| item.name().cmp(name)).ok()
     }
 
-    /// The record of a name.
+    /// The record with a name.
     pub fn get(&self, name: &str) -> Option<&T> {
         self.position(name).map(|at| &self.0[at])
     }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Removes a record; tells whether it was there.
+    /// Removes a record; returns whether it existed.
     pub fn remove(&mut self, name: &str) -> bool {
         match self.position(name) {
             Some(at) => {
@@ -83,7 +83,7 @@
         items.sort_by(|a, b| a.name().cmp(b.name()));
         if let Some(pair) = items.windows(2).find(|pair| pair[0].name() == pair[1].name()) {
             return Err(serde::de::Error::custom(format!(
-                "the name `{}` stands twice",
+                "the name `{}` occurs twice",
                 pair[0].name()
             )));
         }
--- a/crates/core/src/config/view.rs
+++ b/crates/core/src/config/view.rs
@@ -1,4 +1,4 @@
-//! The compiled document that traffic threads read.
+//! The compiled configuration that traffic threads read.
 
 use std::sync::Arc;
 
@@ -14,37 +14,39 @@
 }
 
 plain! {
-    /// A caller's key, resolved.
+    /// A caller, identified by its key.
     pub struct Caller {
         /// Position of the key in the document.
         pub key: usize,
-        /// Whose it is.
+        /// Customer that the key belongs to.
         pub customer: CustomerKey,
     }
 }
 
 plain! {
-    /// What the selectors decided for one request.
+    /// Class, tier and pools of one request, as the selectors decided.
     pub struct Route {
-        /// Class name.
+        /// Name of its class.
         pub class: String,
-        /// How it runs.
+        /// How it is run.
         pub mode: Mode,
-        /// Its tier, by name, so that it outlives a change of the view.
+        /// Name of its tier; a position would not survive a change of the view.
         pub tier: String,
         /// Names of the pools that may run it.
         pub pools: Arc<[String]>,
     }
 }
 
-/// One version of the document, ready to be asked.
+/// One version of the document, indexed for lookups.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
     /// Version of the configuration; 0 before the first.
     pub version: u64,
     /// The document itself.
     pub document: Document,
+    /// Hashes of the keys with their positions, sorted.
     hashes: Vec<([u8; 32], usize)>,
+    /// Positions of the selectors, by rank.
     selector_order: Vec<usize>,
 }
 
@@ -72,11 +74,15 @@
         }
     }
 
-    /// Whose key this is.
+    /// Identifies a caller by the key that it presents.
     ///
-    /// The presented key is hashed first, so the search compares hashes only
-    /// and its timing tells nothing about a key; the last comparison is in
-    /// constant time all the same.
+    /// The presented key is hashed first, so that the search compares only
+    /// hashes and its timing reveals nothing about a key. The last comparison
+    /// is in constant time nevertheless.
+    ///
+    /// # Errors
+    ///
+    /// Refuses keys that are unknown or withdrawn.
     pub fn authenticate(&self, presented: &str) -> Result<Caller, Refusal> {
         let hash: [u8; 32] = Sha256::digest(presented.as_bytes()).into();
         let at = self
@@ -102,7 +108,7 @@
         })
     }
 
-    /// The caller behind a key by name, for calls that a peer admitted.
+    /// The caller with a key of this name, for calls that a peer has admitted.
     pub fn caller_by_name(&self, key: &str) -> Option<Caller> {
         let at = self.document.keys.position(key)?;
         let customer = self
@@ -115,12 +121,12 @@
         })
     }
 
-    /// Whether a key by name may still be used.
+    /// Whether the key of this name exists and is not withdrawn.
     pub fn is_key_valid(&self, name: &str) -> bool {
         self.document.keys.get(name).is_some_and(|key| !key.withdrawn)
     }
 
-    /// The plain class that serves a path.
+    /// The class of plain calls for a path.
     pub fn class_for_path(&self, path: &str) -> Option<&Class> {
         self.document
             .classes
@@ -128,7 +134,12 @@
             .find(|class| class.mode != Mode::Generate && class.path == path)
     }
 
-    /// Decides tier and pools of a request.
+    /// Decides the tier and pools of a request.
+    ///
+    /// # Errors
+    ///
+    /// Refuses requests of an unknown class or model, requests that no selector matches, and
+    /// those for which there is no pool.
     pub fn route(&self, caller: &Caller, class: &str, model: Option<&str>) -> Result<Route, Refusal> {
         let class = self
             .document
