--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -1,10 +1,10 @@
-//! Configuration in force at one host.
+//! The configuration in force at one host.
 //!
-//! A few hosts of each zone watch the log in the store and the rest learn
-//! from peers, so the store sees a watch a zone and a change costs each host
-//! its own size. The version in force only ever rises: entries apply in order
-//! and a snapshot counts only when it is newer, so neither a stale read nor a
-//! peer that lags can take anything back.
+//! A few hosts of each zone watch the log in the store, and the others get the
+//! changes from peers. So the store serves a few watches per zone, and a change
+//! costs each host only its own size. The version in force never falls: entries
+//! are applied in order and a snapshot only if it is newer, so that neither a
+//! stale read nor a lagging peer can revert a change.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,49 +15,55 @@
 use crate::store::{Answer, Call};
 use crate::time::Moment;
 
-/// Watchers a zone.
+/// Hosts per zone that watch the store.
 pub const WATCHERS_PER_ZONE: usize = 2;
-/// Entries kept for peers that lag.
+/// Log entries kept for lagging peers.
 const MAX_TAIL: usize = 256;
-/// Entries in one answer from the store.
+/// Maximum log entries in one answer of the store.
 const BATCH_ENTRIES: u32 = 64;
-/// Versions after which the snapshot in the store is made anew.
+/// Number of versions after which the snapshot in the store is replaced.
 const SNAPSHOT_EVERY: u64 = 32;
-/// Wait for a store answer before asking again; a watch takes longer.
+/// Half the time after which an unanswered store call is abandoned; a watch may take long.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
-/// Pause after a store call that failed.
+/// Delay after a failed store call.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How long a host that has just started listens to its peers before it
-/// trusts what it read: long enough for two heartbeats.
+/// How long a host that has just started waits for its peers' heartbeats before it trusts what
+/// it has read: long enough for two heartbeats.
 const STARTUP_WAIT: Duration = Duration::from_secs(3);
-/// Pause between pulls from peers.
+/// Minimum time between pulls from peers.
 const PULL_INTERVAL: Duration = Duration::from_millis(300);
 
 plain! {
+    /// The store call that is being waited for.
     #[derive(Copy)]
     enum State {
         Idle,
-        Snapshot,
-        Range,
-        Watch,
-        Publish,
+        ReadingSnapshot,
+        ReadingLog,
+        Watching,
+        WritingSnapshot,
     }
 }
 
-/// The version in force, and where news of the next comes from.
+/// The version in force, and the reading of the next one.
 #[derive(Debug)]
 pub struct Service {
     view: Arc<View>,
+    /// Newest log entries, for lagging peers.
     tail: Vec<Entry>,
     state: State,
     sent_at: Moment,
     next_call: Moment,
     last_pull: Option<Moment>,
+    /// Configuration version of the snapshot in the store, and the version of its store entry.
     stored_snapshot: (u64, u64),
     snapshot_read: bool,
+    /// When the version in force was last known to be the newest.
     fresh_at: Option<Moment>,
     started_at: Option<Moment>,
+    /// Highest version in a peer's heartbeat.
     newest_heard: u64,
+    /// Whether this host has been as new as all its peers since it started.
     caught_up: bool,
     watcher: bool,
 }
@@ -88,30 +94,30 @@
         &self.view
     }
 
-    /// Time since this host knew, first-hand or through peers, that nothing
-    /// newer stood in the store.
+    /// Time since this host last knew, from the store or from peers, that it had the newest
+    /// version; none if it never did.
     pub fn age(&self, now: Moment) -> Option<Duration> {
         self.fresh_at.map(|fresh| now.since(fresh))
     }
 
-    /// Whether keys may be trusted: this host has listened to its peers since
-    /// it started, and has not been cut off for too long.
+    /// Whether keys may be trusted: this host has caught up with its peers since it started, and
+    /// has known within the key horizon that its version was the newest.
     pub fn trusted(&self, now: Moment) -> bool {
         let horizon = self.view.document.settings.key_horizon;
         self.caught_up && self.age(now).is_some_and(|age| age <= horizon)
     }
 
-    /// A host that starts during an outage may read an old snapshot while its
-    /// peers hold a newer version; a key withdrawn in between would work again
-    /// here. So it waits to hear them and until it is as new as any of them.
+    /// A host that starts during an outage may read an old snapshot while its peers have a newer
+    /// version, and a key withdrawn in between would work again on this host. So it first waits
+    /// for heartbeats and until it is as new as any peer.
     fn update_caught_up(&mut self, now: Moment) {
-        let began = *self.started_at.get_or_insert(now);
-        let listened = now.since(began) >= STARTUP_WAIT;
-        self.caught_up |= listened && self.view.version > 0 && self.view.version >= self.newest_heard;
+        let started_at = *self.started_at.get_or_insert(now);
+        let waited = now.since(started_at) >= STARTUP_WAIT;
+        self.caught_up |= waited && self.view.version > 0 && self.view.version >= self.newest_heard;
     }
 
-    /// Moves on; `watcher` tells whether to ask the store. A host that has no
-    /// configuration asks whatever its rank, as it may have no peer.
+    /// Returns the next store call that is due. Only watchers call the store, except that a host
+    /// without a configuration always does, as it may have no peer.
     pub fn tick(&mut self, now: Moment, watcher: bool) -> Option<Call> {
         self.update_caught_up(now);
         self.watcher = watcher;
@@ -126,7 +132,7 @@
         }
         self.sent_at = now;
         if !self.snapshot_read {
-            self.state = State::Snapshot;
+            self.state = State::ReadingSnapshot;
             return Some(Call::Get {
                 key: change::SNAPSHOT_KEY.into(),
             });
@@ -137,11 +143,11 @@
         Some(self.read_log())
     }
 
-    /// The store's answer; tells whether the view changed.
+    /// Handles the store's answer; returns whether the view changed, and the next store call.
     pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> (bool, Option<Call>) {
-        let step = std::mem::replace(&mut self.state, State::Idle);
-        match (step, answer) {
-            (State::Snapshot, Answer::Found(entries)) => {
+        let state = std::mem::replace(&mut self.state, State::Idle);
+        match (state, answer) {
+            (State::ReadingSnapshot, Answer::Found(entries)) => {
                 let entry = entries.first().filter(|entry| entry.version > 0);
                 let snapshot = entry.and_then(|entry| serde_json::from_str::<Snapshot>(&entry.value).ok());
                 self.stored_snapshot = (
@@ -153,17 +159,17 @@
                 self.sent_at = now;
                 (changed, Some(self.read_log()))
             }
-            (State::Range, Answer::Found(entries)) => self.on_log_entries(now, entries),
-            (State::Watch, Answer::Found(_)) => {
+            (State::ReadingLog, Answer::Found(entries)) => self.on_log_entries(now, entries),
+            (State::Watching, Answer::Found(_)) => {
                 self.fresh_at = Some(now);
                 self.sent_at = now;
                 (false, Some(self.read_log()))
             }
-            (State::Publish, Answer::Written(version)) => {
+            (State::WritingSnapshot, Answer::Written(version)) => {
                 self.stored_snapshot = (self.view.version, *version);
                 (false, None)
             }
-            (State::Publish, _) => {
+            (State::WritingSnapshot, _) => {
                 self.snapshot_read = false;
                 self.next_call = now + RETRY_DELAY;
                 (false, None)
@@ -175,16 +181,16 @@
         }
     }
 
-    /// A peer's beat: where it is ahead, its address is worth a pull.
-    pub fn on_heartbeat(&mut self, now: Moment, beat: &Heartbeat) -> Option<Pull> {
-        self.newest_heard = self.newest_heard.max(beat.version);
-        if beat.version == self.view.version && beat.version > 0 {
-            self.update_freshness(now, beat.age);
+    /// Handles a peer's heartbeat; returns the pull to send to it if its version is newer.
+    pub fn on_heartbeat(&mut self, now: Moment, heartbeat: &Heartbeat) -> Option<Pull> {
+        self.newest_heard = self.newest_heard.max(heartbeat.version);
+        if heartbeat.version == self.view.version && heartbeat.version > 0 {
+            self.update_freshness(now, heartbeat.age);
         }
         let due = self
             .last_pull
             .is_none_or(|pulled| now.since(pulled) >= PULL_INTERVAL);
-        if beat.version <= self.view.version || !due {
+        if heartbeat.version <= self.view.version || !due {
             return None;
         }
         self.last_pull = Some(now);
@@ -193,7 +199,7 @@
         })
     }
 
-    /// Answers a peer that lags.
+    /// Answers the pull of a lagging peer.
     pub fn on_pull(&self, pull: &Pull) -> Pulled {
         let from = self.tail.partition_point(|entry| entry.version <= pull.have);
         let entries = &self.tail[from..];
@@ -222,7 +228,7 @@
         }
     }
 
-    /// Takes a peer's answer in; tells whether the view changed.
+    /// Applies a peer's answer to a pull; returns whether the view changed.
     pub fn on_pulled(&mut self, pulled: &Pulled) -> bool {
         let snapshot = serde_json::from_str::<Snapshot>(&pulled.snapshot);
         let mut changed = snapshot.is_ok_and(|snapshot| self.replace(snapshot));
@@ -239,34 +245,34 @@
             .iter()
             .filter_map(|entry| serde_json::from_str(&entry.value).ok())
             .collect();
-        let gap = parsed
+        let has_gap = parsed
             .first()
             .is_some_and(|entry| entry.version > self.view.version + 1);
-        if gap {
+        if has_gap {
             self.snapshot_read = false;
             self.next_call = now + RETRY_DELAY;
             return (false, None);
         }
         let mut changed = false;
-        let full = parsed.len() >= BATCH_ENTRIES as usize;
+        let batch_full = parsed.len() >= BATCH_ENTRIES as usize;
         for entry in parsed {
             changed |= self.apply(entry);
         }
         self.fresh_at = Some(self.sent_at);
         self.sent_at = now;
-        if full {
+        if batch_full {
             return (changed, Some(self.read_log()));
         }
-        // A host is a watcher for a moment at its start, before it hears its
-        // peers. Going on with it would leave a waiting watch a host in the
-        // store, and a read a host for each change.
+        // Every host is a watcher for a short time after its start, until it has received
+        // heartbeats. Without this check each host would leave a pending watch in the store,
+        // and each change would cost one read per host.
         if !self.watcher {
             return (changed, None);
         }
         if self.view.version >= self.stored_snapshot.0 + SNAPSHOT_EVERY {
             return (changed, Some(self.write_snapshot()));
         }
-        self.state = State::Watch;
+        self.state = State::Watching;
         let call = Call::Watch {
             prefix: change::LOG_PREFIX.into(),
             after: change::log_key(self.view.version),
@@ -275,7 +281,7 @@
     }
 
     fn read_log(&mut self) -> Call {
-        self.state = State::Range;
+        self.state = State::ReadingLog;
         Call::Range {
             prefix: change::LOG_PREFIX.into(),
             after: change::log_key(self.view.version),
@@ -284,7 +290,7 @@
     }
 
     fn write_snapshot(&mut self) -> Call {
-        self.state = State::Publish;
+        self.state = State::WritingSnapshot;
         let snapshot = Snapshot {
             version: self.view.version,
             document: self.view.document.clone(),
@@ -301,9 +307,8 @@
             return false;
         }
         let mut document = self.view.document.clone();
-        // An entry that does not apply was checked by a newer or older
-        // operator command; it still takes its number, or every later change
-        // would stand behind it for ever.
+        // An entry that fails to apply was checked by an operator command of another version. It
+        // still takes its number; otherwise it would block every later change.
         let _ = change::apply(&mut document, &entry.ops);
         self.view = Arc::new(View::new(entry.version, document));
         self.tail.push(entry);
@@ -326,12 +331,12 @@
         let Some(mono) = now.mono.checked_sub(age.saturating_mul(1_000)) else {
             return;
         };
-        let fresh = Moment {
+        let fresh_at = Moment {
             mono,
             wall: now.wall.saturating_sub(age),
         };
-        if self.fresh_at.is_none_or(|have| have < fresh) {
-            self.fresh_at = Some(fresh);
+        if self.fresh_at.is_none_or(|have| have < fresh_at) {
+            self.fresh_at = Some(fresh_at);
         }
     }
 }
