--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -1,12 +1,12 @@
-//! Usage windows: counted in chunks, sealed once, reported from the seal.
+//! Usage windows: counted in chunks, sealed once, and reported as sealed.
 //!
-//! A process counts into chunks of a few seconds that never change once
-//! closed, and hands copies to two peers of its zone, so a crash loses at most
-//! the open chunk. The reporter collects, per source, the chunks after the
-//! sealed cursor, and seals figures and new cursors in one compare-and-swap;
-//! only the sealed figures are ever reported. A chunk is therefore counted in
-//! exactly one window: one that comes late is past the cursor and lands in a
-//! later window, marked with the window it was counted in.
+//! A process counts usage in chunks of a few seconds, which do not change once
+//! they are closed. It sends copies to two peers of its zone, so that a crash
+//! loses at most the open chunk. The reporter collects, per source, the chunks
+//! after the sealed cursor, and seals the figures and the new cursors in one
+//! compare-and-swap; only sealed figures are reported. Each chunk is therefore
+//! part of exactly one sealed window. A late chunk is after the cursor, so it
+//! becomes part of a later window, labelled with the window it was counted in.
 
 use std::time::Duration;
 
@@ -17,42 +17,42 @@
 pub mod gather;
 pub mod report;
 
-/// Longest time a chunk stays open: what a crash can lose.
+/// Longest time for which a chunk stays open, and so the usage that a crash can lose.
 pub const MAX_CHUNK_AGE: Duration = Duration::from_secs(2);
-/// Peers that keep copies.
+/// Number of peers that store copies of a process's chunks.
 pub const CHUNK_REPLICAS: usize = 2;
-/// Chunks in one heartbeat.
+/// Maximum chunks in one heartbeat.
 const CHUNKS_PER_HEARTBEAT: usize = 16;
-/// Most chunks kept for others.
+/// Maximum chunks in memory, own and copies.
 const MAX_CHUNKS: usize = 20_000;
 
 plain! {
-    /// One thing to count.
+    /// Usage of one call.
     pub struct Record {
-        /// Customer.
+        /// Name of the customer.
         pub customer: String,
-        /// Request class.
+        /// Name of the request class.
         pub class: String,
-        /// Prompt tokens.
+        /// Number of prompt tokens.
         pub prompt_tokens: u64,
-        /// Tokens that went to the caller.
+        /// Number of generated tokens sent to the caller.
         pub output_tokens: u64,
-        /// Whether the answer was whole.
+        /// Whether the answer was complete.
         pub completed: bool,
     }
 }
 
-/// Start of the window that holds a wall-clock time, in milliseconds.
+/// Start of the window that contains a wall-clock time, in milliseconds since the Unix epoch.
 ///
-/// Windows are named by their start, not counted, so that hosts that still
-/// have another length (before their first configuration, or while a change
-/// of it travels) do not name a window of another year.
+/// Windows are identified by their start, not numbered. Hosts may differ in the length, before
+/// their first configuration or while a change of it spreads, and the same number would then
+/// mean times that are years apart.
 pub fn window_start(now: Moment, length: Duration) -> u64 {
     let length = (length.as_millis() as u64).max(1);
     now.wall / length * length
 }
 
-/// Adds rows of the same customer and class.
+/// Adds rows to a sorted list, summing those of the same customer and class.
 pub fn merge_rows(into: &mut Vec<Row>, rows: &[Row]) {
     for row in rows {
         match into.binary_search_by(|have| (&have.customer, &have.class).cmp(&(&row.customer, &row.class))) {
@@ -69,22 +69,26 @@
     into.broken += row.broken;
 }
 
-/// Counts of this process, and chunks kept for its peers.
+/// Usage counts of this process, and copies of its peers' chunks.
 #[derive(Debug)]
 pub struct Meter {
     me: Incarnation,
     length: Duration,
+    /// Rows of the open chunk.
     open_rows: Vec<Row>,
     opened_at: Moment,
     window: u64,
+    /// Number of the last closed chunk.
     last_number: u64,
+    /// Highest own chunk that is sealed.
     own_sealed: u64,
     chunks: Vec<Chunk>,
+    /// Highest own chunk that each replica has acknowledged, sorted.
     acked: Vec<(Incarnation, u64)>,
 }
 
 impl Meter {
-    /// Nothing counted yet.
+    /// Creates a meter without counts.
     pub fn new(me: Incarnation, now: Moment, length: Duration) -> Self {
         Self {
             me,
@@ -99,26 +103,26 @@
         }
     }
 
-    /// Length of windows from now on.
+    /// Sets the length of windows from now on.
     pub fn set_length(&mut self, length: Duration) {
         self.length = length;
     }
 
-    /// Counts one thing.
-    pub fn record(&mut self, now: Moment, item: &Record) {
+    /// Counts one call.
+    pub fn record(&mut self, now: Moment, record: &Record) {
         self.tick(now);
         let row = Row {
-            customer: item.customer.clone(),
-            class: item.class.clone(),
-            calls: u64::from(item.completed),
-            prompt: item.prompt_tokens,
-            tokens: item.output_tokens,
-            broken: u64::from(!item.completed),
+            customer: record.customer.clone(),
+            class: record.class.clone(),
+            calls: u64::from(record.completed),
+            prompt: record.prompt_tokens,
+            tokens: record.output_tokens,
+            broken: u64::from(!record.completed),
         };
         merge_rows(&mut self.open_rows, &[row]);
     }
 
-    /// Closes the open chunk when it is old or its window has ended.
+    /// Closes the open chunk if it is `MAX_CHUNK_AGE` old or its window has ended.
     pub fn tick(&mut self, now: Moment) {
         let current = window_start(now, self.length);
         if current != self.window || now.since(self.opened_at) >= MAX_CHUNK_AGE {
@@ -142,9 +146,9 @@
         self.window = window_start(now, self.length).max(self.window);
     }
 
-    /// Chunks that a keeper has not confirmed yet.
-    pub fn unacknowledged(&self, keeper: Incarnation) -> Vec<Chunk> {
-        let acked = self.acked(keeper);
+    /// Own chunks that a replica has not acknowledged yet, as many as fit in a heartbeat.
+    pub fn unacknowledged(&self, replica: Incarnation) -> Vec<Chunk> {
+        let acked = self.acked(replica);
         self.own_chunks()
             .filter(|chunk| chunk.number > acked)
             .take(CHUNKS_PER_HEARTBEAT)
@@ -152,91 +156,92 @@
             .collect()
     }
 
-    /// A keeper confirms.
-    pub fn acknowledge(&mut self, keeper: Incarnation, number: u64) {
-        match self.acked.binary_search_by(|(have, _)| have.cmp(&keeper)) {
+    /// Records that a replica has stored the own chunks up to `number`.
+    pub fn acknowledge(&mut self, replica: Incarnation, number: u64) {
+        match self.acked.binary_search_by(|(have, _)| have.cmp(&replica)) {
             Ok(at) => self.acked[at].1 = self.acked[at].1.max(number),
-            Err(at) => self.acked.insert(at, (keeper, number)),
+            Err(at) => self.acked.insert(at, (replica, number)),
         }
     }
 
-    /// Forgets keepers that are gone.
+    /// Drops the acknowledgements of replicas that are not live.
     pub fn retain_replicas(&mut self, live: impl Fn(Incarnation) -> bool) {
-        self.acked.retain(|(keeper, _)| live(*keeper));
+        self.acked.retain(|(replica, _)| live(*replica));
     }
 
-    /// Whether some keeper has all closed chunks.
+    /// Whether all usage is in closed chunks and some replica has stored all of them.
     pub fn is_replicated(&self) -> bool {
-        let last = self.own_chunks().last().map_or(0, |chunk| chunk.number);
-        self.open_rows.is_empty() && (last == 0 || self.acked.iter().any(|(_, number)| *number >= last))
+        let last_number = self.own_chunks().last().map_or(0, |chunk| chunk.number);
+        self.open_rows.is_empty()
+            && (last_number == 0 || self.acked.iter().any(|(_, number)| *number >= last_number))
     }
 
-    /// Takes a chunk in for safe keeping; a second copy changes nothing.
+    /// Stores a chunk; a second copy has no effect.
     pub fn insert(&mut self, chunk: Chunk) {
         if self.chunks.len() >= MAX_CHUNKS {
             return;
         }
-        let place = (chunk.source, chunk.number);
+        let key = (chunk.source, chunk.number);
         if let Err(at) = self
             .chunks
-            .binary_search_by(|have| (have.source, have.number).cmp(&place))
+            .binary_search_by(|have| (have.source, have.number).cmp(&key))
         {
             self.chunks.insert(at, chunk);
         }
     }
 
-    /// Highest chunk kept of a source, without gaps from the lowest kept.
+    /// Number up to which the stored chunks of a source have no gap, starting at the lowest.
     pub fn contiguous_until(&self, source: Incarnation) -> u64 {
-        let mut last = 0;
+        let mut last_number = 0;
         for chunk in self.chunks_of(source.0) {
-            if last != 0 && chunk.number != last + 1 {
+            if last_number != 0 && chunk.number != last_number + 1 {
                 break;
             }
-            last = chunk.number;
+            last_number = chunk.number;
         }
-        last
+        last_number
     }
 
-    /// Sums by source what lies past the cursors, up to a window; drops what
-    /// the cursors say is sealed. Sources that `answers` tells to be there
-    /// answer for themselves: each keeper's copy would triple the bytes.
+    /// Sums, by source, the chunks after the cursors up to and including a window, and drops the
+    /// sealed chunks. Copies are left out for sources that `is_reachable`, as those answer for
+    /// themselves; otherwise the copies would triple the bytes.
     pub fn collect(
         &mut self,
         now: Moment,
-        ask: &Collect,
-        answers: impl Fn(Incarnation) -> bool,
+        request: &Collect,
+        is_reachable: impl Fn(Incarnation) -> bool,
     ) -> Collected {
-        if window_start(now, self.length) > ask.window {
+        if window_start(now, self.length) > request.window {
             self.flush(now);
         }
-        // A cursor is forgotten after long silence; without this bound the
-        // next chunk of an idle process would look like one after a gap.
-        self.own_sealed = self.own_sealed.max(sealed_until(&ask.cursors, self.me.0));
+        // The cursor of a silent source is dropped after some time. Without
+        // `own_sealed`, the next chunk of an idle process would then seem to follow a gap.
+        self.own_sealed = self.own_sealed.max(sealed_until(&request.cursors, self.me.0));
         self.chunks
-            .retain(|chunk| chunk.number > sealed_until(&ask.cursors, chunk.source));
+            .retain(|chunk| chunk.number > sealed_until(&request.cursors, chunk.source));
         let mut sums: Vec<Sum> = Vec::new();
         for chunk in &self.chunks {
-            let last = match sums.last() {
+            let previous = match sums.last() {
                 Some(sum) if sum.source == chunk.source => sum.number,
                 _ if chunk.source == self.me.0 => self.own_sealed,
-                _ => sealed_until(&ask.cursors, chunk.source),
+                _ => sealed_until(&request.cursors, chunk.source),
             };
-            let other = chunk.source != self.me.0 && answers(Incarnation(chunk.source));
-            if other || chunk.number != last + 1 || chunk.window > ask.window {
+            let left_to_source = chunk.source != self.me.0 && is_reachable(Incarnation(chunk.source));
+            if left_to_source || chunk.number != previous + 1 || chunk.window > request.window {
                 continue;
             }
-            include(&mut sums, chunk, last);
+            include(&mut sums, chunk, previous);
         }
         Collected { sums, bundle: None }
     }
 
-    /// Chunks kept, own and others'.
+    /// Number of stored chunks, own and copies.
     pub fn chunk_count(&self) -> usize {
         self.chunks.len()
     }
 
-    fn acked(&self, keeper: Incarnation) -> u64 {
-        match self.acked.binary_search_by(|(have, _)| have.cmp(&keeper)) {
+    fn acked(&self, replica: Incarnation) -> u64 {
+        match self.acked.binary_search_by(|(have, _)| have.cmp(&replica)) {
             Ok(at) => self.acked[at].1,
             Err(_) => 0,
         }
@@ -254,7 +259,7 @@
     }
 }
 
-/// Highest sealed chunk of a source.
+/// Number of the highest sealed chunk of a source; 0 if none.
 pub fn sealed_until(cursors: &[Cursor], source: u64) -> u64 {
     match cursors.binary_search_by(|have| have.source.cmp(&source)) {
         Ok(at) => cursors[at].number,
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -1,9 +1,10 @@
-//! Gathering a zone's usage, so that the reporter hears one answer a zone.
+//! Collecting the usage of a zone, so that the reporter gets one answer per zone.
 //!
-//! Asking every host would cost the reporter ten times its control budget at
-//! 410 hosts. One delegate of each zone asks its mates and answers with the
-//! sum over all sources; the chunks that are in it go along by source, so the
-//! reporter still knows what is sealed and what is not.
+//! With 410 hosts, asking every host would cost the reporter ten times its
+//! control budget. Instead, one delegate of each zone asks its peers there and
+//! answers with the sum over all sources. The answer lists the chunks that it
+//! includes by source, so that the reporter can still tell sealed chunks from
+//! others.
 
 use std::time::Duration;
 
@@ -12,36 +13,36 @@
 use crate::peer::{Bundle, Collected, Part, Span, Sum};
 use crate::time::Moment;
 
-/// Wait for the mates' answers.
+/// Time for which a delegate waits for the answers of its zone peers.
 pub const GATHER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// One collection that is under way in this zone.
+/// A collection in progress in this zone.
 #[derive(Debug)]
 pub struct Collection {
-    /// Whom to answer; the reporter of this process when absent.
+    /// The call to answer; none if the reporter of this process has asked.
     pub call: Option<Call>,
     started_at: Moment,
     sums: Vec<Sum>,
 }
 
 impl Collection {
-    /// Begins with what this host knows itself.
+    /// Starts a collection with the sums of this host.
     pub fn new(now: Moment, call: Option<Call>, own: Collected) -> Self {
-        let mut gather = Self {
+        let mut collection = Self {
             call,
             started_at: now,
             sums: Vec::new(),
         };
-        gather.add_answer(own);
-        gather
+        collection.add_answer(own);
+        collection
     }
 
-    /// Takes a mate's answer in.
+    /// Adds the answer of a zone peer.
     pub fn add_answer(&mut self, answer: Collected) {
         for sum in answer.sums {
             match self.sums.binary_search_by(|have| have.source.cmp(&sum.source)) {
-                // Of two hosts that know a source, the one that has more of
-                // it is believed; adding them would count chunks twice.
+                // If two hosts have chunks of a source, the one that has more of them counts;
+                // adding both would count chunks twice.
                 Ok(at) if self.sums[at].number < sum.number => self.sums[at] = sum,
                 Ok(_) => {}
                 Err(at) => self.sums.insert(at, sum),
@@ -49,12 +50,12 @@
         }
     }
 
-    /// Whether the mates had their time.
+    /// Whether the wait for the zone peers' answers is over.
     pub fn is_due(&self, now: Moment) -> bool {
         now.since(self.started_at) >= GATHER_TIMEOUT
     }
 
-    /// The zone's sum.
+    /// Combines the answers into the sum of the zone.
     pub fn into_bundle(self, zone: &str) -> Bundle {
         let mut bundle = Bundle {
             zone: zone.to_string(),
@@ -74,7 +75,7 @@
     }
 }
 
-/// Adds a part to parts sorted by window.
+/// Adds a part to a list of parts sorted by window.
 pub fn add_part(parts: &mut Vec<Part>, part: &Part) {
     match parts.binary_search_by(|have| have.window.cmp(&part.window)) {
         Ok(at) => merge_rows(&mut parts[at].rows, &part.rows),
