--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -1,8 +1,8 @@
-//! The reporter: collects, seals, reports, in that order.
+//! The usage reporter: collects, seals and reports windows, in that order.
 //!
-//! What another reporter sealed is adopted as it stands, so two processes that
-//! both believe they are in charge still report the same figures; and a report
-//! is sent only inside the lease, so they do not both send.
+//! A window that another reporter has sealed is adopted unchanged, so that two
+//! processes that both act as the reporter still report the same figures. A
+//! report is sent only within the lease, so that only one of them sends it.
 
 use std::time::Duration;
 
@@ -16,48 +16,48 @@
 
 /// Store prefix of sealed windows.
 pub const SEALED_PREFIX: &str = "usage/sealed/";
-/// Store key that tells how far reports went.
+/// Store key of the [`Progress`].
 pub const PROGRESS_KEY: &str = "usage/head";
-/// Wait for the zones' answers to a collection.
+/// Time for which the reporter waits for the zones' answers.
 const COLLECT_TIMEOUT: Duration = Duration::from_secs(4);
-/// Wait for one store answer or report before it counts as lost.
+/// Time after which an unanswered store call or report counts as lost.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
-/// Pause after a failed step.
+/// Delay after a failed step.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Milliseconds after which a source that is silent loses its cursor, and a
-/// chunk that is older is not counted any more: both in one rule, so that a
-/// chunk cannot be counted again once its cursor is gone.
+/// Time in milliseconds after which the cursor of a silent source is dropped and after which
+/// chunks are no longer counted. One bound serves both, so that a chunk cannot be counted again
+/// once its cursor is dropped.
 pub const RETENTION_MS: u64 = 24 * 3_600_000;
 
 record! {
     /// Figures of one customer and class in a report.
     pub struct Line {
-        /// Customer.
+        /// Name of the customer.
         pub customer: String,
-        /// Request class.
+        /// Name of the request class.
         pub class: String,
-        /// Whole answers.
+        /// Number of complete answers.
         pub calls: u64,
-        /// Prompt tokens.
+        /// Number of prompt tokens.
         pub prompt: u64,
-        /// Generated tokens that went to callers.
+        /// Number of generated tokens sent to callers.
         pub tokens: u64,
-        /// Broken answers.
+        /// Number of incomplete answers.
         pub broken: u64,
-        /// Window in which it was counted, when that was an earlier one.
+        /// Start of the window in which it was counted, if that was an earlier one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub late_from: Option<u64>,
     }
 }
 
 record! {
-    /// A source's sealed chunks.
+    /// How far the chunks of a source are sealed.
     pub struct Checkpoint {
-        /// Source.
+        /// Process that counted the chunks.
         pub source: crate::id::Incarnation,
-        /// Highest sealed chunk.
+        /// Number of the highest sealed chunk.
         pub number: u64,
-        /// Window in which the source last moved.
+        /// Window for which a chunk of the source was last sealed.
         pub moved: u64,
     }
 }
@@ -65,35 +65,35 @@
 record! {
     /// A sealed window.
     pub struct SealedWindow {
-        /// Place in the chain of seals, from 1 and without gaps. A reporter
-        /// that was away must adopt each seal it missed before it can add
-        /// one; skipping one would count that one's chunks twice.
+        /// Sequence number, from 1 and without gaps. A reporter must adopt all windows that others
+        /// have sealed before it can add one; the chunks of a skipped window would be counted
+        /// twice.
         pub number: u64,
         /// Start of the window, in milliseconds since the Unix epoch.
         pub window: u64,
-        /// Figures, for good.
+        /// Final figures.
         pub lines: Vec<Line>,
-        /// Cursors after it.
+        /// Cursors after this window.
         pub marks: Vec<Checkpoint>,
     }
 }
 
 record! {
-    /// How far reports went; a hint that saves reading, never trusted alone.
+    /// How far windows have been reported; a hint that saves reads and is never relied on alone.
     pub struct Progress {
-        /// Number of the last seal known to be reported.
+        /// Number of the last window known to be reported.
         pub reported: u64,
     }
 }
 
 plain! {
-    /// What the shell is to do.
+    /// I/O that the caller is to do.
     pub enum Effect {
-        /// Ask the store.
+        /// Call the store.
         Store(Call),
-        /// Ask every zone.
+        /// Collect the usage of every zone.
         Collect(Collect),
-        /// Send to the usage interface while the grant covers it.
+        /// Send a window to the usage interface, if the grant still covers the send.
         Report(Grant, SealedWindow),
     }
 }
@@ -102,7 +102,7 @@
     enum State {
         Idle,
         ReadingProgress { since: Moment },
-        ReadingWindows { since: Moment, head: u64 },
+        ReadingWindows { since: Moment, reported: u64 },
         Ready,
         Collecting { since: Moment, window: u64, bundle: Bundle },
         Sealing,
@@ -111,13 +111,15 @@
     }
 }
 
-/// The reporter's progress.
+/// State of the reporter.
 #[derive(Debug)]
 pub struct Reporter {
     state: State,
     writer: Writer<SealedWindow>,
+    /// Sealed windows that are not known to be reported, in order.
     unreported: Vec<SealedWindow>,
     last_sealed: Option<SealedWindow>,
+    /// Version of the store entry of the progress.
     progress_version: u64,
     next_step: Moment,
 }
@@ -136,7 +138,7 @@
 }
 
 impl Reporter {
-    /// Moves on while in charge; starts afresh when not.
+    /// Returns the next I/O to do while this process holds the lease; resets the state otherwise.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -165,9 +167,9 @@
                 window,
                 bundle,
             } if now.since(*since) >= COLLECT_TIMEOUT => {
-                let seal = self.seal_window(*window, bundle);
+                let sealed = self.seal_window(*window, bundle);
                 self.state = State::Sealing;
-                let call = self.writer.write(now, seal_key(seal.number), seal);
+                let call = self.writer.write(now, window_key(sealed.number), sealed);
                 call.map(Effect::Store)
             }
             _ => None,
@@ -175,18 +177,18 @@
     }
 
     fn proceed(&mut self, now: Moment, grant: Grant, length: Duration, grace: Duration) -> Option<Effect> {
-        if let Some(seal) = self.unreported.first() {
-            // The last check before the send: after a pause the lease is over
-            // and the successor reports the same sealed figures instead.
+        if let Some(sealed) = self.unreported.first() {
+            // Last check before the send: if this process was paused and its lease has ended,
+            // its successor reports the same sealed figures instead.
             if !grant.covers(now) {
                 return None;
             }
             self.state = State::Reporting { since: now };
-            return Some(Effect::Report(grant, seal.clone()));
+            return Some(Effect::Report(grant, sealed.clone()));
         }
-        let millis = length.as_millis() as u64;
-        let window = self.next_window(now, millis);
-        if now.wall < window + millis + grace.as_millis() as u64 {
+        let length_ms = length.as_millis() as u64;
+        let window = self.next_window(now, length_ms);
+        if now.wall < window + length_ms + grace.as_millis() as u64 {
             return None;
         }
         self.state = State::Collecting {
@@ -201,34 +203,36 @@
         }))
     }
 
-    /// The window after the last sealed one. Windows that no reporter was
-    /// there for are skipped; their chunks come as late ones.
-    fn next_window(&self, now: Moment, millis: u64) -> u64 {
-        let millis = millis.max(1);
-        let ended = (now.wall / millis).saturating_sub(1) * millis;
+    /// The window to seal after the last sealed one. Windows that ended while there was no
+    /// reporter are skipped; their chunks are counted as late.
+    fn next_window(&self, now: Moment, length_ms: u64) -> u64 {
+        let length_ms = length_ms.max(1);
+        let last_ended = (now.wall / length_ms).saturating_sub(1) * length_ms;
         match &self.last_sealed {
-            Some(seal) => ((seal.window / millis + 1) * millis).max(ended.saturating_sub(millis)),
-            None => ended,
+            Some(sealed) => {
+                ((sealed.window / length_ms + 1) * length_ms).max(last_ended.saturating_sub(length_ms))
+            }
+            None => last_ended,
         }
     }
 
-    /// A zone's answer to the collection; taken whole or not at all.
+    /// Handles a zone's answer to the collection, which is added as a whole or not at all.
     pub fn on_collected(&mut self, answer: &Bundle) {
         let cursors = self.cursors();
         let State::Collecting { bundle, .. } = &mut self.state else {
             return;
         };
-        // A host that was frozen answers an earlier question late; its sums
-        // begin before what has been sealed since and would count it again.
-        // So would a second answer for the same sources.
-        let known = |span: &Span| {
+        // A host that was frozen may answer an earlier collection late. Its sums then start
+        // before chunks that have been sealed since, which would be counted again. A second
+        // answer for the same sources would have the same effect.
+        let is_known = |span: &Span| {
             bundle
                 .spans
                 .binary_search_by(|have| have.source.cmp(&span.source))
                 .is_ok()
         };
-        let stale = |span: &Span| span.from < sealed_until(&cursors, span.source);
-        if answer.spans.iter().any(|span| known(span) || stale(span)) {
+        let is_stale = |span: &Span| span.from < sealed_until(&cursors, span.source);
+        if answer.spans.iter().any(|span| is_known(span) || is_stale(span)) {
             return;
         }
         for span in &answer.spans {
@@ -241,7 +245,7 @@
             .for_each(|part| add_part(&mut bundle.parts, part));
     }
 
-    /// The store's answer.
+    /// Handles the store's answer; returns the next store call.
     pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> Option<Call> {
         if let Some(outcome) = self.writer.on_answer(now, answer) {
             return self.on_sealed(now, outcome);
@@ -250,20 +254,17 @@
             (State::ReadingProgress { .. }, Answer::Found(entries)) => {
                 let entry = entries.first().filter(|entry| entry.version > 0);
                 self.progress_version = entry.map_or(0, |entry| entry.version);
-                let head = entry.and_then(|entry| serde_json::from_str::<Progress>(&entry.value).ok());
-                let reported = head.map_or(0, |head| head.reported);
-                self.state = State::ReadingWindows {
-                    since: now,
-                    head: reported,
-                };
+                let progress = entry.and_then(|entry| serde_json::from_str::<Progress>(&entry.value).ok());
+                let reported = progress.map_or(0, |progress| progress.reported);
+                self.state = State::ReadingWindows { since: now, reported };
                 Some(Call::Range {
                     prefix: SEALED_PREFIX.into(),
-                    after: seal_key(reported.saturating_sub(1)),
+                    after: window_key(reported.saturating_sub(1)),
                     limit: 1_000,
                 })
             }
-            (State::ReadingWindows { head, .. }, Answer::Found(entries)) => {
-                self.recover(head, entries);
+            (State::ReadingWindows { reported, .. }, Answer::Found(entries)) => {
+                self.recover(reported, entries);
                 None
             }
             (State::RecordingProgress { .. }, Answer::Written(version)) => {
@@ -272,7 +273,7 @@
                 None
             }
             (State::Idle, _) => None,
-            // Anything else: read again from the start.
+            // On any other answer, read again from the start.
             _ => {
                 self.restart(now);
                 None
@@ -280,11 +281,11 @@
         }
     }
 
-    /// What came of sealing a window.
+    /// Handles the result of sealing a window.
     fn on_sealed(&mut self, now: Moment, outcome: Outcome<SealedWindow>) -> Option<Call> {
         match outcome {
             Outcome::Pending(call) => return Some(call),
-            Outcome::Stored(seal, _) => self.adopt(seal),
+            Outcome::Stored(sealed, _) => self.adopt(sealed),
             Outcome::Missing => self.state = State::Ready,
             Outcome::Failed => self.restart(now),
         }
@@ -298,7 +299,7 @@
         };
     }
 
-    /// The usage interface's answer; only a clear yes moves on.
+    /// Handles the answer of the usage interface; continues only if the report was accepted.
     pub fn on_reported(&mut self, now: Moment, accepted: bool) -> Option<Call> {
         let State::Reporting { .. } = self.state else {
             return None;
@@ -308,37 +309,40 @@
             self.next_step = now + RETRY_DELAY;
             return None;
         }
-        let seal = self.unreported.remove(0);
+        let sealed = self.unreported.remove(0);
         self.state = State::RecordingProgress { since: now };
-        let head = Progress {
-            reported: seal.number,
+        let progress = Progress {
+            reported: sealed.number,
         };
         Some(Call::Swap {
             key: PROGRESS_KEY.into(),
             expect: self.progress_version,
-            value: serde_json::to_string(&head).unwrap_or_default(),
+            value: serde_json::to_string(&progress).unwrap_or_default(),
         })
     }
 
-    fn recover(&mut self, head: u64, entries: &[crate::store::Entry]) {
-        let mut seals: Vec<SealedWindow> = entries
+    fn recover(&mut self, reported: u64, entries: &[crate::store::Entry]) {
+        let mut sealed_windows: Vec<SealedWindow> = entries
             .iter()
             .filter_map(|entry| serde_json::from_str(&entry.value).ok())
             .collect();
-        seals.sort_by_key(|seal| seal.number);
-        self.last_sealed = seals.last().cloned();
-        self.unreported = seals.into_iter().filter(|seal| seal.number > head).collect();
+        sealed_windows.sort_by_key(|sealed| sealed.number);
+        self.last_sealed = sealed_windows.last().cloned();
+        self.unreported = sealed_windows
+            .into_iter()
+            .filter(|sealed| sealed.number > reported)
+            .collect();
         self.state = State::Ready;
     }
 
-    fn adopt(&mut self, seal: SealedWindow) {
-        self.last_sealed = Some(seal.clone());
-        self.unreported.push(seal);
+    fn adopt(&mut self, sealed: SealedWindow) {
+        self.last_sealed = Some(sealed.clone());
+        self.unreported.push(sealed);
         self.state = State::Ready;
     }
 
     fn cursors(&self) -> Vec<Cursor> {
-        let marks = self.last_sealed.as_ref().map_or(&[][..], |seal| &seal.marks);
+        let marks = self.last_sealed.as_ref().map_or(&[][..], |sealed| &sealed.marks);
         marks
             .iter()
             .map(|mark| Cursor {
@@ -352,16 +356,16 @@
         let mut marks = self
             .last_sealed
             .as_ref()
-            .map_or(Vec::new(), |seal| seal.marks.clone());
+            .map_or(Vec::new(), |sealed| sealed.marks.clone());
         marks.retain(|mark| mark.moved + RETENTION_MS > window);
         bundle
             .spans
             .iter()
             .for_each(|span| set_checkpoint(&mut marks, span, window));
-        let counts = |part: &&Part| part.window + RETENTION_MS > window;
-        let parts: Vec<&Part> = bundle.parts.iter().filter(counts).collect();
+        let is_recent = |part: &&Part| part.window + RETENTION_MS > window;
+        let parts: Vec<&Part> = bundle.parts.iter().filter(is_recent).collect();
         SealedWindow {
-            number: self.last_sealed.as_ref().map_or(1, |seal| seal.number + 1),
+            number: self.last_sealed.as_ref().map_or(1, |sealed| sealed.number + 1),
             window,
             lines: lines(window, &parts),
             marks,
@@ -385,21 +389,21 @@
     }
 }
 
-/// Store key of a seal.
-pub fn seal_key(number: u64) -> String {
+/// Store key of a sealed window.
+pub fn window_key(number: u64) -> String {
     format!("{SEALED_PREFIX}{number:016}")
 }
 
 fn set_checkpoint(marks: &mut Vec<Checkpoint>, span: &Span, window: u64) {
     let source = crate::id::Incarnation(span.source);
-    let mark = Checkpoint {
+    let checkpoint = Checkpoint {
         source,
         number: span.number,
         moved: window,
     };
     match marks.binary_search_by(|have| have.source.cmp(&source)) {
-        Ok(at) => marks[at] = mark,
-        Err(at) => marks.insert(at, mark),
+        Ok(at) => marks[at] = checkpoint,
+        Err(at) => marks.insert(at, checkpoint),
     }
 }
 
