--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,14 +1,14 @@
-//! Claims: owners for idempotency keys that callers chose themselves.
+//! Claims: owners of idempotency keys that callers have chosen themselves.
 //!
-//! The claim is one key in the store, created by compare-and-swap before any
-//! byte goes upstream, and never changed. A lost answer is settled by reading
-//! back the nonce. Whoever finds another's claim passes the call on to the
-//! holder, which keeps the record in its [`Records`].
+//! A claim is one store entry, created by compare-and-swap before any byte is
+//! sent upstream, and never changed. If the store's answer is lost, the claim is
+//! read back and its owner compared. A process that finds another's claim
+//! forwards the call to its owner, which keeps the record in its [`Records`].
 //!
-//! Time-stamped keys (UUID version 7) are refused past a horizon, so their
-//! claims can be swept without opening a key again; the bound on stamps that
-//! lie ahead follows Goodson et al., CMU-CS-02-180, section 6.2. Claims of
-//! other keys stay for good.
+//! Time-stamped keys (UUID version 7) are refused from a certain age, so their
+//! claims can be deleted without making a key usable again. The bound on time
+//! stamps in the future follows Goodson et al., CMU-CS-02-180, section 6.2.
+//! Claims of other keys are never deleted.
 
 use sha2::{Digest, Sha256};
 use std::time::Duration;
@@ -19,30 +19,30 @@
 use crate::store::{Answer, Call as Ask, Entry, Token};
 use crate::time::Moment;
 
-/// Store prefix of claims that stay for good.
+/// Store prefix of claims that are never deleted.
 pub const PREFIX: &str = "claim/k/";
-/// Store prefix of claims of time-stamped keys; the shell ties them to a lease
-/// longer than the horizon, so the store drops them once nobody takes the key.
+/// Store prefix of claims of time-stamped keys. They are written with a store lease longer than
+/// `MAX_KEY_AGE`, so that the store deletes them once their key is refused anyway.
 pub const TIMESTAMPED_PREFIX: &str = "claim/t/";
-/// Life of that lease.
+/// Lifetime of the store lease of these claims.
 pub const LEASE_TTL: Duration = Duration::from_secs(26 * 3_600);
-/// Oldest time-stamped key that is still taken.
+/// Maximum age of a time-stamped key.
 pub const MAX_KEY_AGE: Duration = Duration::from_secs(24 * 3_600);
-/// Furthest that a key's time stamp may lie ahead of this host's clock.
+/// Maximum time by which a key's time stamp may be ahead of this host's clock.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(300);
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub const MAX_KEY_BYTES: usize = 128;
-/// Reads that settle one lost answer before the caller is told.
+/// Maximum reads after a lost answer before the caller gets a refusal.
 const MAX_READ_BACKS: u32 = 3;
-/// Claims in the air at once; past it callers are sent away at once.
+/// Maximum pending claims; beyond it calls are refused immediately.
 const MAX_PENDING: usize = 256;
 
 record! {
-    /// What a claim says.
+    /// Content of a claim.
     pub struct Record {
-        /// Who alone may run the call.
+        /// The only process that may run the call.
         pub owner: Incarnation,
-        /// Told apart from another try of the same owner.
+        /// Distinguishes attempts of the same owner.
         pub nonce: u64,
     }
 }
@@ -59,7 +59,7 @@
     }
 }
 
-/// Claims in the air.
+/// Claims that wait for the store's answer.
 #[derive(Debug)]
 pub struct Registry {
     me: Incarnation,
@@ -67,7 +67,8 @@
     pending: Vec<(Token, Pending)>,
 }
 
-/// The claim of a customer's key; two customers' keys never meet.
+/// Digest that identifies the claim of a customer's key; keys of different customers never share
+/// one.
 pub fn digest(customer: &str, key: &str) -> Claim {
     let mut hash = Sha256::new();
     hash.update((customer.len() as u64).to_le_bytes());
@@ -89,7 +90,11 @@
     format!("{prefix}{}", hex::encode(claim))
 }
 
-/// Refuses keys that are malformed, too old or too far ahead.
+/// Checks an idempotency key that a caller has chosen.
+///
+/// # Errors
+///
+/// Refuses keys that are malformed, too old or too far in the future.
 pub fn validate_key(now: Moment, key: &str) -> Result<(), Refusal> {
     let printable = key.bytes().all(|c| (0x21..0x7f).contains(&c));
     if key.is_empty() || key.len() > MAX_KEY_BYTES || !printable || key.starts_with(crate::ticket::PREFIX) {
@@ -117,7 +122,7 @@
 }
 
 impl Registry {
-    /// No claim in the air; `seed` makes nonces of this incarnation.
+    /// Creates a registry without pending claims; nonces count up from `seed`.
     pub fn new(me: Incarnation, seed: u64) -> Self {
         Self {
             me,
@@ -126,7 +131,11 @@
         }
     }
 
-    /// Begins a call by its claim: decided at once, or by the store.
+    /// Begins a call by its claim.
+    ///
+    /// # Errors
+    ///
+    /// If the claim is not decided yet, returns the store call that decides it.
     pub fn begin(
         &mut self,
         now: Moment,
@@ -157,29 +166,29 @@
             owner: self.me,
             nonce: self.nonce,
         };
-        let place = pending.store_key.clone();
+        let store_key = pending.store_key.clone();
         self.pending.push((token, pending));
         Err(Ask::Swap {
-            key: place,
+            key: store_key,
             expect: 0,
             value: serde_json::to_string(&record).unwrap_or_default(),
         })
     }
 
-    /// Takes the store's answer: a verdict for the call, or one more question.
-    /// A further question goes out under the token `again`.
+    /// Handles the store's answer: returns the call with its verdict, or with a further store
+    /// call to send under `next_token`.
     pub fn on_answer(
         &mut self,
         now: Moment,
         records: &mut Records,
         token: Token,
-        again: Token,
+        next_token: Token,
         answer: &Answer,
     ) -> Option<(Call, Result<Verdict, Ask>)> {
         let at = self.pending.iter().position(|(have, _)| *have == token)?;
         let (_, mut pending) = self.pending.swap_remove(at);
         let call = pending.call;
-        let step = match answer {
+        let result = match answer {
             Answer::Written(_) => Ok(self.begin_own(now, records, &pending)),
             Answer::Conflict(entry) => Ok(self.on_entry(now, records, &pending, entry)),
             Answer::Found(entries) => match entries.first() {
@@ -187,24 +196,24 @@
                 None => Ok(unsettled()),
             },
             Answer::Refused | Answer::Same => Ok(unsettled()),
-            // The write may stand. Without the read-back a claim of our own
-            // would look like a stranger's and the call would never run.
+            // The write may have succeeded. Without the read, this process's own claim would be
+            // taken for another's and the call would never run.
             Answer::Lost if pending.read_backs < MAX_READ_BACKS => {
                 pending.read_backs += 1;
                 let key = pending.store_key.clone();
-                self.pending.push((again, pending));
+                self.pending.push((next_token, pending));
                 Err(Ask::Get { key })
             }
             Answer::Lost => Ok(unsettled()),
         };
-        Some((call, step))
+        Some((call, result))
     }
 
     fn on_entry(&self, now: Moment, records: &mut Records, pending: &Pending, entry: &Entry) -> Verdict {
         match serde_json::from_str::<Record>(&entry.value) {
-            // Any claim under my incarnation is mine, also one whose answer
-            // was lost in an earlier try: nobody else can have run it, and
-            // the records tell whether I have.
+            // Every claim under this incarnation is its own, also one whose answer was lost in an
+            // earlier attempt. No other process can have run the call, and the records show
+            // whether this one has.
             Ok(record) if record.owner == self.me => self.begin_own(now, records, pending),
             Ok(record) => Verdict::Forward(record.owner),
             Err(_) => unsettled(),
