--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -1,10 +1,10 @@
-//! Records of calls that may run at most once, kept by their one owner.
+//! Records of calls that may run at most once, kept by the owner of each call.
 //!
-//! Each call has a [`Key`] whose owner is fixed for ever: the issuer of the
-//! ticket, or the process whose claim stands in the store. Only the owner
-//! decides, so "not run" is its word alone, and it closes the key: a copy of
-//! the call that a frozen host or a balancer delivers later finds the record
-//! closed and cannot run.
+//! Each call has a [`Key`] whose owner never changes: the issuer of the ticket,
+//! or the process whose claim is in the store. Only the owner decides whether a
+//! call runs, so only the owner may answer "not run", and it then closes the
+//! key: a copy of the call that a frozen host or a load balancer delivers later
+//! finds the record closed and cannot run.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,43 +14,43 @@
 use crate::ticket::{Secret, Ticket};
 use crate::time::Moment;
 
-/// How long a ticket may be used after its issue.
+/// How long a ticket may be used after it was issued.
 pub const TICKET_LIFETIME: Duration = Duration::from_secs(900);
-/// How long a record is kept after its ticket's life, to repeat the answer.
+/// How long a record is kept after its ticket's lifetime, to replay the answer.
 pub const RECORD_RETENTION: Duration = Duration::from_secs(1_800);
-/// Most tickets in one answer.
+/// Maximum tickets in one answer.
 pub const MAX_TICKETS_PER_REQUEST: u32 = 64;
-/// Most records in memory; past it no ticket is issued.
+/// Maximum ticket records in memory; at this limit no ticket is issued.
 pub const MAX_TICKET_RECORDS: usize = 60_000;
-/// Most claims with a record in memory; past it no claim is made.
+/// Maximum claims with a record in memory; at this limit no claim is made.
 pub const MAX_CLAIM_RECORDS: usize = 20_000;
-/// Most claims remembered without their answer; past it no claim is made.
+/// Maximum claims in memory without their answer; at this limit no claim is made.
 pub const MAX_SPENT_CLAIMS: usize = 500_000;
-/// How often claims are pruned.
+/// Interval at which claims are pruned.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(10);
-/// Longest answer kept for repetition, in bytes.
+/// Maximum length of an answer kept for replay, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 4 * 1024;
 
-/// A claimed key: the first half of a SHA-256 over customer and key.
+/// Digest of a claimed key: the first half of a SHA-256 over customer and key.
 pub type Claim = [u8; 16];
 
 plain! {
-    /// Names a call for its owner.
+    /// Identifies a call at its owner.
     #[derive(Copy, Eq)]
     pub enum Key {
-        /// Number of one of my tickets.
+        /// Number of a ticket of this process.
         Ticket(u64),
-        /// A claim that stands in the store under my incarnation.
+        /// A claim in the store under the incarnation of this process.
         Claim(Claim),
     }
 }
 
 plain! {
-    /// An answer kept for repetition.
+    /// An answer kept for replay.
     pub struct Answer {
         /// HTTP status.
         pub status: u16,
-        /// Body; absent when it was too long to keep.
+        /// Body; absent if it was too long to keep.
         pub body: Option<String>,
     }
 }
@@ -60,7 +60,7 @@
     pub enum Completion {
         /// The runner answered.
         Ran(Answer),
-        /// Bytes went out and no whole answer came back.
+        /// Bytes were sent and no complete answer came back.
         Unknown,
         /// No byte reached a runner; the key is closed.
         NotRun,
@@ -68,17 +68,17 @@
 }
 
 plain! {
-    /// What the owner decides about a copy of a call.
+    /// The owner's decision about a copy of a call.
     pub enum Verdict {
-        /// Run it now; the owner must hear the end.
+        /// Run it now and report its completion to the owner.
         Run(Key),
-        /// It runs already; the answer follows under this call.
+        /// A copy is already running; its answer will be sent for this call too.
         Wait,
-        /// It ran; here is the answer.
+        /// It has run; send this answer.
         Replay(Answer),
-        /// Refused.
+        /// Refuse it.
         Refuse(Refusal),
-        /// Another process decides.
+        /// Forward it to its owner, which is another process.
         Forward(Incarnation),
     }
 }
@@ -87,7 +87,7 @@
     enum State {
         Open,
         Running { body: u64, waiting: Vec<Call> },
-        Ended { body: u64, end: Completion },
+        Ended { body: u64, completion: Completion },
     }
 }
 
@@ -104,9 +104,11 @@
 pub struct Records {
     me: Incarnation,
     secret: Secret,
+    /// Number of the oldest ticket record.
     first_number: u64,
     tickets: VecDeque<Record>,
     claims: Vec<(Claim, Record)>,
+    /// Claims whose record was pruned, sorted.
     spent: Vec<Claim>,
     last_prune: Moment,
     stopping: bool,
@@ -114,7 +116,7 @@
 }
 
 impl Records {
-    /// No records yet.
+    /// Creates an empty set of records.
     pub fn new(me: Incarnation, secret: Secret) -> Self {
         Self {
             me,
@@ -130,6 +132,10 @@
     }
 
     /// Issues tickets to a customer.
+    ///
+    /// # Errors
+    ///
+    /// Refuses when the process is stopping or at the limit of ticket records.
     pub fn issue(&mut self, now: Moment, customer: &str, count: u32) -> Result<Vec<String>, Refusal> {
         self.prune_tickets(now);
         if self.stopping {
@@ -152,7 +158,7 @@
         Ticket::issue(&self.secret, self.me, number, customer).to_string()
     }
 
-    /// Decides about a copy that came with a ticket.
+    /// Decides about a copy of a call with a ticket.
     pub fn begin_ticket(
         &mut self,
         now: Moment,
@@ -176,7 +182,7 @@
         }
     }
 
-    /// Decides about a copy whose claim stands under this incarnation.
+    /// Decides about a copy of a call whose claim is under this incarnation.
     pub fn begin_claim(
         &mut self,
         now: Moment,
@@ -208,7 +214,7 @@
         begin(now, call, Key::Claim(claim), record, body, self.sealed)
     }
 
-    /// Whether a claim was decided here.
+    /// Whether this process has decided about a claim.
     pub fn contains(&self, claim: &Claim) -> bool {
         let recorded = self.claims.binary_search_by(|(have, _)| have.cmp(claim)).is_ok();
         recorded || self.spent.binary_search(claim).is_ok()
@@ -219,9 +225,9 @@
         !self.stopping && self.claims.len() < MAX_CLAIM_RECORDS && self.spent.len() < MAX_SPENT_CLAIMS
     }
 
-    /// Records an end; returns the copies that wait for it.
-    pub fn complete(&mut self, key: Key, mut end: Completion) -> Vec<Call> {
-        if let Completion::Ran(answer) = &mut end
+    /// Records the completion of a call; returns the copies that wait for it.
+    pub fn complete(&mut self, key: Key, mut completion: Completion) -> Vec<Call> {
+        if let Completion::Ran(answer) = &mut completion
             && answer
                 .body
                 .as_ref()
@@ -234,10 +240,10 @@
         };
         match std::mem::replace(&mut record.state, State::Open) {
             State::Running { body, waiting } => {
-                record.state = State::Ended { body, end };
+                record.state = State::Ended { body, completion };
                 waiting
             }
-            // An end is told once; a second one must not change the first.
+            // Only the first completion counts; a later one must not change it.
             other => {
                 record.state = other;
                 Vec::new()
@@ -245,24 +251,24 @@
         }
     }
 
-    /// What a copy that waited is told.
+    /// Decides about a copy that waited for the completion.
     pub fn outcome(&mut self, key: Key) -> Verdict {
         match self.record(key).map(|record| &record.state) {
-            Some(State::Ended { end, .. }) => replay(end),
+            Some(State::Ended { completion, .. }) => replay(completion),
             Some(_) => Verdict::Refuse(Kind::InProgress.into()),
             None => Verdict::Refuse(Kind::KeyExpired.into()),
         }
     }
 
-    /// No further ticket or claim; what runs goes on.
+    /// Stops issuing tickets and making claims; running calls continue.
     pub fn stop_issuing(&mut self) {
         self.stopping = true;
     }
 
-    /// Which keys ran or may have run; from here on no other ever will.
+    /// Lists the keys that ran or may have run; after this no other key will run.
     ///
-    /// Handed to the store by a graceful exit, so that the keys of a process
-    /// that ended properly get a true "not run" from its peers.
+    /// A graceful exit writes the list to the store, so that peers can correctly answer "not run"
+    /// for other keys of the process.
     pub fn seal(&mut self) -> Tombstone {
         self.stopping = true;
         self.sealed = true;
@@ -271,7 +277,7 @@
                 record.state,
                 State::Open
                     | State::Ended {
-                        end: Completion::NotRun,
+                        completion: Completion::NotRun,
                         ..
                     }
             )
@@ -297,7 +303,7 @@
         }
     }
 
-    /// Counts of records: tickets and claims.
+    /// Number of ticket records and of claim records.
     pub fn counts(&self) -> (usize, usize) {
         (self.tickets.len(), self.claims.len())
     }
@@ -315,9 +321,9 @@
         }
     }
 
-    /// Drops the records of claims that ended long ago, but not the claims: one
-    /// that stands in the store under this incarnation and is not known here
-    /// counts as never begun, and would run a second time.
+    /// Drops the records of claims that completed long ago, but not the claims themselves. A claim
+    /// in the store under this incarnation that is not known here counts as not begun, and its
+    /// call would run a second time.
     fn prune_claims(&mut self, now: Moment) {
         if now.since(self.last_prune) < PRUNE_INTERVAL {
             return;
@@ -332,8 +338,8 @@
         self.claims.retain(|(_, record)| !old(record));
     }
 
-    /// Drops the oldest tickets; their numbers are refused as expired from
-    /// then on, so pruning never opens a key again.
+    /// Drops the oldest tickets. Their numbers are refused as expired from then on, so pruning
+    /// never makes a key usable again.
     fn prune_tickets(&mut self, now: Moment) {
         while let Some(front) = self.tickets.front() {
             let running = matches!(front.state, State::Running { .. });
@@ -347,21 +353,21 @@
 }
 
 record! {
-    /// What a graceful exit leaves in the store.
+    /// Record of a process's used keys, written to the store at a graceful exit.
     pub struct Tombstone {
-        /// First number still recorded.
+        /// Lowest ticket number still recorded.
         pub base: u64,
-        /// First number never issued.
+        /// Lowest ticket number never issued.
         pub next: u64,
-        /// Numbers that ran or may have run, in order.
+        /// Ticket numbers that ran or may have run, sorted.
         pub used: Vec<u64>,
-        /// Claims that ran or may have run, in order.
+        /// Claims that ran or may have run, in hexadecimal, sorted.
         pub claims: Vec<String>,
     }
 }
 
 impl Tombstone {
-    /// What a peer may say about a key of the process that left.
+    /// The refusal that a peer may give for a key of the process that exited.
     pub fn resolve(&self, key: Key) -> Refusal {
         let used = match key {
             Key::Ticket(number) => number < self.base || self.used.binary_search(&number).is_ok(),
@@ -381,7 +387,7 @@
         {
             record.state = State::Ended {
                 body,
-                end: Completion::NotRun,
+                completion: Completion::NotRun,
             };
             Verdict::Refuse(Kind::KeyClosed.into())
         }
@@ -395,18 +401,18 @@
         State::Running { body: have, .. }
         | State::Ended {
             body: have,
-            end: Completion::Ran(_) | Completion::Unknown,
+            completion: Completion::Ran(_) | Completion::Unknown,
         } if *have != body => Verdict::Refuse(Kind::KeyReused.into()),
         State::Running { waiting, .. } => {
             waiting.push(call);
             Verdict::Wait
         }
-        State::Ended { end, .. } => replay(end),
+        State::Ended { completion, .. } => replay(completion),
     }
 }
 
-fn replay(end: &Completion) -> Verdict {
-    match end {
+fn replay(completion: &Completion) -> Verdict {
+    match completion {
         Completion::Ran(answer) => Verdict::Replay(answer.clone()),
         Completion::Unknown => Verdict::Refuse(Kind::UpstreamBroken.into()),
         Completion::NotRun => Verdict::Refuse(Kind::KeyClosed.into()),
