--- a/crates/core/src/reservation.rs
+++ b/crates/core/src/reservation.rs
@@ -1,9 +1,9 @@
-//! Promises: times to come back that any entry host honours.
+//! Reserved retry times that every entry host accepts.
 //!
-//! A refused caller gets the time and a token over customer, class and time.
-//! When it comes back with the token, whichever host it meets lets it pass the
-//! early refusal and start before calls that are new. The hosts share the key,
-//! so that no host need remember what another has promised.
+//! A refused caller gets a retry time and a token that authenticates customer,
+//! class and time. When it retries with the token, any host exempts it from early
+//! rejection and starts it before new calls. The hosts share the signing key, so
+//! that no host has to know the reservations of another.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 
 use crate::time::Moment;
 
-/// How much too early a caller may come; clocks differ.
+/// How much too early a caller may retry, as clocks differ.
 const MAX_EARLY: Duration = Duration::from_secs(1);
-/// How much too late. A token can be used more than once in this time, which
-/// bounds what a caller gains by it.
+/// How much too late a caller may retry. A token can be used several times within `MAX_EARLY`
+/// and `MAX_LATE`, which limits what a caller gains by reuse.
 const MAX_LATE: Duration = Duration::from_secs(5);
 
-/// Key for promises, the same at all hosts.
+/// Key that signs reservations, the same on all hosts.
 #[derive(Clone, Debug)]
 pub struct Secret([u8; 32]);
 
 impl Secret {
-    /// Derived from the token that the hosts share.
+    /// Derives the key from the token that the hosts share.
     pub fn derive(shared: &str) -> Self {
         let mut hash = Sha256::new();
         hash.update(b"radishstair promise");
@@ -31,13 +31,13 @@
         Self(hash.finalize().into())
     }
 
-    /// A token for a customer to come back with.
+    /// Creates the token for a customer's retry at a time.
     pub fn sign(&self, customer: &str, class: &str, due: Moment) -> String {
         let mac: [u8; 32] = self.mac(customer, class, due.wall).finalize().into_bytes().into();
         format!("{}-{}", due.wall, hex::encode(&mac[..16]))
     }
 
-    /// Whether a token is this customer's for this class and it is its time.
+    /// Whether a token was issued to this customer for this class and its time is now.
     pub fn verify(&self, now: Moment, token: &str, customer: &str, class: &str) -> bool {
         let Some((due, mac)) = token.split_once('-') else {
             return false;
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -1,30 +1,30 @@
-//! Numbers that were ordered: what is wanted, and what was accepted.
+//! Ordered counts: the desired one, and the one accepted last.
 //!
-//! An order is a target, not an increment: one that is repeated or comes late does no
-//! more than restate it. So each thing has one number wanted and one that was accepted
-//! last, and whatever differs is due.
+//! An order is a target, not an increment, so a repeated or late order only restates it.
+//! Each key has a desired count and the count that was accepted last; an order is due
+//! while the two differ.
 
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// The number of one thing; `X` is what else its planner keeps of it.
+/// The target of one key; `X` is further state of its planner.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Target<K, X> {
-    /// The thing.
+    /// What the count is for.
     pub key: K,
-    /// Number wanted.
+    /// Desired count.
     pub desired: u32,
-    /// Number that was accepted last; none if that is not known.
+    /// Count that was accepted last; none if not known.
     pub accepted: Option<u32>,
-    /// When it may be ordered next.
+    /// Earliest time of the next order.
     pub next_attempt: Moment,
-    /// What else is known.
+    /// Further state of the planner.
     pub extra: X,
 }
 
 impl<K, X> Target<K, X> {
-    /// Sets the number wanted; a new one need not wait for the pause of the old one.
+    /// Sets the desired count; a new one may be ordered immediately.
     pub fn set_desired(&mut self, count: u32) {
         if self.desired != count {
             self.desired = count;
@@ -32,19 +32,19 @@
         }
     }
 
-    /// Whether what is wanted was not accepted yet.
+    /// Whether the desired count was not accepted yet.
     pub fn is_unconfirmed(&self) -> bool {
         self.accepted != Some(self.desired)
     }
 
-    /// An order for `count` was accepted.
+    /// Records that an order for `count` was accepted.
     pub fn accept(&mut self, now: Moment, count: u32) {
         self.accepted = Some(count);
         self.next_attempt = now;
     }
 }
 
-/// All targets of a planner, sorted by what they are for.
+/// All targets of a planner, sorted by key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Targets<K, X> {
     rows: Vec<Target<K, X>>,
@@ -57,7 +57,7 @@
 }
 
 impl<K: Ord, X: Default> Targets<K, X> {
-    /// The target for a thing; a new one wants nothing.
+    /// The target of a key, created with a desired count of 0 if there is none.
     pub fn entry(&mut self, key: K) -> &mut Target<K, X> {
         let found = self.rows.binary_search_by(|have| have.key.cmp(&key));
         let at = match found {
@@ -77,8 +77,8 @@
         &mut self.rows[at]
     }
 
-    /// The first target that is due: one that differs from what was accepted, or one that
-    /// was accepted `restate` ago.
+    /// The first target for which an order is due: one that was not accepted yet, or was accepted
+    /// at least `restate` ago.
     pub fn due(&mut self, now: Moment, restate: Option<Duration>) -> Option<&mut Target<K, X>> {
         let old = |target: &Target<K, X>| restate.is_some_and(|span| now.since(target.next_attempt) >= span);
         let due = |target: &&mut Target<K, X>| {
--- a/crates/core/src/ticket.rs
+++ b/crates/core/src/ticket.rs
@@ -1,10 +1,11 @@
-//! Tickets: idempotency keys that name the one process that may run the call.
+//! Tickets: idempotency keys that name the only process that may run the call.
 //!
-//! A ticket carries the incarnation of its issuer and a number that the issuer
-//! alone keeps the record of. No shared write is needed, so calls run at most
-//! once under any cut, freeze or outage; what a crash leaves is "unknown".
-//! The MAC binds number and customer to a secret that never leaves the
-//! issuer's memory, so a ticket can't be forged or used by another customer.
+//! A ticket contains the incarnation of its issuer and a number whose record only
+//! the issuer keeps. No write to shared storage is needed, so calls run at most
+//! once during any network partition, freeze or outage; after a crash the answer
+//! is "unknown". The MAC covers number and customer with a secret that never
+//! leaves the issuer's memory, so a ticket cannot be forged or used by another
+//! customer.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
@@ -13,17 +14,17 @@
 
 /// First characters of every ticket.
 pub const PREFIX: &str = "rst1-";
-/// Bytes of the MAC that a ticket carries.
+/// Length of the truncated MAC in a ticket, in bytes.
 const MAC_BYTES: usize = 16;
 
 /// Secret of one incarnation.
 pub type Secret = [u8; 32];
 
 plain! {
-    /// A ticket as presented; not yet verified.
+    /// A ticket that was parsed but not verified.
     #[derive(Eq)]
     pub struct Ticket {
-        /// Who alone may run it.
+        /// The only process that may run the call.
         pub owner: Incarnation,
         /// Number among the owner's tickets.
         pub number: u64,
@@ -32,7 +33,7 @@
 }
 
 impl Ticket {
-    /// Makes a ticket for a customer.
+    /// Issues a ticket to a customer.
     pub fn issue(secret: &Secret, owner: Incarnation, number: u64, customer: &str) -> Self {
         let full: [u8; 32] = mac(secret, number, customer).finalize().into_bytes().into();
         let mut mac = [0; MAC_BYTES];
@@ -40,7 +41,7 @@
         Self { owner, number, mac }
     }
 
-    /// Reads a ticket; `None` when the text is not one.
+    /// Parses a ticket; `None` if the text is not one.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.strip_prefix(PREFIX)?.split('-');
         let owner = parts.next()?.parse().ok()?;
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Whether the owner issued it to this customer; in constant time.
+    /// Whether the owner issued it to this customer, compared in constant time.
     pub fn verify(&self, secret: &Secret, customer: &str) -> bool {
         mac(secret, self.number, customer)
             .verify_truncated_left(&self.mac)
--- a/crates/core/src/write_once.rs
+++ b/crates/core/src/write_once.rs
@@ -1,9 +1,9 @@
-//! A figure that is written once, so that whoever reports it reports the same.
+//! Values that are written to the store once, so that all processes report the same.
 //!
-//! It is written under its own key if nothing stands there; whoever comes second adopts
-//! what stands. A write whose answer was lost may stand or not, so it is read back: taking
-//! it for failed, a later sum under the same key would differ from the one that a
-//! successor finds and reports.
+//! A value is written under its own key if the key does not exist; a second writer adopts
+//! the existing value. A write whose answer was lost may have succeeded or not, so the key
+//! is read back. If the write were taken for failed, a later value under the same key could
+//! differ from the one that a successor finds and reports.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 use crate::store::{Answer, Call, Entry};
 use crate::time::Moment;
 
-/// What came of a write.
+/// Result of a write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome<V> {
-    /// The store is to be asked once more.
+    /// Not known yet; this store call is to be made next.
     Pending(Call),
-    /// This stands, in this version, whoever wrote it.
+    /// The value in the store and its version, whichever process wrote it.
     Stored(V, u64),
-    /// Nothing stands that can be read.
+    /// The key does not exist, or its value cannot be parsed.
     Missing,
-    /// The store was of no help; what stands is not known.
+    /// The store did not answer; whether there is a value is not known.
     Failed,
 }
 
@@ -32,7 +32,7 @@
     Reading,
 }
 
-/// One figure on its way into the store.
+/// The write of one value at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Writer<V> {
     step: Option<(Moment, Step<V>)>,
@@ -45,24 +45,24 @@
 }
 
 impl<V: Serialize + DeserializeOwned> Writer<V> {
-    /// Writes a figure under its key unless one stands there.
+    /// Writes a value under a key that must not exist; returns the store call to make.
     pub fn write(&mut self, now: Moment, key: String, value: V) -> Option<Call> {
         let call = Call::Swap {
             key: key.clone(),
             expect: 0,
-            // Names and numbers always become JSON.
+            // The values consist of names and numbers, so that serializing cannot fail.
             value: serde_json::to_string(&value).ok()?,
         };
         self.step = Some((now, Step::Writing { key, value }));
         Some(call)
     }
 
-    /// Whether an answer of the store is waited for.
+    /// Whether a store call is in progress.
     pub fn is_busy(&self) -> bool {
         self.step.is_some()
     }
 
-    /// Gives up a wait that has lasted for `patience`; whether it did.
+    /// Abandons a store call that has been in progress for `patience`; returns whether it did.
     pub fn time_out(&mut self, now: Moment, patience: Duration) -> bool {
         let late = self
             .step
@@ -74,7 +74,7 @@
         late
     }
 
-    /// Takes the store's answer; none if nothing was asked.
+    /// Handles the store's answer; none if no store call is in progress.
     pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> Option<Outcome<V>> {
         let (_, step) = self.step.take()?;
         Some(match (step, answer) {
@@ -92,8 +92,8 @@
 
 fn stored<V: DeserializeOwned>(entry: Option<&Entry>) -> Outcome<V> {
     let entry = entry.filter(|entry| entry.version > 0);
-    let stands = entry.and_then(|entry| Some((serde_json::from_str(&entry.value).ok()?, entry.version)));
-    match stands {
+    let parsed = entry.and_then(|entry| Some((serde_json::from_str(&entry.value).ok()?, entry.version)));
+    match parsed {
         Some((value, version)) => Outcome::Stored(value, version),
         None => Outcome::Missing,
     }
