--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,9 +1,9 @@
-//! Whether a request may go to one more runner.
+//! Whether a request may be sent to another runner.
 //!
-//! Both fronts ask here after each attempt that brought no answer. Once a byte of a
-//! request may have left, only the runner's own statement says that it did not run:
-//! after a reset, a closed connection or silence it may have. A request that runs at
-//! most once ends there; one more send could post an entry twice.
+//! Both request paths call this after each attempt without an answer. Once a byte of a
+//! request may have been sent, only the runner's own statement shows that it did not run:
+//! after a reset, a closed connection or a timeout it may have. A request that may run at
+//! most once is not retried then, as another send could post an entry twice.
 
 use crate::error::{Ran, Refusal};
 
@@ -11,47 +11,47 @@
     /// How an attempt at one runner ended without an answer.
     #[derive(Copy, Eq)]
     pub enum Fault {
-        /// No byte of the request has left.
+        /// No byte of the request was sent.
         Unreachable,
-        /// The runner states that it has not run it.
+        /// The runner states that it has not run the request.
         NotRun,
-        /// It may have run.
+        /// The request may have run.
         MayHaveRun,
     }
 }
 
 plain! {
-    /// What a request allows.
+    /// Limits on the attempts of a request.
     #[derive(Copy, Eq)]
     pub struct Rule {
-        /// Whether it may run at most once.
+        /// Whether the request may run at most once.
         pub at_most_once: bool,
-        /// Runners that it may be sent to.
+        /// Maximum runners that it is sent to.
         pub max_attempts: u32,
-        /// Runners that may turn out unreachable before its caller is told so.
+        /// Number of unreachable runners after which it is refused.
         pub max_unreachable: u32,
     }
 }
 
 plain! {
-    /// Why no further runner gets a request.
+    /// Why a request is not sent to another runner.
     #[derive(Copy, Eq)]
     pub enum Denial {
-        /// It may have run, and runs at most once.
+        /// It may have run, and may run at most once.
         MayHaveRun,
-        /// The caller's or the route's time is over.
+        /// The deadline of the caller or the route has passed.
         TimedOut,
-        /// It was sent to as many runners as it may be.
+        /// It was sent to the maximum number of runners.
         AttemptsExhausted,
-        /// The budget of repeats is spent.
+        /// The retry budget is exhausted.
         BudgetExhausted,
-        /// None of the runners that were chosen could be reached.
+        /// The chosen runners could not be reached.
         Unreachable,
     }
 }
 
 impl Denial {
-    /// Name in the log.
+    /// Name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Denial::MayHaveRun => "may-have-run",
@@ -63,7 +63,7 @@
     }
 }
 
-/// What one request has tried; `K` names a runner.
+/// The attempts of one request; `K` identifies a runner.
 #[derive(Clone, Debug)]
 pub struct History<K> {
     tried: Vec<K>,
@@ -84,27 +84,27 @@
 }
 
 impl<K> History<K> {
-    /// A runner was chosen.
+    /// Records that a runner was chosen.
     pub fn record_choice(&mut self, runner: K) {
         self.tried.push(runner);
     }
 
-    /// Bytes of the request may leave from now on.
+    /// Records that bytes of the request may be sent from now on.
     pub fn record_send(&mut self) {
         self.sends += 1;
     }
 
-    /// The attempt ended without an answer; why no further runner gets the request,
-    /// if that is so.
+    /// Records that an attempt ended without an answer; returns why the request is not
+    /// retried, or `None` if it may be.
     ///
-    /// `over` tells whether its time is over; `budget` takes a repeat from the budget
-    /// and is asked last, as what it gives is spent.
+    /// `take_budget` takes one retry from the budget. It is called last, as a retry that was
+    /// taken is not given back.
     pub fn record_failure(
         &mut self,
         rule: &Rule,
         fault: Fault,
-        over: bool,
-        budget: impl FnOnce() -> bool,
+        timed_out: bool,
+        take_budget: impl FnOnce() -> bool,
     ) -> Option<Denial> {
         match fault {
             Fault::Unreachable => {
@@ -117,27 +117,27 @@
         if self.may_have_run && rule.at_most_once {
             return Some(Denial::MayHaveRun);
         }
-        if over {
+        if timed_out {
             return Some(Denial::TimedOut);
         }
         if self.sends >= rule.max_attempts {
             return Some(Denial::AttemptsExhausted);
         }
-        (!budget()).then_some(Denial::BudgetExhausted)
+        (!take_budget()).then_some(Denial::BudgetExhausted)
     }
 
-    /// What was sent has not left after all.
+    /// Reverts [`Self::record_send`], as no byte was sent.
     pub fn revert_send(&mut self) {
         self.sends -= 1;
     }
 
-    /// The time is over while a runner may be at work.
+    /// Records that the deadline passed while a runner may be running the request.
     pub fn record_timeout(&mut self) {
         self.may_have_run = true;
     }
 
-    /// A refusal that says "not run" only if that is so: an earlier attempt may have
-    /// run, also where no further runner is to be had.
+    /// Changes a refusal to an unknown outcome if an earlier attempt may have run, also if
+    /// the refusal itself is that no runner is available.
     pub fn adjust_refusal(&self, refusal: Refusal) -> Refusal {
         match self.may_have_run {
             true => Refusal {
@@ -148,17 +148,17 @@
         }
     }
 
-    /// Runners that were chosen.
+    /// Runners that were chosen, in order.
     pub fn tried(&self) -> &[K] {
         &self.tried
     }
 
-    /// Runners that it was sent to.
+    /// Number of runners that the request was sent to.
     pub fn sends(&self) -> u32 {
         self.sends
     }
 
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -1,9 +1,9 @@
-//! Upstream runners as one host sees them.
+//! The table of upstream runners at one host.
 //!
-//! The platform's list lags, so what this host or a peer saw first-hand (a
-//! refused connection, a notice of leaving) counts until the list has had time
-//! to catch up. Load is this host's own calls plus what its peers last said of
-//! theirs.
+//! The platform's list is delayed. So direct observations of this host or a peer,
+//! such as a refused connection or a notice that a runner leaves, take precedence
+//! until the list has had time to catch up. The load of a runner is this host's
+//! own calls plus the calls that its peers last reported.
 
 use std::time::Duration;
 
@@ -12,77 +12,82 @@
 use crate::time::Moment;
 
 arena_key! {
-    /// A runner in the table.
+    /// Index of a runner in the table.
     Key(u32)
 }
 
-/// How long first-hand news outweighs the list.
+/// How long a notice that a runner leaves takes precedence over the list.
 pub const LEAVING_TTL: Duration = Duration::from_secs(90);
-/// First rest of a runner that refused a connection or broke off.
+/// First back-off of a runner that refused a connection or broke off.
 const MIN_BACKOFF: Duration = Duration::from_secs(1);
-/// Longest rest.
+/// Maximum back-off of a runner.
 const MAX_BACKOFF: Duration = Duration::from_secs(30);
-/// How long a peer's shares count without a newer heartbeat.
+/// How long a peer's reported calls count without a newer heartbeat.
 const PEER_SHARES_TTL: Duration = Duration::from_secs(20);
-/// Shortest time in which peers hear of a call.
+/// Minimum length of a reporting round.
 const MIN_ROUND: Duration = Duration::from_secs(2);
-/// Longest time that a round waits for a peer.
+/// Maximum length of a reporting round, if a peer does not report.
 const MAX_ROUND: Duration = Duration::from_secs(12);
-/// Weight of the newest reading in running means.
+/// Weight of the newest measurement in the mean milliseconds per token.
 const PACE_GAIN: f64 = 0.1;
 
 record! {
-    /// A runner as the platform lists it.
+    /// A runner in the platform's list.
     pub struct Listing {
         /// Its name.
         pub name: String,
-        /// Its pool.
+        /// Name of its pool.
         pub pool: String,
         /// Availability zone.
         pub zone: String,
         /// IP address and port.
         pub address: String,
-        /// Calls it can run at once.
+        /// Number of calls that it can run at once.
         pub slots: u32,
-        /// Announced to leave.
+        /// Whether it is announced to leave.
         #[serde(default)]
         pub leaving: bool,
     }
 }
 
 plain! {
-    /// One runner.
+    /// A runner with the state that this host keeps of it.
     pub struct Runner {
-        /// As listed.
+        /// Its entry in the platform's list.
         pub listing: Listing,
-        /// This host's calls on it.
+        /// Number of this host's calls on it.
         pub running: u32,
-        /// Its peers' calls on it.
+        /// Number of this host's peers' calls on it, as last reported.
         pub peer_running: u32,
-        /// This host's calls of the last round, of which its peers may not
-        /// have heard.
+        /// Number of this host's calls that started in the current round and may not have been
+        /// reported to all peers.
         pub unreported: u32,
-        /// Milliseconds a token, as this host saw them; 0 before the first.
+        /// Mean milliseconds per token, as measured by this host; 0 before the first measurement.
         pub ms_per_token: f64,
         delisted: bool,
+        /// When this host got the notice that it leaves.
         notice_at: Option<Moment>,
+        /// Consecutive failures.
         failures: u32,
         backoff_until: Moment,
     }
 }
 
 impl Runner {
-    /// Whether new work may go there.
+    /// Whether new calls may start on it.
     pub fn is_available(&self, now: Moment) -> bool {
         !self.delisted && !self.is_leaving(now) && now.reached(self.backoff_until)
     }
 
-    /// Whether it leaves, by the list or first-hand.
+    /// Whether it is leaving, according to the list or to a notice.
     pub fn is_leaving(&self, now: Moment) -> bool {
-        self.listing.leaving || self.notice_at.is_some_and(|news| now.since(news) < LEAVING_TTL)
+        self.listing.leaving
+            || self
+                .notice_at
+                .is_some_and(|notice_at| now.since(notice_at) < LEAVING_TTL)
     }
 
-    /// Share of its slots in use.
+    /// Fraction of its slots in use.
     pub fn load(&self) -> f64 {
         f64::from(self.running + self.peer_running) / f64::from(self.listing.slots.max(1))
     }
@@ -99,7 +104,7 @@
 /// A pool's runners by zone.
 type Zones = Vec<(String, Vec<Key>)>;
 
-/// All runners that this host may use.
+/// All runners known to this host.
 #[derive(Debug, Default)]
 pub struct Runners {
     arena: Vec<Runner>,
@@ -111,40 +116,40 @@
 }
 
 impl Runners {
-    /// Takes the platform's list.
-    pub fn set_listings(&mut self, listed: Vec<Listing>) {
+    /// Replaces the platform's list.
+    pub fn set_listings(&mut self, listings: Vec<Listing>) {
         for runner in &mut self.arena {
             runner.delisted = true;
         }
-        for item in listed {
-            match self.find(&item.name) {
-                Some(key) => self.update_listing(key, item),
-                None => self.add_listing(item),
+        for listing in listings {
+            match self.find(&listing.name) {
+                Some(key) => self.update_listing(key, listing),
+                None => self.add_listing(listing),
             }
         }
         self.rebuild_index();
     }
 
-    fn update_listing(&mut self, key: Key, item: Listing) {
+    fn update_listing(&mut self, key: Key, listing: Listing) {
         let runner = &mut self.arena[key.index()];
-        // A new address under an old name is a new process: what was known
-        // of the former one no longer counts.
-        if runner.listing.address != item.address {
+        // A new address under a known name is a new process, so the state of the former one is
+        // reset.
+        if runner.listing.address != listing.address {
             runner.notice_at = None;
             runner.failures = 0;
             runner.backoff_until = Moment::default();
             runner.ms_per_token = 0.0;
         }
-        runner.listing = item;
+        runner.listing = listing;
         runner.delisted = false;
     }
 
-    fn add_listing(&mut self, item: Listing) {
+    fn add_listing(&mut self, listing: Listing) {
         let key = Key(self.arena.len() as u32);
-        let at = self.names.partition_point(|(name, _)| *name < item.name);
-        self.names.insert(at, (item.name.clone(), key));
+        let at = self.names.partition_point(|(name, _)| *name < listing.name);
+        self.names.insert(at, (listing.name.clone(), key));
         self.arena.push(Runner {
-            listing: item,
+            listing,
             running: 0,
             peer_running: 0,
             unreported: 0,
@@ -187,7 +192,7 @@
         &self.arena[key.index()]
     }
 
-    /// Runners of a pool, by zone.
+    /// Listed runners of a pool, by zone.
     pub fn pool(&self, name: &str) -> &[(String, Vec<Key>)] {
         match self.pools.binary_search_by(|(have, _)| have.as_str().cmp(name)) {
             Ok(at) => &self.pools[at].1,
@@ -195,72 +200,72 @@
         }
     }
 
-    /// Every runner that is listed.
+    /// All listed runners.
     pub fn iter(&self) -> impl Iterator<Item = &Runner> {
         self.arena.iter().filter(|runner| !runner.delisted)
     }
 
-    /// A call starts.
+    /// Records the start of a call.
     pub fn start(&mut self, key: Key) {
         let runner = &mut self.arena[key.index()];
         runner.running += 1;
         runner.unreported += 1;
     }
 
-    /// A call ends.
+    /// Records the end of a call.
     pub fn finish(&mut self, key: Key) {
         let runner = &mut self.arena[key.index()];
         runner.running = runner.running.saturating_sub(1);
         runner.unreported = runner.unreported.min(runner.running);
     }
 
-    /// A whole answer came, at this pace.
-    pub fn record_success(&mut self, key: Key, pace: f64) {
+    /// Records a complete answer and its milliseconds per token.
+    pub fn record_success(&mut self, key: Key, ms_per_token: f64) {
         let runner = &mut self.arena[key.index()];
         runner.failures = 0;
         runner.backoff_until = Moment::default();
-        if pace > 0.0 {
+        if ms_per_token > 0.0 {
             runner.ms_per_token = match runner.ms_per_token {
-                0.0 => pace,
-                have => have + (pace - have) * PACE_GAIN,
+                0.0 => ms_per_token,
+                have => have + (ms_per_token - have) * PACE_GAIN,
             };
         }
     }
 
-    /// It refused or broke off: it rests, longer each time.
+    /// Records a refused connection or a broken answer; the back-off doubles each time.
     pub fn record_failure(&mut self, now: Moment, key: Key) {
         let runner = &mut self.arena[key.index()];
-        let span = MIN_BACKOFF.saturating_mul(1 << runner.failures.min(5));
+        let backoff = MIN_BACKOFF.saturating_mul(1 << runner.failures.min(5));
         runner.failures += 1;
-        runner.backoff_until = now + span.min(MAX_BACKOFF);
+        runner.backoff_until = now + backoff.min(MAX_BACKOFF);
     }
 
-    /// First-hand news that it leaves; tells whether it is new.
+    /// Records a notice that a runner leaves; returns whether that was not known.
     pub fn mark_leaving(&mut self, now: Moment, name: &str) -> bool {
         let Some(key) = self.find(name) else {
             return false;
         };
         let runner = &mut self.arena[key.index()];
-        let new = !runner.is_leaving(now);
-        if new {
+        let is_new = !runner.is_leaving(now);
+        if is_new {
             runner.notice_at = Some(now);
         }
-        new
+        is_new
     }
 
-    /// Runners known first-hand to leave, for the peers.
+    /// Names of the runners with a recent notice that they leave, to be sent to peers.
     pub fn leaving_names(&self, now: Moment) -> Vec<String> {
         self.iter()
             .filter(|runner| {
                 runner
                     .notice_at
-                    .is_some_and(|news| now.since(news) < LEAVING_TTL / 2)
+                    .is_some_and(|notice_at| now.since(notice_at) < LEAVING_TTL / 2)
             })
             .map(|runner| runner.listing.name.clone())
             .collect()
     }
 
-    /// This host's calls, for the peers.
+    /// This host's calls by runner, to be sent to peers.
     pub fn shares(&self) -> Shares {
         let mut shares = Shares::default();
         for runner in self.iter().filter(|runner| runner.running > 0) {
@@ -270,7 +275,7 @@
         shares
     }
 
-    /// A peer's calls.
+    /// Replaces the reported calls of a peer.
     pub fn set_peer_shares(&mut self, now: Moment, peer: Incarnation, shares: &Shares) {
         let pairs = shares.runners.iter().zip(&shares.running);
         let known = pairs.filter_map(|(runner, running)| {
@@ -292,29 +297,30 @@
         });
     }
 
-    /// Drops the shares of peers that fell silent.
+    /// Starts a new round if the current one is over, and drops the reports of silent peers.
     pub fn expire_shares(&mut self, now: Moment) {
         if self.round_is_over(now) {
             self.round_start = now;
             self.arena.iter_mut().for_each(|runner| runner.unreported = 0);
         }
-        let silent: Vec<Incarnation> = self
+        let expired: Vec<Incarnation> = self
             .peers
             .iter()
             .filter(|peer| now.since(peer.received_at) >= PEER_SHARES_TTL)
             .map(|peer| peer.peer)
             .collect();
-        for peer in silent {
+        for peer in expired {
             self.remove_peer(peer);
         }
     }
 
-    /// A round ends when every peer has told its calls since it began: two
-    /// rounds within one lag would let all take their share twice.
+    /// Whether every peer has reported its calls since the round started, or the round has reached
+    /// its maximum length. Two rounds within one reporting delay would let every host take its
+    /// share twice.
     fn round_is_over(&self, now: Moment) -> bool {
-        let span = now.since(self.round_start);
-        let all_told = self.peers.iter().all(|peer| peer.received_at > self.round_start);
-        span >= MAX_ROUND || (span >= MIN_ROUND && all_told)
+        let elapsed = now.since(self.round_start);
+        let all_reported = self.peers.iter().all(|peer| peer.received_at > self.round_start);
+        elapsed >= MAX_ROUND || (elapsed >= MIN_ROUND && all_reported)
     }
 
     fn remove_peer(&mut self, peer: Incarnation) {
@@ -327,12 +333,12 @@
         }
     }
 
-    /// Mean pace of a pool's runners, 0 when unknown.
+    /// Mean milliseconds per token of a pool's runners; 0 if unknown.
     pub fn mean_ms_per_token(&self, pool: &str) -> f64 {
         let keys = self.pool(pool).iter().flat_map(|(_, keys)| keys);
         let known: Vec<f64> = keys
             .map(|key| self.get(*key).ms_per_token)
-            .filter(|pace| *pace > 0.0)
+            .filter(|ms_per_token| *ms_per_token > 0.0)
             .collect();
         match known.len() {
             0 => 0.0,
@@ -341,8 +347,8 @@
     }
 }
 
-/// Name of a runner between peers. Two runners that share one count as each
-/// other's load, which two random choices live with.
+/// Id of a runner in heartbeats. If two runners have the same id, the load of one is counted for
+/// the other too, which the choice between two random runners tolerates.
 fn short_id(name: &str) -> u32 {
     id::digest(name.as_bytes()) as u32
 }
