--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,9 +1,8 @@
-//! The closed list of error kinds and what each answers.
+//! The closed list of error kinds and the answer of each.
 //!
-//! A refusal carries three facts beside its kind: whether the call ran,
-//! whether and how it may be repeated, and (where it helps) when. The pair
-//! "not run" and "new key" is a promise: the key is closed, so that no late
-//! copy of the call can run any more.
+//! A refusal states, besides its kind, whether the call ran, whether and how it
+//! may be repeated, and optionally when. The pair "not run" and "new key"
+//! guarantees that the key is closed, so that no late copy of the call can run.
 
 use std::time::Duration;
 
@@ -13,21 +12,21 @@
 pub enum Ran {
     /// No byte reached a runner and none will.
     NotRun,
-    /// The call ran; the answer comes with it or is lost.
+    /// The call ran; its answer is included or lost.
     Ran,
-    /// It may have run, or may still run.
+    /// The call may have run, or may still run.
     Unknown,
 }
 
-/// How a caller may go on.
+/// Whether and how a caller may repeat a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// Repeat freely, with a new key where the call needs one.
+    /// Repeat, with a new key if the call needs one.
     NewKey,
-    /// Repeat with the same key only: it cannot run twice.
+    /// Repeat with the same key only, so that the call cannot run twice.
     SameKey,
-    /// Do not repeat; ask the ledger what happened, or mend the request.
+    /// Do not repeat; ask the ledger whether the call ran, or correct the request.
     Never,
 }
 
@@ -57,12 +56,12 @@
                 match self { $(Kind::$kind => Ran::$ran,)* }
             }
 
-            /// How to go on, unless the refusal says otherwise.
+            /// How the call may be repeated, unless the refusal says otherwise.
             pub fn repeat(self) -> Repeat {
                 match self { $(Kind::$kind => Repeat::$repeat,)* }
             }
 
-            /// One sentence for people.
+            /// Message for the caller, one sentence.
             pub fn text(self) -> &'static str {
                 match self { $(Kind::$kind => $text,)* }
             }
@@ -75,15 +74,15 @@
     BadRequest: "bad-request", 400, NotRun, Never, "the request is malformed";
     /// Head or body over the limit.
     TooLarge: "too-large", 413, NotRun, Never, "the request is larger than allowed";
-    /// The body came too slowly.
+    /// The request did not arrive in time.
     SlowRequest: "slow-request", 408, NotRun, NewKey, "the request did not arrive in time";
     /// No `Authorization: Bearer` header.
     MissingKey: "missing-key", 401, NotRun, Never, "an `Authorization: Bearer` key is required";
-    /// The key is not known.
+    /// Unknown key.
     UnknownKey: "unknown-key", 401, NotRun, Never, "the key is not known";
     /// The key was withdrawn.
     KeyWithdrawn: "key-withdrawn", 401, NotRun, Never, "the key was withdrawn";
-    /// No such path.
+    /// No class serves the path.
     NotFound: "not-found", 404, NotRun, Never, "no class serves this path";
     /// Unknown model.
     UnknownModel: "unknown-model", 404, NotRun, Never, "no pool serves this model";
@@ -91,9 +90,9 @@
     UnknownClass: "unknown-class", 404, NotRun, Never, "no such request class";
     /// No selector gives this traffic a service level.
     NotSelected: "not-selected", 403, NotRun, Never, "no selector admits this request";
-    /// A call that may not be repeated came without an idempotency key.
+    /// An at-most-once call without an idempotency key.
     MissingIdempotencyKey: "missing-idempotency-key", 400, NotRun, Never, "this call needs an `Idempotency-Key`";
-    /// The idempotency key cannot be read.
+    /// The idempotency key is malformed, forged or of another customer.
     BadIdempotencyKey: "bad-idempotency-key", 400, NotRun, Never, "the `Idempotency-Key` is malformed, forged or of another customer";
     /// The key was used with another body.
     KeyReused: "idempotency-key-reused", 409, Unknown, Never, "the `Idempotency-Key` was used with another body";
@@ -103,25 +102,25 @@
     KeyClosed: "idempotency-key-closed", 409, NotRun, NewKey, "the `Idempotency-Key` was closed without running";
     /// The same call is still running.
     InProgress: "in-progress", 409, Unknown, SameKey, "the call is still running";
-    /// The process that alone may run this call cannot be reached.
+    /// The only process that may run this call cannot be reached.
     OwnerAway: "owner-away", 503, Unknown, SameKey, "the host that holds this call cannot be reached";
-    /// The process that alone may run this call has ended.
+    /// The only process that may run this call has ended.
     OwnerLost: "owner-lost", 503, Unknown, Never, "the host that held this call has ended; ask the ledger whether it ran";
-    /// The claim could not be settled with the store.
+    /// The store did not confirm the claim.
     ClaimUnsettled: "claim-unsettled", 503, Unknown, SameKey, "the call could not be claimed now; use a ticket while the store is down";
-    /// Too much work to meet the target.
+    /// Too many calls are waiting to meet the target.
     Overloaded: "overloaded", 503, NotRun, NewKey, "too much work is waiting to meet the target";
-    /// No runner is known for the call.
+    /// No runner is available for the call.
     NoRunner: "no-runner", 503, NotRun, NewKey, "no runner can take this call now";
-    /// The wait passed the deadline.
+    /// The call could not start before its deadline.
     Late: "late", 503, NotRun, NewKey, "the call could not start before its deadline";
     /// The host is stopping.
     Stopping: "stopping", 503, NotRun, NewKey, "this host is stopping";
-    /// The configuration is too old to trust its keys.
+    /// The configuration is too old for its keys to be trusted.
     Stale: "stale-configuration", 503, NotRun, NewKey, "this host has been cut off for longer than keys may be trusted";
-    /// The runner broke off.
+    /// The runner broke off its answer.
     UpstreamBroken: "upstream-broken", 502, Unknown, Never, "the runner broke off before its answer was whole";
-    /// The runner answered another request.
+    /// The runner sent the answer to another request.
     UpstreamCrossed: "upstream-crossed", 502, Unknown, Never, "the runner answered for another request";
     /// The runner did not answer in time.
     UpstreamTimeout: "upstream-timeout", 504, Unknown, Never, "the runner did not answer in time";
@@ -130,27 +129,27 @@
 }
 
 plain! {
-    /// A refusal as a caller sees it.
+    /// A refusal as sent to a caller.
     pub struct Refusal {
-        /// Why.
+        /// Reason.
         pub kind: Kind,
-        /// Whether it ran.
+        /// Whether the call ran.
         pub ran: Ran,
-        /// How to go on.
+        /// Whether and how the call may be repeated.
         pub repeat: Repeat,
-        /// When to come back.
+        /// Time until the caller should retry.
         pub retry_after: Option<Duration>,
-        /// Whether room is kept for then.
+        /// Whether capacity is reserved for the retry.
         pub reserved: bool,
-        /// Token to come back with, once the promise is signed.
+        /// Token for the retry, once the reservation is signed.
         pub token: Option<String>,
-        /// What exactly was wrong.
+        /// Detail appended to the message; may be empty.
         pub detail: String,
     }
 }
 
 impl Refusal {
-    /// A refusal with the table's own facts.
+    /// Creates a refusal with the defaults of its kind.
     pub fn new(kind: Kind) -> Self {
         Self {
             kind,
@@ -163,19 +162,19 @@
         }
     }
 
-    /// Names what was wrong.
+    /// Sets the detail.
     pub fn detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = detail.into();
         self
     }
 
-    /// Tells when to come back.
+    /// Sets the time until the retry.
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// Tells when to come back, with room kept for then.
+    /// Sets the time until the retry, for which capacity is reserved.
     pub fn reserve(self, after: Duration) -> Self {
         Self {
             reserved: true,
@@ -183,14 +182,14 @@
         }
     }
 
-    /// Leaves open whether it ran; the same key may be repeated.
+    /// Sets that the call may have run and may be repeated with the same key.
     pub fn outcome_unknown(mut self) -> Self {
         self.ran = Ran::Unknown;
         self.repeat = Repeat::SameKey;
         self
     }
 
-    /// Body of the answer.
+    /// JSON body of the answer.
     pub fn body(&self) -> serde_json::Value {
         let mut message = self.kind.text().to_string();
         if !self.detail.is_empty() {
@@ -201,7 +200,7 @@
             "message": message,
             "ran": self.ran,
             "repeat": self.repeat,
-            "retry_after_ms": self.retry_after.map(|span| span.as_millis() as u64),
+            "retry_after_ms": self.retry_after.map(|delay| delay.as_millis() as u64),
         }})
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions of the radishstair router, without I/O.
+//! Decision logic of the radishstair router, without I/O.
 //!
 //! Routing, admission, at-most-once records, leases, usage, membership and
-//! configuration live here as state machines: `(now, event) -> actions`. The
-//! crate opens no socket, reads no clock and starts no thread, so any harness
-//! can drive many nodes in one process and replay a run from its seed.
+//! configuration are state machines: `(now, event) -> actions`. The crate opens
+//! no socket, reads no clock and starts no thread, so that a test can drive many
+//! nodes in one process and replay a run from its seed.
 
 #[macro_use]
 mod macros;
--- a/crates/core/src/macros.rs
+++ b/crates/core/src/macros.rs
@@ -1,6 +1,6 @@
-//! Derive sets shared by the whole workspace.
+//! Macros that derive the traits of data types, used in the whole workspace.
 
-/// Derives the common set for a plain data type.
+/// Derives the common traits of a data type.
 #[macro_export]
 macro_rules! plain {
     ($($item:tt)*) => {
@@ -9,7 +9,7 @@
     };
 }
 
-/// Derives the common set for data that crosses a process boundary as JSON.
+/// Derives the common traits of a data type that is stored or sent as JSON.
 #[macro_export]
 macro_rules! record {
     ($(#[$meta:meta])* pub struct $($rest:tt)*) => {
@@ -26,7 +26,7 @@
     };
 }
 
-/// Declares a small `Copy` key into an arena.
+/// Declares a `Copy` index into an arena.
 #[macro_export]
 macro_rules! arena_key {
     ($(#[$meta:meta])* $name:ident($int:ty)) => {
