--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -38,8 +38,8 @@
             let span = world.rng.random_range(500..15 * SECOND);
             world.pause(at, span);
         }
-        3 => world.nodes[at].island = (now % 3) as u32,
-        4 => world.nodes.iter_mut().for_each(|node| node.island = 0),
+        3 => world.nodes[at].partition = (now % 3) as u32,
+        4 => world.nodes.iter_mut().for_each(|node| node.partition = 0),
         5 => world.store_down = !world.store_down,
         6 => world.nodes[at].cut_store = !world.nodes[at].cut_store,
         _ => world.store_down = false,
@@ -53,7 +53,7 @@
     ran: &AtomicUsize,
 ) -> Result<(), String> {
     let faults = Faults {
-        lose: 0.15,
+        lose_answer: 0.15,
         ..Faults::default()
     };
     let world = Builder::new(seed)
@@ -64,7 +64,7 @@
     postings.run(3 * SECOND);
     for posting in 0..POSTINGS as u64 {
         let after = postings.world.rng.random_range(0..20 * SECOND);
-        postings.world.wake(after, posting);
+        postings.world.set_timer(after, posting);
     }
     for second in 4..45 {
         postings.run(second * SECOND);
@@ -127,7 +127,7 @@
 #[test]
 fn broken_without_closing_keys() {
     some_fail(200, |seed| {
-        postings_under_failure(seed, false, Broken::Void, &AtomicUsize::new(0))
+        postings_under_failure(seed, false, Broken::KeyClosing, &AtomicUsize::new(0))
     });
 }
 
--- a/tests/suite/calls/postings.rs
+++ b/tests/suite/calls/postings.rs
@@ -132,18 +132,18 @@
                     customer: CUSTOMER.into(),
                     count: 1,
                 };
-                self.world.give(node, 1, event);
+                self.world.send_event(node, 1, event);
             }
         }
         // The caller comes back by itself when it hears nothing.
         let patience = self.world.rng.random_range(500..6 * SECOND);
-        self.world.wake(patience, posting as u64);
+        self.world.set_timer(patience, posting as u64);
     }
 
     /// Sends a copy; sometimes a balancer delivers a second one elsewhere, or
     /// it stays in a socket buffer for long.
     fn send(&mut self, node: usize, posting: usize, key: String) {
-        if self.world.broken == Broken::Void && self.world.rng.random_bool(0.3) {
+        if self.world.broken == Broken::KeyClosing && self.world.rng.random_bool(0.3) {
             // The host that got the copy refuses by itself, unasked owner.
             self.begin(node, 5 * SECOND, posting, key.clone(), None);
             self.refuse(posting, &key, &Kind::Overloaded.into());
@@ -174,7 +174,7 @@
             once: key,
             body: posting as u64,
         };
-        self.world.give(node, after, event);
+        self.world.send_event(node, after, event);
     }
 
     fn stage(&mut self, stage: Stage) -> Call {
@@ -186,7 +186,7 @@
     /// Runs until a time.
     pub fn run(&mut self, until: u64) {
         while self.world.step(until) {
-            for woken in std::mem::take(&mut self.world.woken) {
+            for woken in std::mem::take(&mut self.world.fired_timers) {
                 match self.running.remove(&woken) {
                     Some(run) => self.finish(run),
                     None => self.act(woken as usize),
@@ -253,7 +253,7 @@
         self.running
             .insert(wake, (node, serial, record, posting, key, call));
         let delay = self.world.rng.random_range(1..2 * SECOND);
-        self.world.wake(delay, wake);
+        self.world.set_timer(delay, wake);
     }
 
     fn finish(&mut self, (node, me, record, posting, key, call): (usize, u64, Key, usize, String, Call)) {
@@ -265,7 +265,7 @@
             self.wakes += 1;
             let wake = u64::MAX - self.wakes;
             self.running.insert(wake, (node, me, record, posting, key, call));
-            self.world.wake(200, wake);
+            self.world.set_timer(200, wake);
             return;
         }
         let end = match self.world.rng.random_range(0..10) {
@@ -315,7 +315,7 @@
                     None => Key::Claim(radishstair_core::claim::digest(CUSTOMER, &key)),
                 };
                 let call = self.stage(Stage::Away { posting, key });
-                self.world.give(
+                self.world.send_event(
                     node,
                     0,
                     Event::Away {
--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -215,7 +215,7 @@
             let span = world.rng.random_range(SECOND..15 * SECOND);
             world.pause(at, span);
         }
-        3 => world.nodes[at].island ^= 1,
+        3 => world.nodes[at].partition ^= 1,
         4 => world.nodes[at].cut_store = !world.nodes[at].cut_store,
         5 => world.store_down = !world.store_down,
         6 => world.stale = Some(world.store.clone()),
@@ -228,7 +228,7 @@
     world.stale = None;
     for node in &mut world.nodes {
         node.cut_store = false;
-        node.island = 0;
+        node.partition = 0;
     }
 }
 
@@ -368,13 +368,13 @@
     let mut world = Builder::new(3).build(CONFIGURATION);
     world.run_until(6 * SECOND);
     world.nodes[0].cut_store = true;
-    world.nodes[0].island = 1;
+    world.nodes[0].partition = 1;
     world.run_until(20 * SECOND);
     assert!(world.status(0).expect("up").trusted, "serves within the horizon");
     world.run_until(45 * SECOND);
     assert!(!world.status(0).expect("up").trusted, "refuses past the horizon");
     world.nodes[0].cut_store = false;
-    world.nodes[0].island = 0;
+    world.nodes[0].partition = 0;
     world.run_until(60 * SECOND);
     assert!(world.status(0).expect("up").trusted, "serves again");
 }
--- a/tests/suite/duties.rs
+++ b/tests/suite/duties.rs
@@ -47,7 +47,7 @@
         slots: 4,
         leaving: false,
     });
-    world.give(at, 0, Event::Listed(runners.to_vec()));
+    world.send_event(at, 0, Event::Listed(runners.to_vec()));
 }
 
 /// Kills, freezes, cuts and outages, mostly of whoever is in charge.
@@ -75,7 +75,7 @@
         4 => world.nodes[at].cut_store = true,
         5 => world.nodes.iter_mut().for_each(|node| node.cut_store = false),
         6 => world.store_down = !world.store_down,
-        _ => world.nodes[at].island ^= 1,
+        _ => world.nodes[at].partition ^= 1,
     }
 }
 
@@ -98,7 +98,7 @@
 
 /// An upstream that ignores fencing numbers must see them rise only.
 fn fences_rise(world: &World) -> Result<(), String> {
-    for pair in world.seen.orders.windows(2) {
+    for pair in world.received.orders.windows(2) {
         if pair[1].2.fence < pair[0].2.fence {
             return Err(format!(
                 "at {} ms an order of fence {} came after fence {}",
@@ -135,14 +135,14 @@
             world.faults.freeze = 0.0;
             for node in &mut world.nodes {
                 node.cut_store = false;
-                node.island = 0;
+                node.partition = 0;
             }
         }
     }
     fences_rise(&world)?;
     let held =
         (0..world.nodes.len()).any(|at| world.status(at).is_some_and(|status| !status.duties.is_empty()));
-    match held && !world.seen.orders.is_empty() {
+    match held && !world.received.orders.is_empty() {
         true => Ok(()),
         false => Err("nobody is in charge long after everything healed".into()),
     }
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -87,7 +87,7 @@
         6 => world.store_down = !world.store_down,
         // Cut off from its peers and from the platform.
         _ => {
-            world.nodes[at].island = 1;
+            world.nodes[at].partition = 1;
             world.nodes[at].cut_store = true;
         }
     }
@@ -98,7 +98,7 @@
     world.faults.freeze = 0.0;
     for node in &mut world.nodes {
         node.cut_store = false;
-        node.island = 0;
+        node.partition = 0;
     }
 }
 
@@ -107,7 +107,7 @@
     let mut seals: BTreeMap<u64, SealedWindow> = BTreeMap::new();
     let mut windows: BTreeMap<u64, u64> = BTreeMap::new();
     let mut fence = 0;
-    for (time, sender, by, seal) in &world.seen.reports {
+    for (time, sender, by, seal) in &world.received.reports {
         if *by < fence {
             return Err(format!(
                 "at {time} ms {sender} reported under fence {by} after fence {fence}"
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -23,11 +23,11 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Milliseconds between ticks.
-const TICK: u64 = 50;
+const TICK_MS: u64 = 50;
 /// Wall clock at the start, in milliseconds.
-pub const WALL: u64 = 1_800_000_000_000;
+pub const WALL_START_MS: u64 = 1_800_000_000_000;
 /// Monotonic clocks start here, in milliseconds.
-const MONO: u64 = 30 * 24 * 3_600 * 1_000;
+const MONO_START_MS: u64 = 30 * 24 * 3_600 * 1_000;
 
 /// How the world misbehaves.
 #[derive(Clone, Debug)]
@@ -35,32 +35,32 @@
     /// Share of messages between nodes that are lost.
     pub drop: f64,
     /// Share that come twice.
-    pub double: f64,
+    pub duplicate: f64,
     /// Longest delay of a message, in milliseconds.
-    pub delay: u64,
+    pub delay_ms: u64,
     /// Share of store calls whose effect stands and whose answer is lost.
-    pub lose: f64,
+    pub lose_answer: f64,
     /// Share of store calls that are refused.
     pub refuse: f64,
     /// Wall clocks differ by up to this, in milliseconds.
-    pub skew: u64,
+    pub skew_ms: u64,
     /// Share of orders and reports before which their sender is frozen.
     pub freeze: f64,
     /// Longest time from the last check of a lease to the receiver.
-    pub transit: u64,
+    pub transit_ms: u64,
 }
 
 impl Default for Faults {
     fn default() -> Self {
         Self {
             drop: 0.05,
-            double: 0.05,
-            delay: 40,
-            lose: 0.05,
+            duplicate: 0.05,
+            delay_ms: 40,
+            lose_answer: 0.05,
             refuse: 0.02,
-            skew: 400,
+            skew_ms: 400,
             freeze: 0.0,
-            transit: 1_500,
+            transit_ms: 1_500,
         }
     }
 }
@@ -78,7 +78,7 @@
     /// The store writes whatever version is expected.
     Swap,
     /// A refusal does not close its key.
-    Void,
+    KeyClosing,
 }
 
 /// One process.
@@ -92,10 +92,10 @@
     /// Whether its zone is cut off from the store.
     pub cut_store: bool,
     /// Partition that it is in; only equal ones reach each other.
-    pub island: u32,
-    skew: u64,
-    began: u64,
-    paused: u64,
+    pub partition: u32,
+    skew_ms: u64,
+    started_at: u64,
+    paused_until: u64,
     serial: u64,
 }
 
@@ -105,8 +105,8 @@
     Event(usize, u64, Box<Event>),
     Store(usize, u64, Token, Ask),
     Job(usize, u64, Job),
-    Land(usize, u64, Job),
-    Wake(u64),
+    Arrive(usize, u64, Job),
+    Timer(u64),
 }
 
 #[derive(Clone, Debug)]
@@ -127,7 +127,7 @@
 
 /// What the receivers of orders and reports saw.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Received {
     /// Orders: time, sender, order.
     pub orders: Vec<(u64, Incarnation, Order)>,
     /// Reports: time, sender, fencing number, sealed figures.
@@ -149,7 +149,7 @@
     /// Replies to calls that tests made.
     pub replies: Vec<Replied>,
     /// What receivers saw.
-    pub seen: Seen,
+    pub received: Received,
     /// How it misbehaves.
     pub faults: Faults,
     /// What is left out.
@@ -159,13 +159,13 @@
     /// Watches that wait at the store, by node.
     pub watching: std::collections::BTreeSet<usize>,
     /// Times asked for by `wake`, that have come.
-    pub woken: Vec<u64>,
+    pub fired_timers: Vec<u64>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     tasks: BTreeMap<u64, Task>,
     serial: u64,
     version: u64,
     calls: u64,
-    internal: BTreeMap<u64, (usize, u64)>,
+    node_calls: BTreeMap<u64, (usize, u64)>,
 }
 
 /// Builds a world in a few lines.
@@ -217,18 +217,18 @@
             store_down: false,
             stale: None,
             replies: Vec::new(),
-            seen: Seen::default(),
+            received: Received::default(),
             faults: self.faults,
             broken: self.broken,
             rng: ChaCha8Rng::seed_from_u64(self.seed),
             watching: std::collections::BTreeSet::new(),
-            woken: Vec::new(),
+            fired_timers: Vec::new(),
             queue: BinaryHeap::new(),
             tasks: BTreeMap::new(),
             serial: 0,
             version: 0,
             calls: 0,
-            internal: BTreeMap::new(),
+            node_calls: BTreeMap::new(),
         };
         world.put(
             "config/snapshot",
@@ -248,16 +248,16 @@
 
 impl World {
     fn add(&mut self, zone: &str) {
-        let skew = self.rng.random_range(0..=self.faults.skew);
+        let skew = self.rng.random_range(0..=self.faults.skew_ms);
         self.nodes.push(Node {
             kernel: None,
             me: Incarnation(0),
             zone: zone.to_string(),
             cut_store: false,
-            island: 0,
-            skew,
-            began: 0,
-            paused: 0,
+            partition: 0,
+            skew_ms: skew,
+            started_at: 0,
+            paused_until: 0,
             serial: 0,
         });
     }
@@ -282,13 +282,13 @@
         self.serial += 1;
         let node = &mut self.nodes[at];
         node.me = me;
-        node.began = self.now;
-        node.paused = 0;
+        node.started_at = self.now;
+        node.paused_until = 0;
         node.serial = self.serial;
         let now = self.moment(at);
         self.nodes[at].kernel = Some(Kernel::new(now, setup));
-        let offset = self.rng.random_range(0..TICK);
-        self.plan(offset, Task::Tick(at, self.nodes[at].serial));
+        let offset = self.rng.random_range(0..TICK_MS);
+        self.schedule(offset, Task::Tick(at, self.nodes[at].serial));
     }
 
     /// Kills a node: its memory is gone.
@@ -300,19 +300,19 @@
 
     /// Freezes a node for a while; what comes meanwhile waits for it.
     pub fn pause(&mut self, at: usize, millis: u64) {
-        self.nodes[at].paused = self.now + millis;
+        self.nodes[at].paused_until = self.now + millis;
     }
 
     /// Whether a node is up and not frozen.
     pub fn running(&self, at: usize) -> bool {
-        self.nodes[at].kernel.is_some() && self.nodes[at].paused <= self.now
+        self.nodes[at].kernel.is_some() && self.nodes[at].paused_until <= self.now
     }
 
     /// A node's clocks.
     pub fn moment(&self, at: usize) -> Moment {
         Moment {
-            mono: (MONO + self.now) * 1_000,
-            wall: WALL + self.now + self.nodes[at].skew,
+            mono: (MONO_START_MS + self.now) * 1_000,
+            wall: WALL_START_MS + self.now + self.nodes[at].skew_ms,
         }
     }
 
@@ -329,15 +329,15 @@
     }
 
     /// Asks for a word at a time from now.
-    pub fn wake(&mut self, after: u64, what: u64) {
-        self.plan(after, Task::Wake(what));
+    pub fn set_timer(&mut self, after: u64, what: u64) {
+        self.schedule(after, Task::Timer(what));
     }
 
     /// Gives a node an event after a delay; it waits while the node is frozen
     /// and is lost if the node dies.
-    pub fn give(&mut self, at: usize, after: u64, event: Event) {
+    pub fn send_event(&mut self, at: usize, after: u64, event: Event) {
         let serial = self.nodes[at].serial;
-        self.plan(after, Task::Event(at, serial, Box::new(event)));
+        self.schedule(after, Task::Event(at, serial, Box::new(event)));
     }
 
     /// How things stand at a node; `None` while it does not run.
@@ -380,7 +380,7 @@
         while self.step(until) {}
     }
 
-    fn plan(&mut self, after: u64, task: Task) {
+    fn schedule(&mut self, after: u64, task: Task) {
         self.serial += 1;
         self.queue.push(Reverse((self.now + after, self.serial)));
         self.tasks.insert(self.serial, task);
@@ -388,13 +388,13 @@
 
     fn run(&mut self, task: Task) {
         let (at, serial) = match &task {
-            Task::Wake(what) => {
-                self.woken.push(*what);
+            Task::Timer(what) => {
+                self.fired_timers.push(*what);
                 return;
             }
-            Task::Land(at, serial, job) => {
+            Task::Arrive(at, serial, job) => {
                 let (at, serial, job) = (*at, *serial, job.clone());
-                self.land(at, serial, job);
+                self.arrive(at, serial, job);
                 return;
             }
             Task::Tick(at, serial) | Task::Event(at, serial, _) => (*at, *serial),
@@ -410,19 +410,19 @@
         if self.nodes[at].serial != serial || self.nodes[at].kernel.is_none() {
             return;
         }
-        if self.nodes[at].paused > self.now {
-            let left = self.nodes[at].paused - self.now;
-            self.plan(left, task);
+        if self.nodes[at].paused_until > self.now {
+            let left = self.nodes[at].paused_until - self.now;
+            self.schedule(left, task);
             return;
         }
         match task {
             Task::Tick(..) => {
                 self.handle(at, Event::Tick);
-                self.plan(TICK, Task::Tick(at, serial));
+                self.schedule(TICK_MS, Task::Tick(at, serial));
             }
             Task::Event(_, _, event) => self.handle(at, *event),
             Task::Job(_, _, job) => self.send_job(at, serial, job),
-            Task::Store(..) | Task::Land(..) | Task::Wake(_) => {}
+            Task::Store(..) | Task::Arrive(..) | Task::Timer(_) => {}
         }
     }
 
@@ -441,34 +441,34 @@
         let serial = self.nodes[at].serial;
         match action {
             Action::Store(token, call) => {
-                let delay = self.rng.random_range(0..=self.faults.delay);
-                self.plan(delay, Task::Store(at, serial, token, call));
+                let delay = self.rng.random_range(0..=self.faults.delay_ms);
+                self.schedule(delay, Task::Store(at, serial, token, call));
             }
             Action::Heartbeat(address, beat) => self.deliver(at, &address, Event::Hear(*beat)),
             Action::Pull(address, pull) => {
-                let call = self.internal(at);
+                let call = self.node_call(at);
                 self.deliver(at, &address, Event::Pull(call, pull));
             }
             Action::Collect(address, ask) => {
-                let call = self.internal(at);
+                let call = self.node_call(at);
                 self.deliver(at, &address, Event::Collect(call, ask));
             }
             Action::Reply(call, reply) => self.reply(at, call, *reply),
-            Action::Order(grant, order) => self.plan_job(at, serial, Job::Order(grant, order)),
-            Action::Report(grant, seal) => self.plan_job(at, serial, Job::Report(grant, seal)),
+            Action::Order(grant, order) => self.schedule_job(at, serial, Job::Order(grant, order)),
+            Action::Report(grant, seal) => self.schedule_job(at, serial, Job::Report(grant, seal)),
             Action::View(_) | Action::Members(_) | Action::Trusted(_) | Action::Exit => {}
         }
     }
 
     /// A call that stands for a question between nodes.
-    fn internal(&mut self, at: usize) -> Call {
+    fn node_call(&mut self, at: usize) -> Call {
         let call = self.call();
-        self.internal.insert(call.0, (at, self.nodes[at].serial));
+        self.node_calls.insert(call.0, (at, self.nodes[at].serial));
         call
     }
 
     fn reply(&mut self, at: usize, call: Call, reply: Reply) {
-        let Some((asker, serial)) = self.internal.get(&call.0).copied() else {
+        let Some((asker, serial)) = self.node_calls.get(&call.0).copied() else {
             self.replies.push(Replied {
                 node: at,
                 call,
@@ -488,7 +488,7 @@
 
     /// Whether two nodes reach each other.
     pub fn linked(&self, from: usize, to: usize) -> bool {
-        self.nodes[from].island == self.nodes[to].island
+        self.nodes[from].partition == self.nodes[to].partition
     }
 
     fn deliver(&mut self, from: usize, address: &str, event: Event) {
@@ -501,10 +501,10 @@
         if !self.linked(from, to) || self.rng.random_bool(self.faults.drop) {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random_bool(self.faults.double));
+        let copies = 1 + usize::from(self.rng.random_bool(self.faults.duplicate));
         for _ in 0..copies {
-            let delay = self.rng.random_range(0..=self.faults.delay);
-            self.give(to, delay, event.clone());
+            let delay = self.rng.random_range(0..=self.faults.delay_ms);
+            self.send_event(to, delay, event.clone());
         }
     }
 }
--- a/tests/suite/world/jobs.rs
+++ b/tests/suite/world/jobs.rs
@@ -7,51 +7,54 @@
 use super::{Broken, Job, Task, World};
 
 impl World {
-    pub(super) fn plan_job(&mut self, at: usize, serial: u64, job: Job) {
+    pub(super) fn schedule_job(&mut self, at: usize, serial: u64, job: Job) {
         if self.rng.random_bool(self.faults.freeze) {
             // Frozen between the decision and the send.
             let span = self.rng.random_range(1_000..25_000);
             self.pause(at, span);
         }
-        let delay = self.rng.random_range(0..=self.faults.delay);
-        self.plan(delay, Task::Job(at, serial, job));
+        let delay = self.rng.random_range(0..=self.faults.delay_ms);
+        self.schedule(delay, Task::Job(at, serial, job));
     }
 
     /// The shell's last look, then the way to the receiver.
     pub(super) fn send_job(&mut self, at: usize, serial: u64, job: Job) {
         let (Job::Order(grant, _) | Job::Report(grant, _)) = &job;
         if self.broken != Broken::Grant && !grant.covers(self.moment(at)) {
-            self.give(at, 0, refused(&job));
+            self.send_event(at, 0, refused(&job));
             return;
         }
-        let transit = self.rng.random_range(0..=self.faults.transit);
-        self.plan(transit, Task::Land(at, serial, job));
+        let transit = self.rng.random_range(0..=self.faults.transit_ms);
+        self.schedule(transit, Task::Arrive(at, serial, job));
     }
 
-    pub(super) fn land(&mut self, at: usize, serial: u64, job: Job) {
+    pub(super) fn arrive(&mut self, at: usize, serial: u64, job: Job) {
         let me = self.nodes[at].me;
         let reachable = !self.store_down && !self.nodes[at].cut_store;
         if !reachable || self.nodes[at].serial != serial {
             // The sender died on the way: the message still lands.
             if self.nodes[at].serial == serial {
-                self.give(at, 0, refused(&job));
+                self.send_event(at, 0, refused(&job));
                 return;
             }
         }
         match &job {
-            Job::Order(_, order) => self.seen.orders.push((self.now, me, order.clone())),
-            Job::Report(grant, seal) => self.seen.reports.push((self.now, me, grant.fence, seal.clone())),
+            Job::Order(_, order) => self.received.orders.push((self.now, me, order.clone())),
+            Job::Report(grant, seal) => self
+                .received
+                .reports
+                .push((self.now, me, grant.fence, seal.clone())),
         }
         if self.nodes[at].serial != serial {
             return;
         }
-        let lost = self.rng.random_bool(self.faults.lose);
+        let lost = self.rng.random_bool(self.faults.lose_answer);
         let event = match &job {
             _ if lost => refused(&job),
             Job::Order(..) => Event::Ordered(true),
             Job::Report(..) => Event::Reported(true),
         };
-        self.give(at, 0, event);
+        self.send_event(at, 0, event);
     }
 }
 
--- a/tests/suite/world/store.rs
+++ b/tests/suite/world/store.rs
@@ -14,7 +14,7 @@
         }
         let cut = self.store_down || self.nodes[at].cut_store;
         let refused = cut || self.rng.random_bool(self.faults.refuse);
-        let lost = self.rng.random_bool(self.faults.lose);
+        let lost = self.rng.random_bool(self.faults.lose_answer);
         let mut answer = match (refused, cut && self.rng.random_bool(0.5)) {
             (true, true) => Answer::Lost,
             (true, false) => Answer::Refused,
@@ -28,7 +28,7 @@
                 prefix: prefix.clone(),
                 after: after.clone(),
             };
-            self.plan(100, Task::Store(at, serial, token, call));
+            self.schedule(100, Task::Store(at, serial, token, call));
             return;
         }
         if lost {
@@ -37,9 +37,9 @@
         if !dead {
             let delay = match answer {
                 Answer::Lost => 2_000,
-                _ => self.rng.random_range(0..=self.faults.delay),
+                _ => self.rng.random_range(0..=self.faults.delay_ms),
             };
-            self.give(at, delay, Event::Stored(token, answer));
+            self.send_event(at, delay, Event::Stored(token, answer));
         }
     }
 
