--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -18,7 +18,7 @@
 
 use postings::Postings;
 
-use crate::schedule::{all_hold, some_fail};
+use crate::schedule::{assert_all_pass, assert_some_fail};
 use crate::world::{Broken, Builder, Faults, World};
 
 const SECOND: u64 = 1_000;
@@ -86,7 +86,7 @@
 #[test]
 fn tickets_run_at_most_once() {
     let ran = AtomicUsize::new(0);
-    all_hold(400, |seed| {
+    assert_all_pass(400, |seed| {
         postings_under_failure(seed, false, Broken::None, &ran)
     });
     println!("{ran:?} of {} postings ran", 400 * POSTINGS);
@@ -102,7 +102,7 @@
 #[test]
 fn own_keys_run_at_most_once() {
     let ran = AtomicUsize::new(0);
-    all_hold(400, |seed| postings_under_failure(seed, true, Broken::None, &ran));
+    assert_all_pass(400, |seed| postings_under_failure(seed, true, Broken::None, &ran));
     println!("{ran:?} of {} postings ran", 400 * POSTINGS);
     assert!(
         ran.into_inner() > 200 * POSTINGS,
@@ -113,10 +113,10 @@
 /// The checker must see doubled runs when every copy of a call is run.
 #[test]
 fn broken_without_claims() {
-    some_fail(40, |seed| {
+    assert_some_fail(40, |seed| {
         postings_under_failure(seed, true, Broken::Claims, &AtomicUsize::new(0))
     });
-    some_fail(40, |seed| {
+    assert_some_fail(40, |seed| {
         postings_under_failure(seed, false, Broken::Claims, &AtomicUsize::new(0))
     });
 }
@@ -126,7 +126,7 @@
 /// with a new key.
 #[test]
 fn broken_without_closing_keys() {
-    some_fail(200, |seed| {
+    assert_some_fail(200, |seed| {
         postings_under_failure(seed, false, Broken::KeyClosing, &AtomicUsize::new(0))
     });
 }
--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -12,7 +12,7 @@
 use todc_utils::linearizability::history::{Action, History};
 use todc_utils::specifications::Specification;
 
-use crate::schedule::{all_hold, some_fail};
+use crate::schedule::{assert_all_pass, assert_some_fail};
 use crate::world::{Broken, Builder, World};
 
 const SECOND: u64 = 1_000;
@@ -283,13 +283,13 @@
 /// has woken every host has the last change in force.
 #[test]
 fn configuration_never_reverts() {
-    all_hold(200, |seed| changes_under_failure(seed, Broken::None));
+    assert_all_pass(200, |seed| changes_under_failure(seed, Broken::None));
 }
 
 /// The checker must see a change that another operator's overwrote.
 #[test]
 fn broken_log_without_compare_and_swap() {
-    some_fail(40, |seed| changes_under_failure(seed, Broken::Swap));
+    assert_some_fail(40, |seed| changes_under_failure(seed, Broken::Swap));
 }
 
 /// Adds a change from outside.
@@ -329,20 +329,20 @@
 /// store gives it, by which a withdrawn key works: its peers know better.
 #[test]
 fn a_start_on_stale_reads_waits_for_peers() {
-    all_hold(200, |seed| start_on_stale_reads(seed, |status| status.trusted));
+    assert_all_pass(200, |seed| start_on_stale_reads(seed, |status| status.trusted));
 }
 
 /// The checker must see a host that serves as soon as it has a version.
 #[test]
 fn broken_start_without_waiting() {
-    some_fail(40, |seed| start_on_stale_reads(seed, |status| status.version > 0));
+    assert_some_fail(40, |seed| start_on_stale_reads(seed, |status| status.version > 0));
 }
 
 /// A zone is cut off from the store but not from its peers: a change reaches
 /// it through them within seconds.
 #[test]
 fn news_pass_through_peers() {
-    all_hold(200, |seed| {
+    assert_all_pass(200, |seed| {
         let mut world = Builder::new(seed).build(CONFIGURATION);
         world.run_until(6 * SECOND);
         for at in 0..2 {
--- a/tests/suite/duties.rs
+++ b/tests/suite/duties.rs
@@ -5,7 +5,7 @@
 use radishstair_core::runner::Listing;
 use rand::RngExt;
 
-use crate::schedule::{all_hold, some_fail};
+use crate::schedule::{assert_all_pass, assert_some_fail};
 use crate::world::{Broken, Builder, Faults, World};
 
 const SECOND: u64 = 1_000;
@@ -154,18 +154,18 @@
 /// before a send, and a successor waits out term, send and quiet time.
 #[test]
 fn orders_come_from_one_process() {
-    all_hold(300, |seed| orders_under_failure(seed, Broken::None));
+    assert_all_pass(300, |seed| orders_under_failure(seed, Broken::None));
 }
 
 /// The checker must see an order of a former holder when the last look at the
 /// lease is left out.
 #[test]
 fn broken_without_the_last_look() {
-    some_fail(300, |seed| orders_under_failure(seed, Broken::Grant));
+    assert_some_fail(300, |seed| orders_under_failure(seed, Broken::Grant));
 }
 
 /// The checker must see two holders when the store lets any write pass.
 #[test]
 fn broken_without_compare_and_swap() {
-    some_fail(60, |seed| orders_under_failure(seed, Broken::Swap));
+    assert_some_fail(60, |seed| orders_under_failure(seed, Broken::Swap));
 }
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -16,7 +16,7 @@
 use radishstair_load::play::play;
 use radishstair_load::scenario::{Scenario, load};
 
-use crate::schedule::{all_hold, some_fail};
+use crate::schedule::{assert_all_pass, assert_some_fail};
 
 /// Seeds of each scenario.
 const SEEDS: u64 = 12;
@@ -66,7 +66,7 @@
 /// lookups are in time for 999 in 1,000 and never refused.
 #[test]
 fn protected_work_is_not_shed() {
-    all_hold(SEEDS * 7, in_all_scenarios(Policy::Full, protected_is_served));
+    assert_all_pass(SEEDS * 7, in_all_scenarios(Policy::Full, protected_is_served));
 }
 
 /// The same with postings on the runners that matching fills: protection has
@@ -99,14 +99,14 @@
             }
         }
     };
-    all_hold(20, shared(Policy::Full));
-    some_fail(20, shared(Policy::Fifo));
+    assert_all_pass(20, shared(Policy::Full));
+    assert_some_fail(20, shared(Policy::Fifo));
 }
 
 /// In every minute of every scenario each class has work done.
 #[test]
 fn no_class_starves() {
-    all_hold(
+    assert_all_pass(
         SEEDS * 7,
         in_all_scenarios(Policy::Full, |_, _, measure| {
             let starved = measure
--- a/tests/suite/schedule.rs
+++ b/tests/suite/schedule.rs
@@ -2,7 +2,7 @@
 
 /// Runs a check over many seeds at once, on all cores; gives back how many
 /// seeds failed, with the first failure's text.
-pub fn seeds(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) -> (usize, Option<String>) {
+pub fn run_seeds(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) -> (usize, Option<String>) {
     let threads = std::thread::available_parallelism().map_or(4, |count| count.get()) as u64;
     let mut failures: Vec<(u64, String)> = std::thread::scope(|scope| {
         let check = &check;
@@ -29,8 +29,8 @@
 }
 
 /// Fails a test when any seed failed.
-pub fn all_hold(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) {
-    let (failed, first) = seeds(count, check);
+pub fn assert_all_pass(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) {
+    let (failed, first) = run_seeds(count, check);
     assert!(
         failed == 0,
         "{failed} of {count} schedules failed; first: {}",
@@ -39,8 +39,8 @@
 }
 
 /// Fails a test when no seed failed: the checker could not see the fault.
-pub fn some_fail(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) {
-    let (failed, first) = seeds(count, check);
+pub fn assert_some_fail(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) {
+    let (failed, first) = run_seeds(count, check);
     println!("the broken variant failed in {failed} of {count} schedules; first: {first:?}");
     assert!(
         failed > 0,
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -9,7 +9,7 @@
 use radishstair_core::usage::report::SealedWindow;
 use rand::RngExt;
 
-use crate::schedule::{all_hold, some_fail};
+use crate::schedule::{assert_all_pass, assert_some_fail};
 use crate::world::{Broken, Builder, Faults, World};
 
 const SECOND: u64 = 1_000;
@@ -194,7 +194,7 @@
 #[test]
 fn windows_are_reported_once_and_exactly() {
     let lost = Mutex::default();
-    all_hold(200, |seed| {
+    assert_all_pass(200, |seed| {
         usage_under_failure(seed, Harm::NoKills, Broken::None, &lost)
     });
 }
@@ -205,7 +205,7 @@
 #[test]
 fn crashes_repeat_nothing() {
     let lost = Mutex::default();
-    all_hold(200, |seed| {
+    assert_all_pass(200, |seed| {
         usage_under_failure(seed, Harm::All, Broken::None, &lost)
     });
     tell("with cuts and outages", lost);
@@ -216,7 +216,7 @@
 #[test]
 fn a_crash_loses_seconds() {
     let lost = Mutex::default();
-    all_hold(200, |seed| {
+    assert_all_pass(200, |seed| {
         usage_under_failure(seed, Harm::KillsOnly, Broken::None, &lost)
     });
     tell("with kills alone", lost);
@@ -234,7 +234,7 @@
 #[test]
 fn broken_reports_without_the_last_look() {
     let lost = Mutex::default();
-    some_fail(300, |seed| {
+    assert_some_fail(300, |seed| {
         usage_under_failure(seed, Harm::All, Broken::Grant, &lost)
     });
 }
@@ -243,7 +243,7 @@
 #[test]
 fn broken_reports_without_compare_and_swap() {
     let lost = Mutex::default();
-    some_fail(60, |seed| {
+    assert_some_fail(60, |seed| {
         usage_under_failure(seed, Harm::All, Broken::Swap, &lost)
     });
 }
