--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -129,11 +129,11 @@
   "keys": [{ "name": "k", "customer": "c", "hash": "0000000000000000000000000000000000000000000000000000000000000001" }]
 }"#;
 
-fn dispatch(document: &str, runners: &[(&str, &str, u32)]) -> Dispatcher {
-    dispatch_by(Policy::Full, document, runners)
+fn dispatcher(document: &str, runners: &[(&str, &str, u32)]) -> Dispatcher {
+    dispatcher_with(Policy::Full, document, runners)
 }
 
-fn dispatch_by(policy: Policy, document: &str, runners: &[(&str, &str, u32)]) -> Dispatcher {
+fn dispatcher_with(policy: Policy, document: &str, runners: &[(&str, &str, u32)]) -> Dispatcher {
     let mut dispatch = Dispatcher::new("a", 7, policy);
     dispatch.set_view(view(1, document));
     let listed = |(pool, zone, slots): &(&str, &str, u32)| Listing {
@@ -157,7 +157,7 @@
     ))
 }
 
-fn seek(call: u64, tier: &str, pool: &str) -> Submission {
+fn submission(call: u64, tier: &str, pool: &str) -> Submission {
     Submission {
         call: Call(call),
         tier: tier.into(),
@@ -184,13 +184,13 @@
 /// the last tier for another pool starts at once.
 #[test]
 fn lanes_do_not_block_each_other() {
-    let mut dispatch = dispatch(DOCUMENT, &[("full", "a", 1), ("free", "a", 4)]);
+    let mut dispatch = dispatcher(DOCUMENT, &[("full", "a", 1), ("free", "a", 4)]);
     let now = Moment::at_ms(1_000);
     for call in 0..1_000 {
-        dispatch.submit(now, seek(call, "best", "full"));
+        dispatch.submit(now, submission(call, "best", "full"));
     }
     assert_eq!(
-        started(&dispatch.submit(now, seek(5_000, "rest", "free"))),
+        started(&dispatch.submit(now, submission(5_000, "rest", "free"))),
         [5_000]
     );
 }
@@ -199,14 +199,17 @@
 /// once as withdrawn, and does not start when a runner is free.
 #[test]
 fn withdrawn_in_the_queue() {
-    let mut dispatch = dispatch(DOCUMENT, &[("p", "a", 1)]);
+    let mut dispatch = dispatcher(DOCUMENT, &[("p", "a", 1)]);
     let now = Moment::at_ms(1_000);
-    let first = seek(1, "best", "p");
+    let first = submission(1, "best", "p");
     let runner = match &dispatch.submit(now, first.clone())[..] {
         [Decision::Start(start)] => start.runner,
         other => panic!("{other:?}"),
     };
-    assert!(dispatch.submit(now, seek(2, "best", "p")).is_empty(), "it waits");
+    assert!(
+        dispatch.submit(now, submission(2, "best", "p")).is_empty(),
+        "it waits"
+    );
     let withdrawn = DOCUMENT.replace(
         "\"customer\": \"c\",",
         "\"customer\": \"c\", \"withdrawn\": true,",
@@ -228,12 +231,15 @@
 /// there again, and peers that hear the news never go there at all.
 #[test]
 fn a_reclaimed_zone_is_left_at_once() {
-    let mut dispatch = dispatch(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
+    let mut dispatch = dispatcher(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
     let now = Moment::at_ms(1_000);
     dispatch.runners.mark_leaving(now, "p-a");
     dispatch.set_hosts(1, 2, 0);
     for call in 0..3 {
-        let decisions = dispatch.submit(now + Duration::from_millis(call * 10), seek(call, "best", "p"));
+        let decisions = dispatch.submit(
+            now + Duration::from_millis(call * 10),
+            submission(call, "best", "p"),
+        );
         for decision in decisions {
             match decision {
                 Decision::Start(start) => assert_eq!(start.name, "p-b"),
@@ -241,11 +247,11 @@
             }
         }
     }
-    let mut peer = self::dispatch(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
+    let mut peer = self::dispatcher(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
     for name in dispatch.runners.leaving_names(now) {
         peer.runners.mark_leaving(now, &name);
     }
-    let decisions = peer.submit(now, seek(9, "best", "p"));
+    let decisions = peer.submit(now, submission(9, "best", "p"));
     assert!(
         matches!(&decisions[..], [Decision::Start(start)] if start.name == "p-b"),
         "{decisions:?}"
@@ -257,15 +263,15 @@
 #[test]
 fn hosts_share_a_runner_by_what_they_hear() {
     let now = Moment::at_ms(1_000);
-    let mut one = dispatch(DOCUMENT, &[("p", "a", 8)]);
-    let mut two = dispatch(DOCUMENT, &[("p", "a", 8)]);
+    let mut one = dispatcher(DOCUMENT, &[("p", "a", 8)]);
+    let mut two = dispatcher(DOCUMENT, &[("p", "a", 8)]);
     let begun = (0..20)
-        .flat_map(|call| started(&one.submit(now, seek(call, "best", "p"))))
+        .flat_map(|call| started(&one.submit(now, submission(call, "best", "p"))))
         .count();
     two.runners
         .set_peer_shares(now, Incarnation(1), &one.runners.shares());
     let more = (0..20)
-        .flat_map(|call| started(&two.submit(now, seek(call, "best", "p"))))
+        .flat_map(|call| started(&two.submit(now, submission(call, "best", "p"))))
         .count();
     assert_eq!((begun, more), (8, 0));
 }
@@ -275,8 +281,8 @@
 #[test]
 fn broken_without_first_hand_news() {
     let now = Moment::at_ms(1_000);
-    let mut peer = dispatch(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
-    let decisions = peer.submit(now, seek(9, "best", "p"));
+    let mut peer = dispatcher(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
+    let decisions = peer.submit(now, submission(9, "best", "p"));
     assert!(
         matches!(&decisions[..], [Decision::Start(start)] if start.name == "p-a"),
         "without news the runner that leaves is chosen: {decisions:?}"
@@ -334,19 +340,23 @@
 #[test]
 fn a_host_leaves_room_to_a_zone_mate_that_waits() {
     let fewest = |policy| {
-        let starts = starts_of_two(policy);
+        let starts = starts_of_two_hosts(policy);
         *starts.iter().min().expect("there are two")
     };
-    assert!(fewest(Policy::Full) >= 12, "{:?}", starts_of_two(Policy::Full));
+    assert!(
+        fewest(Policy::Full) >= 12,
+        "{:?}",
+        starts_of_two_hosts(Policy::Full)
+    );
     assert!(fewest(Policy::Promising) <= 2, "the former policy starves one");
 }
 
 /// Starts of each of two hosts in ten seconds, of the 40 that fit; calls take half a second, and the
 /// hosts hear of each other once a second.
-fn starts_of_two(policy: Policy) -> [usize; 2] {
+fn starts_of_two_hosts(policy: Policy) -> [usize; 2] {
     let document = DOCUMENT.replace("\"target\": \"30s\"", "\"target\": \"50s\"");
     let mut hosts = [(); 2].map(|()| {
-        let mut host = dispatch_by(policy, &document, &[("p", "a", 2)]);
+        let mut host = dispatcher_with(policy, &document, &[("p", "a", 2)]);
         host.set_hosts(2, 2, 0);
         host
     });
@@ -368,7 +378,7 @@
         if ms == 0 || ms == 1_000 {
             let at = usize::from(ms == 1_000);
             for call in ms..ms + 60 {
-                decisions.push((at, hosts[at].submit(now, seek(call, "rest", "p"))));
+                decisions.push((at, hosts[at].submit(now, submission(call, "rest", "p"))));
             }
         }
         let (ended, rest) = running.into_iter().partition(|(until, ..)| *until <= ms);
@@ -387,7 +397,7 @@
             for decision in decisions {
                 if let Decision::Start(start) = decision {
                     starts[at] += 1;
-                    running.push((ms + 500, at, seek(start.call.0, "rest", "p"), start.runner));
+                    running.push((ms + 500, at, submission(start.call.0, "rest", "p"), start.runner));
                 }
             }
         }
@@ -400,7 +410,7 @@
 /// may, the new one is refused at once, with a time to come back that is kept.
 #[test]
 fn a_host_that_starts_nothing_lets_nobody_wait() {
-    let mut dispatch = dispatch(DOCUMENT, &[("p", "a", 2)]);
+    let mut dispatch = dispatcher(DOCUMENT, &[("p", "a", 2)]);
     let mates = radishstair_core::peer::Shares {
         runners: vec![radishstair_core::id::digest(b"p-a") as u32],
         running: vec![2],
@@ -409,16 +419,16 @@
     let at = |ms: u64| Moment::at_ms(1_000 + ms);
     dispatch.runners.set_peer_shares(at(0), Incarnation(9), &mates);
     assert!(
-        dispatch.submit(at(0), seek(1, "best", "p")).is_empty(),
+        dispatch.submit(at(0), submission(1, "best", "p")).is_empty(),
         "it waits"
     );
     assert!(
-        dispatch.submit(at(300), seek(2, "best", "p")).is_empty(),
+        dispatch.submit(at(300), submission(2, "best", "p")).is_empty(),
         "too early to tell"
     );
     // All that waits is late by then, and would let new calls go first.
     dispatch.tick(at(1_400));
-    let refused = dispatch.submit(at(1_500), seek(3, "best", "p"));
+    let refused = dispatch.submit(at(1_500), submission(3, "best", "p"));
     let [Decision::Refuse(call, refusal)] = &refused[..] else {
         panic!("{refused:?}");
     };
@@ -426,7 +436,7 @@
     assert!(refusal.reserved);
     let after = refusal.retry_after.expect("a time to come back");
     assert!(after <= Duration::from_secs(5), "{after:?}");
-    let mut back = seek(4, "best", "p");
+    let mut back = submission(4, "best", "p");
     back.reserved = true;
     let now = at(1_500) + after;
     assert!(dispatch.submit(now, back).is_empty(), "it is taken in");
@@ -441,7 +451,7 @@
 /// and the rest of the burst was refused beside an engine that served it in time.
 #[test]
 fn idle_time_does_not_slow_the_foretold_pace() {
-    let mut dispatch = dispatch(DOCUMENT, &[("p", "a", 2)]);
+    let mut dispatch = dispatcher(DOCUMENT, &[("p", "a", 2)]);
     let at = |ms: u64| Moment::at_ms(1_000 + ms);
     for ms in (0..10_000).step_by(100) {
         dispatch.tick(at(ms));
@@ -453,7 +463,7 @@
         // Calls take 100 ms on each of two slots; one comes every 50 ms, and four more
         // at the beginning.
         for more in 0..if step == 0 { 5 } else { 1 } {
-            let decisions = dispatch.submit(now, seek(step * 10 + more, "best", "p"));
+            let decisions = dispatch.submit(now, submission(step * 10 + more, "best", "p"));
             let refuses = |decision: &&Decision| matches!(decision, Decision::Refuse(..));
             refused += decisions.iter().filter(refuses).count();
             running.extend(started_at(&decisions, now));
@@ -467,7 +477,7 @@
                 tokens: 10,
                 ms_per_token: 10.0,
             };
-            let decisions = dispatch.finish(now, &seek(call, "best", "p"), runner, &whole);
+            let decisions = dispatch.finish(now, &submission(call, "best", "p"), runner, &whole);
             running.extend(started_at(&decisions, now));
         }
     }
