--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -21,13 +21,13 @@
 /// What operators did to the log, as they saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum LogOp {
-    Offer,
+    Proposed,
     /// Version and change id, accepted.
     Added(u64, u64),
     /// Version that somebody else's change id took.
-    Beaten(u64, u64),
+    Conflicted(u64, u64),
     /// No word: it may have been added, or not.
-    Unheard(u64, u64),
+    Unanswered(u64, u64),
 }
 
 /// The log of change ids, from version 2 on.
@@ -45,12 +45,12 @@
         let next = log.len() as u64 + 2;
         let at = |version: u64| log.get(version as usize - 2).copied();
         match op {
-            LogOp::Offer => (false, log.clone()),
+            LogOp::Proposed => (false, log.clone()),
             LogOp::Added(version, id) if *version == next => (true, [log.as_slice(), &[*id]].concat()),
             LogOp::Added(..) => (false, log.clone()),
-            LogOp::Beaten(version, id) => (at(*version) == Some(*id), log.clone()),
-            LogOp::Unheard(version, id) if *version == next => (true, [log.as_slice(), &[*id]].concat()),
-            LogOp::Unheard(..) => (true, log.clone()),
+            LogOp::Conflicted(version, id) => (at(*version) == Some(*id), log.clone()),
+            LogOp::Unanswered(version, id) if *version == next => (true, [log.as_slice(), &[*id]].concat()),
+            LogOp::Unanswered(..) => (true, log.clone()),
         }
     }
 }
@@ -60,17 +60,17 @@
     entry: Entry,
     id: u64,
     process: usize,
-    lands: u64,
-    answers: u64,
+    applied_at: u64,
+    answered_at: u64,
     result: Option<Answer>,
 }
 
 #[derive(Default)]
 struct Operators {
-    offers: Vec<Offer>,
+    proposals: Vec<Offer>,
     history: Vec<(usize, Action<LogOp>)>,
-    unheard: Vec<(usize, LogOp)>,
-    ids: u64,
+    unanswered: Vec<(usize, LogOp)>,
+    last_id: u64,
 }
 
 fn entry(version: u64, id: u64) -> Entry {
@@ -91,30 +91,30 @@
 impl Operators {
     /// An operator reads the newest version and offers the next one; by the
     /// time it lands another operator may have been faster.
-    fn offer(&mut self, world: &mut World) {
+    fn propose(&mut self, world: &mut World) {
         let log = world
             .store
             .keys()
             .filter(|key| key.starts_with(change::LOG_PREFIX))
             .count() as u64;
-        self.ids += 1;
-        let process = self.ids as usize - 1;
+        self.last_id += 1;
+        let process = self.last_id as usize - 1;
         let lands = world.now + world.rng.random_range(0..400);
         let answers = lands + world.rng.random_range(0..300);
-        self.history.push((process, Action::Call(LogOp::Offer)));
-        self.offers.push(Offer {
-            entry: entry(log + 2, self.ids),
-            id: self.ids,
+        self.history.push((process, Action::Call(LogOp::Proposed)));
+        self.proposals.push(Offer {
+            entry: entry(log + 2, self.last_id),
+            id: self.last_id,
             process,
-            lands,
-            answers,
+            applied_at: lands,
+            answered_at: answers,
             result: None,
         });
     }
 
     fn step(&mut self, world: &mut World) {
-        for offer in &mut self.offers {
-            if offer.result.is_none() && world.now >= offer.lands {
+        for offer in &mut self.proposals {
+            if offer.result.is_none() && world.now >= offer.applied_at {
                 let call = Call::Swap {
                     key: change::log_key(offer.entry.version),
                     expect: 0,
@@ -130,16 +130,16 @@
             }
         }
         let now = world.now;
-        let (ready, rest) = std::mem::take(&mut self.offers)
+        let (ready, rest) = std::mem::take(&mut self.proposals)
             .into_iter()
-            .partition(|offer| offer.result.is_some() && now >= offer.answers);
-        self.offers = rest;
+            .partition(|offer| offer.result.is_some() && now >= offer.answered_at);
+        self.proposals = rest;
         for offer in ready {
-            self.answered(world, offer);
+            self.on_answer(world, offer);
         }
     }
 
-    fn answered(&mut self, world: &mut World, offer: Offer) {
+    fn on_answer(&mut self, world: &mut World, offer: Offer) {
         let version = offer.entry.version;
         let key = change::log_key(version);
         let stands = || -> Option<u64> {
@@ -151,27 +151,27 @@
             // Settled by reading the entry back, as the command does.
             Some(Answer::Lost | Answer::Conflict(_)) if !world.store_down => match stands() {
                 Some(id) if id == offer.id => LogOp::Added(version, id),
-                Some(id) => LogOp::Beaten(version, id),
-                None => LogOp::Unheard(version, offer.id),
+                Some(id) => LogOp::Conflicted(version, id),
+                None => LogOp::Unanswered(version, offer.id),
             },
-            Some(Answer::Refused) | Some(Answer::Found(_)) | None => return self.forget(offer.process),
-            Some(_) => LogOp::Unheard(version, offer.id),
+            Some(Answer::Refused) | Some(Answer::Found(_)) | None => return self.discard(offer.process),
+            Some(_) => LogOp::Unanswered(version, offer.id),
         };
         match op {
-            LogOp::Unheard(..) => self.unheard.push((offer.process, op)),
+            LogOp::Unanswered(..) => self.unanswered.push((offer.process, op)),
             _ => self.history.push((offer.process, Action::Response(op))),
         }
     }
 
     /// Drops an offer that never reached the store.
-    fn forget(&mut self, process: usize) {
+    fn discard(&mut self, process: usize) {
         self.history.retain(|(have, _)| *have != process);
     }
 
-    fn linearizable(&self) -> bool {
+    fn is_linearizable(&self) -> bool {
         let mut actions = self.history.clone();
         let open = self
-            .unheard
+            .unanswered
             .iter()
             .map(|(process, op)| (*process, Action::Response(*op)));
         actions.extend(open);
@@ -186,7 +186,7 @@
 }
 
 impl InForce {
-    fn look(&mut self, world: &mut World) -> Result<(), String> {
+    fn check_versions(&mut self, world: &mut World) -> Result<(), String> {
         for at in 0..world.nodes.len() {
             let Some(status) = world.status(at) else {
                 continue;
@@ -204,7 +204,7 @@
     }
 }
 
-fn misfortune(world: &mut World) {
+fn inject_fault(world: &mut World) {
     let at = world.rng.random_range(0..world.nodes.len());
     match world.rng.random_range(0..8) {
         0 | 1 => {
@@ -248,14 +248,14 @@
     for step in 0..600 {
         world.run_until(step * 100);
         operators.step(&mut world);
-        in_force.look(&mut world)?;
+        in_force.check_versions(&mut world)?;
         if step % 11 == 0 && step < 300 && world.rng.random_bool(0.5) {
             // Two operators at once, as a race is what is tried.
-            operators.offer(&mut world);
-            operators.offer(&mut world);
+            operators.propose(&mut world);
+            operators.propose(&mut world);
         }
         if step % 20 == 0 && step < 450 && world.rng.random_bool(0.5) {
-            misfortune(&mut world);
+            inject_fault(&mut world);
         }
         if step == 450 {
             heal(&mut world);
@@ -271,7 +271,7 @@
         }
     }
     operators.step(&mut world);
-    match operators.linearizable() {
+    match operators.is_linearizable() {
         true => Ok(()),
         false => Err("the change log is not linearizable".into()),
     }
@@ -293,7 +293,7 @@
 }
 
 /// Adds a change from outside.
-fn accept(world: &mut World) -> u64 {
+fn append_change(world: &mut World) -> u64 {
     let version = newest(world) + 1;
     let text = serde_json::to_string(&entry(version, version)).expect("an entry is JSON");
     world.put(&change::log_key(version), &text);
@@ -306,7 +306,7 @@
     let mut world = Builder::new(seed).build(CONFIGURATION);
     world.run_until(5 * SECOND);
     let old = world.store.clone();
-    let newest = accept(&mut world);
+    let newest = append_change(&mut world);
     world.run_until(12 * SECOND);
     world.stale = Some(old);
     world.kill(0);
@@ -348,7 +348,7 @@
         for at in 0..2 {
             world.nodes[at].cut_store = true;
         }
-        let version = accept(&mut world);
+        let version = append_change(&mut world);
         world.run_until(14 * SECOND);
         for at in 0..2 {
             let status = world.status(at).ok_or("up")?;
@@ -386,10 +386,10 @@
 fn only_a_few_hosts_a_zone_watch() {
     let mut world = Builder::new(5).zones(&[("a", 9), ("b", 9)]).build(CONFIGURATION);
     world.run_until(15 * SECOND);
-    accept(&mut world);
+    append_change(&mut world);
     world.run_until(20 * SECOND);
     world.watching.clear();
-    accept(&mut world);
+    append_change(&mut world);
     world.run_until(40 * SECOND);
     assert!(
         world.watching.len() <= 4,
