--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -20,7 +20,7 @@
 
 /// What befalls the hosts.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Harm {
+enum FaultKind {
     /// Kills, freezes, cuts and outages.
     All,
     /// The same without kills: nothing may be lost.
@@ -33,7 +33,7 @@
 #[derive(Default)]
 struct Truth {
     counted: BTreeMap<Incarnation, Vec<u64>>,
-    died: BTreeMap<Incarnation, u64>,
+    killed: BTreeMap<Incarnation, u64>,
 }
 
 fn count(world: &mut World, truth: &mut Truth) {
@@ -57,7 +57,7 @@
     }
 }
 
-fn misfortune(world: &mut World, truth: &mut Truth, harm: Harm) {
+fn inject_fault(world: &mut World, truth: &mut Truth, harm: FaultKind) {
     let holder = (0..world.nodes.len()).find(|at| {
         let duties = world.status(*at).map_or(Vec::new(), |status| status.duties);
         duties.iter().any(|(duty, _)| duty == "usage")
@@ -69,12 +69,12 @@
         any
     };
     let kind = match harm {
-        Harm::KillsOnly => 0,
-        Harm::All | Harm::NoKills => world.rng.random_range(0..8),
+        FaultKind::KillsOnly => 0,
+        FaultKind::All | FaultKind::NoKills => world.rng.random_range(0..8),
     };
     match kind {
-        0 | 1 if harm != Harm::NoKills => {
-            truth.died.insert(world.nodes[at].me, world.now);
+        0 | 1 if harm != FaultKind::NoKills => {
+            truth.killed.insert(world.nodes[at].me, world.now);
             world.kill(at);
             world.start(at);
         }
@@ -103,7 +103,7 @@
 }
 
 /// Each seal's figures, provided that nobody reported others.
-fn sealed(world: &World) -> Result<BTreeMap<u64, SealedWindow>, String> {
+fn reported_windows(world: &World) -> Result<BTreeMap<u64, SealedWindow>, String> {
     let mut seals: BTreeMap<u64, SealedWindow> = BTreeMap::new();
     let mut windows: BTreeMap<u64, u64> = BTreeMap::new();
     let mut fence = 0;
@@ -128,13 +128,13 @@
 
 fn usage_under_failure(
     seed: u64,
-    harm: Harm,
+    harm: FaultKind,
     broken: Broken,
     lost: &Mutex<Vec<(u64, u64)>>,
 ) -> Result<(), String> {
     let zones = [("a", 3), ("b", 2)];
     let faults = Faults {
-        freeze: if harm == Harm::KillsOnly { 0.0 } else { 0.05 },
+        freeze: if harm == FaultKind::KillsOnly { 0.0 } else { 0.05 },
         ..Faults::default()
     };
     let mut world = Builder::new(seed)
@@ -151,18 +151,18 @@
         let due = match harm {
             // One at a time: a zone of two hosts has one copy of each count,
             // which the next reporter fetches within half a minute.
-            Harm::KillsOnly => step % 300 == 100,
-            Harm::All | Harm::NoKills => step % 20 == 0 && world.rng.random_bool(0.5),
+            FaultKind::KillsOnly => step % 300 == 100,
+            FaultKind::All | FaultKind::NoKills => step % 20 == 0 && world.rng.random_bool(0.5),
         };
         if due && step < 600 {
-            misfortune(&mut world, &mut truth, harm);
+            inject_fault(&mut world, &mut truth, harm);
         }
         if step == 650 {
             heal(&mut world);
         }
     }
     world.run_until(150 * SECOND);
-    let seals = sealed(&world)?;
+    let seals = reported_windows(&world)?;
     let reported: u64 = seals
         .values()
         .flat_map(|seal| &seal.lines)
@@ -172,18 +172,18 @@
     if reported > counted {
         return Err(format!("{reported} reported of {counted} counted"));
     }
-    if harm == Harm::NoKills && reported != counted {
+    if harm == FaultKind::NoKills && reported != counted {
         return Err(format!(
             "{reported} reported of {counted} counted, and nobody died"
         ));
     }
-    let died = truth.died.len() as u64;
+    let died = truth.killed.len() as u64;
     let missing = counted - reported;
     lost.lock().expect("not poisoned").push((died, missing));
     match harm {
         // Five calls a second at a host at most: the open chunk of two
         // seconds, and up to three heartbeats that were lost in a row.
-        Harm::KillsOnly if missing > died * 25 => Err(format!("{missing} lost with {died} crashes")),
+        FaultKind::KillsOnly if missing > died * 25 => Err(format!("{missing} lost with {died} crashes")),
         _ => Ok(()),
     }
 }
@@ -195,7 +195,7 @@
 fn windows_are_reported_once_and_exactly() {
     let lost = Mutex::default();
     assert_all_pass(200, |seed| {
-        usage_under_failure(seed, Harm::NoKills, Broken::None, &lost)
+        usage_under_failure(seed, FaultKind::NoKills, Broken::None, &lost)
     });
 }
 
@@ -206,9 +206,9 @@
 fn crashes_repeat_nothing() {
     let lost = Mutex::default();
     assert_all_pass(200, |seed| {
-        usage_under_failure(seed, Harm::All, Broken::None, &lost)
+        usage_under_failure(seed, FaultKind::All, Broken::None, &lost)
     });
-    tell("with cuts and outages", lost);
+    print_losses("with cuts and outages", lost);
 }
 
 /// A host dies with counts in memory while its peers can be reached: what is
@@ -217,12 +217,12 @@
 fn a_crash_loses_seconds() {
     let lost = Mutex::default();
     assert_all_pass(200, |seed| {
-        usage_under_failure(seed, Harm::KillsOnly, Broken::None, &lost)
+        usage_under_failure(seed, FaultKind::KillsOnly, Broken::None, &lost)
     });
-    tell("with kills alone", lost);
+    print_losses("with kills alone", lost);
 }
 
-fn tell(what: &str, lost: Mutex<Vec<(u64, u64)>>) {
+fn print_losses(what: &str, lost: Mutex<Vec<(u64, u64)>>) {
     let lost = lost.into_inner().expect("not poisoned");
     let died: u64 = lost.iter().map(|(died, _)| died).sum();
     let missing: u64 = lost.iter().map(|(_, missing)| missing).sum();
@@ -235,7 +235,7 @@
 fn broken_reports_without_the_last_look() {
     let lost = Mutex::default();
     assert_some_fail(300, |seed| {
-        usage_under_failure(seed, Harm::All, Broken::Grant, &lost)
+        usage_under_failure(seed, FaultKind::All, Broken::Grant, &lost)
     });
 }
 
@@ -244,6 +244,6 @@
 fn broken_reports_without_compare_and_swap() {
     let lost = Mutex::default();
     assert_some_fail(60, |seed| {
-        usage_under_failure(seed, Harm::All, Broken::Swap, &lost)
+        usage_under_failure(seed, FaultKind::All, Broken::Swap, &lost)
     });
 }
