--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -1,4 +1,4 @@
-//! Protection, floors, lanes, leaving runners and promises.
+//! Dispatch policies: protection, floors, queues, leaving runners and reserved retry times.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -18,23 +18,23 @@
 
 use crate::schedule::{assert_all_pass, assert_some_fail};
 
-/// Seeds of each scenario.
+/// Seeds per scenario.
 const SEEDS: u64 = 12;
 
 fn scenarios() -> Vec<(Scenario, Document)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/scenarios");
     let mut files: Vec<PathBuf> = std::fs::read_dir(folder)
-        .expect("the scenarios are there")
+        .expect("the folder of scenarios exists")
         .filter_map(|entry| Some(entry.ok()?.path()))
         .collect();
     files.sort();
     files
         .iter()
-        .map(|file| load(file).expect("a right scenario"))
+        .map(|file| load(file).expect("a valid scenario"))
         .collect()
 }
 
-/// Plays all scenarios that are not held back, one a seed in turn.
+/// A check that plays the scenarios that are not held back in turn, one per seed.
 fn in_all_scenarios(
     policy: Policy,
     check: impl Fn(&Scenario, &Document, &Measure) -> Result<(), String> + Sync,
@@ -61,16 +61,16 @@
     Ok(())
 }
 
-/// Matching and screening come at five times their rate, customers flood,
-/// runners slow down and a zone's cheap ones vanish. Postings, offers and
-/// lookups are in time for 999 in 1,000 and never refused.
+/// Matching and screening arrive at five times their rate, customers flood, runners slow down and a
+/// zone's reclaimable runners vanish. The protected classes (postings, offers and lookups) are
+/// still in time for 999 of 1,000 calls and never refused.
 #[test]
 fn protected_work_is_not_shed() {
     assert_all_pass(SEEDS * 7, in_all_scenarios(Policy::Full, protected_is_served));
 }
 
-/// The same with postings on the runners that matching fills: protection has
-/// to come from the order and the reserve, not from separate pools.
+/// The same with postings on the runners that matching fills, so that the protection comes from
+/// the queue order and the reserve and not from separate pools.
 #[test]
 fn protected_work_on_shared_runners() {
     let shared = |policy| {
@@ -78,7 +78,10 @@
             let reliable = |(scenario, _): &(Scenario, Document)| {
                 scenario.name == "conciliar calm day, all runners reliable"
             };
-            let (mut scenario, document) = scenarios().into_iter().find(reliable).expect("it is there");
+            let (mut scenario, document) = scenarios()
+                .into_iter()
+                .find(reliable)
+                .expect("the scenario exists");
             scenario.fleet.retain(|fleet| fleet.pool != "ledger");
             scenario.length = Duration::from_secs(60);
             let mut text = serde_json::to_value(&document).expect("JSON");
@@ -91,7 +94,7 @@
                 traffic.rate = if batch { 60.0 } else { traffic.rate / 5.0 };
             }
             scenario.fleet.retain(|fleet| fleet.pool == "engines");
-            let document = check::parse(&text.to_string()).expect("a right document");
+            let document = check::parse(&text.to_string()).expect("a valid document");
             let measure = play(&scenario, &document, policy, seed);
             match measure.classes.get("ledger-posting") {
                 Some(tally) if tally.refused == 0 && tally.attainment() > 0.9 => Ok(()),
@@ -103,18 +106,18 @@
     assert_some_fail(20, shared(Policy::Fifo));
 }
 
-/// In every minute of every scenario each class has work done.
+/// In every minute of every scenario, some calls of each class complete.
 #[test]
 fn no_class_starves() {
     assert_all_pass(
         SEEDS * 7,
         in_all_scenarios(Policy::Full, |_, _, measure| {
-            let starved = measure
+            let idle_class = measure
                 .classes
                 .keys()
                 .find(|class| measure.poorest_minute(class) == 0);
-            starved.map_or(Ok(()), |class| {
-                Err(format!("{class} had a minute with nothing done"))
+            idle_class.map_or(Ok(()), |class| {
+                Err(format!("{class} had a minute without completed calls"))
             })
         }),
     );
@@ -134,9 +137,9 @@
 }
 
 fn dispatcher_with(policy: Policy, document: &str, runners: &[(&str, &str, u32)]) -> Dispatcher {
-    let mut dispatch = Dispatcher::new("a", 7, policy);
-    dispatch.set_view(view(1, document));
-    let listed = |(pool, zone, slots): &(&str, &str, u32)| Listing {
+    let mut dispatcher = Dispatcher::new("a", 7, policy);
+    dispatcher.set_view(view(1, document));
+    let listing = |(pool, zone, slots): &(&str, &str, u32)| Listing {
         name: format!("{pool}-{zone}"),
         pool: pool.to_string(),
         zone: zone.to_string(),
@@ -144,16 +147,16 @@
         slots: *slots,
         leaving: false,
     };
-    dispatch
+    dispatcher
         .runners
-        .set_listings(runners.iter().map(listed).collect());
-    dispatch
+        .set_listings(runners.iter().map(listing).collect());
+    dispatcher
 }
 
 fn view(version: u64, document: &str) -> Arc<View> {
     Arc::new(View::new(
         version,
-        check::parse(document).expect("a right document"),
+        check::parse(document).expect("a valid document"),
     ))
 }
 
@@ -180,41 +183,41 @@
     decisions.iter().filter_map(call).collect()
 }
 
-/// A thousand calls of the best tier wait for a pool that is full; a call of
-/// the last tier for another pool starts at once.
+/// While a thousand calls of the highest tier wait for a full pool, a call of the lowest tier for
+/// another pool starts immediately.
 #[test]
 fn lanes_do_not_block_each_other() {
-    let mut dispatch = dispatcher(DOCUMENT, &[("full", "a", 1), ("free", "a", 4)]);
+    let mut dispatcher = dispatcher(DOCUMENT, &[("full", "a", 1), ("free", "a", 4)]);
     let now = Moment::at_ms(1_000);
     for call in 0..1_000 {
-        dispatch.submit(now, submission(call, "best", "full"));
+        dispatcher.submit(now, submission(call, "best", "full"));
     }
     assert_eq!(
-        started(&dispatch.submit(now, submission(5_000, "rest", "free"))),
+        started(&dispatcher.submit(now, submission(5_000, "rest", "free"))),
         [5_000]
     );
 }
 
-/// A key is withdrawn while its call waits for a runner: it is refused at
-/// once as withdrawn, and does not start when a runner is free.
+/// If a key is withdrawn while its call waits for a runner, the call is refused immediately and
+/// does not start when a runner becomes free.
 #[test]
 fn withdrawn_in_the_queue() {
-    let mut dispatch = dispatcher(DOCUMENT, &[("p", "a", 1)]);
+    let mut dispatcher = dispatcher(DOCUMENT, &[("p", "a", 1)]);
     let now = Moment::at_ms(1_000);
     let first = submission(1, "best", "p");
-    let runner = match &dispatch.submit(now, first.clone())[..] {
+    let runner = match &dispatcher.submit(now, first.clone())[..] {
         [Decision::Start(start)] => start.runner,
         other => panic!("{other:?}"),
     };
     assert!(
-        dispatch.submit(now, submission(2, "best", "p")).is_empty(),
+        dispatcher.submit(now, submission(2, "best", "p")).is_empty(),
         "it waits"
     );
     let withdrawn = DOCUMENT.replace(
         "\"customer\": \"c\",",
         "\"customer\": \"c\", \"withdrawn\": true,",
     );
-    let refused = dispatch.set_view(view(2, &withdrawn));
+    let refused = dispatcher.set_view(view(2, &withdrawn));
     assert!(
         matches!(&refused[..], [Decision::Refuse(Call(2), refusal)] if refusal.kind == Kind::KeyWithdrawn),
         "{refused:?}"
@@ -223,20 +226,19 @@
         tokens: 1,
         ms_per_token: 1.0,
     };
-    assert!(dispatch.finish(now, &first, runner, &outcome).is_empty());
+    assert!(dispatcher.finish(now, &first, runner, &outcome).is_empty());
 }
 
-/// A zone's runners of a pool refuse connections one after another while the
-/// list still shows them. New calls go to another zone without being tried
-/// there again, and peers that hear the news never go there at all.
+/// While the platform's list still shows the leaving runners of a zone, new calls go to another
+/// zone, also on a peer that has received the notice.
 #[test]
 fn a_reclaimed_zone_is_left_at_once() {
-    let mut dispatch = dispatcher(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
+    let mut dispatcher = dispatcher(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
     let now = Moment::at_ms(1_000);
-    dispatch.runners.mark_leaving(now, "p-a");
-    dispatch.set_hosts(1, 2, 0);
+    dispatcher.runners.mark_leaving(now, "p-a");
+    dispatcher.set_hosts(1, 2, 0);
     for call in 0..3 {
-        let decisions = dispatch.submit(
+        let decisions = dispatcher.submit(
             now + Duration::from_millis(call * 10),
             submission(call, "best", "p"),
         );
@@ -248,7 +250,7 @@
         }
     }
     let mut peer = self::dispatcher(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
-    for name in dispatch.runners.leaving_names(now) {
+    for name in dispatcher.runners.leaving_names(now) {
         peer.runners.mark_leaving(now, &name);
     }
     let decisions = peer.submit(now, submission(9, "best", "p"));
@@ -258,26 +260,26 @@
     );
 }
 
-/// Two hosts share a runner of eight slots; each hears of the other's calls a
-/// moment later. Together they never plan more than it has.
+/// Two hosts that share a runner of eight slots do not start more than eight calls on it, given
+/// the reports of each other's calls.
 #[test]
 fn hosts_share_a_runner_by_what_they_hear() {
     let now = Moment::at_ms(1_000);
     let mut one = dispatcher(DOCUMENT, &[("p", "a", 8)]);
     let mut two = dispatcher(DOCUMENT, &[("p", "a", 8)]);
-    let begun = (0..20)
+    let first_starts = (0..20)
         .flat_map(|call| started(&one.submit(now, submission(call, "best", "p"))))
         .count();
     two.runners
         .set_peer_shares(now, Incarnation(1), &one.runners.shares());
-    let more = (0..20)
+    let second_starts = (0..20)
         .flat_map(|call| started(&two.submit(now, submission(call, "best", "p"))))
         .count();
-    assert_eq!((begun, more), (8, 0));
+    assert_eq!((first_starts, second_starts), (8, 0));
 }
 
-/// The list alone, without first-hand news: the checker of the reclaimed zone
-/// must see calls go to runners that leave.
+/// Without the notice, the leaving runner is picked. Shows that the test of the reclaimed zone can
+/// fail.
 #[test]
 fn broken_without_first_hand_news() {
     let now = Moment::at_ms(1_000);
@@ -285,12 +287,12 @@
     let decisions = peer.submit(now, submission(9, "best", "p"));
     assert!(
         matches!(&decisions[..], [Decision::Start(start)] if start.name == "p-a"),
-        "without news the runner that leaves is chosen: {decisions:?}"
+        "without the notice the leaving runner is picked: {decisions:?}"
     );
 }
 
-/// A caller comes back at the time it was told, through any host. The token
-/// holds for its customer, class and time, and for no other.
+/// A reservation token is valid on every host that shares the secret, for its customer, class and
+/// time only.
 #[test]
 fn promises_hold_for_their_caller_and_time() {
     let secret = Secret::derive("token-of-the-suite");
@@ -312,47 +314,48 @@
     assert!(!other_host.verify(due, "100000-00", "coop", "chat"));
 }
 
-/// At a peak that lasts, callers that are told when to come back and do so are
-/// served in time nine times in ten.
+/// In a lasting peak, nine of ten callers that retry at their reserved time are served in time.
 #[test]
 fn promises_are_kept_at_a_peak() {
     let peak = scenarios()
         .into_iter()
         .find(|(scenario, _)| scenario.name.contains("peak day"));
-    let (scenario, document) = peak.expect("the peak day is there");
+    let (scenario, document) = peak.expect("a peak day scenario exists");
     let (mut kept, mut all) = (0, 0);
     for seed in 0..10 {
         let measure = play(&scenario, &document, Policy::Full, 200 + seed);
         all += measure.promises.0;
         kept += measure.promises.1;
     }
-    println!("{kept} of {all} promises kept");
+    println!("{kept} of {all} reserved retries served in time");
     assert!(
         all > 1_000 && kept * 10 >= all * 9,
-        "{kept} of {all} promises kept"
+        "{kept} of {all} reserved retries served in time"
     );
 }
 
-/// Two hosts of a zone share one engine of two slots, and both have more calls than
-/// it carries. Whoever has a slot sees first that its call has ended, and takes it
-/// again; its mate hears of it a second later, when it is taken. One host's calls all
-/// became late while the other's queue was served.
+/// Two hosts of a zone share one engine of two slots, and both have more calls than it can run.
+/// The host whose call ends sees the free slot first and used to take it again before the other
+/// got the report a second later, so that all calls of the other host became late.
 #[test]
 fn a_host_leaves_room_to_a_zone_mate_that_waits() {
-    let fewest = |policy| {
+    let min_starts = |policy| {
         let starts = starts_of_two_hosts(policy);
-        *starts.iter().min().expect("there are two")
+        *starts.iter().min().expect("two hosts")
     };
     assert!(
-        fewest(Policy::Full) >= 12,
+        min_starts(Policy::Full) >= 12,
         "{:?}",
         starts_of_two_hosts(Policy::Full)
     );
-    assert!(fewest(Policy::Promising) <= 2, "the former policy starves one");
+    assert!(
+        min_starts(Policy::Promising) <= 2,
+        "the former policy starves one host"
+    );
 }
 
-/// Starts of each of two hosts in ten seconds, of the 40 that fit; calls take half a second, and the
-/// hosts hear of each other once a second.
+/// Starts of each of two hosts in ten seconds, out of 40 possible ones. Calls take half a second,
+/// and the hosts report to each other once per second.
 fn starts_of_two_hosts(policy: Policy) -> [usize; 2] {
     let document = DOCUMENT.replace("\"target\": \"30s\"", "\"target\": \"50s\"");
     let mut hosts = [(); 2].map(|()| {
@@ -367,14 +370,14 @@
         if ms % 1_000 == 0 {
             for at in 0..2 {
                 let shares = hosts[at].runners.shares();
-                let waits = hosts[at].waiting_by_tier().any(|(_, length)| length > 0);
-                let mate = &mut hosts[1 - at];
-                mate.runners.set_peer_shares(now, Incarnation(at as u64), &shares);
-                mate.set_waiting_peers(waits.then_some("p").into_iter());
+                let has_waiting = hosts[at].waiting_by_tier().any(|(_, length)| length > 0);
+                let peer = &mut hosts[1 - at];
+                peer.runners.set_peer_shares(now, Incarnation(at as u64), &shares);
+                peer.set_waiting_peers(has_waiting.then_some("p").into_iter());
             }
         }
         let mut decisions: Vec<(usize, Vec<Decision>)> = Vec::new();
-        // The first one has taken both slots before its mate gets a call.
+        // The first host takes both slots before the second one gets a call.
         if ms == 0 || ms == 1_000 {
             let at = usize::from(ms == 1_000);
             for call in ms..ms + 60 {
@@ -383,12 +386,12 @@
         }
         let (ended, rest) = running.into_iter().partition(|(until, ..)| *until <= ms);
         running = rest;
-        for (_, at, seek, key) in ended {
-            let whole = Outcome::Completed {
+        for (_, at, submission, key) in ended {
+            let completed = Outcome::Completed {
                 tokens: 10,
                 ms_per_token: 50.0,
             };
-            decisions.push((at, hosts[at].finish(now, &seek, key, &whole)));
+            decisions.push((at, hosts[at].finish(now, &submission, key, &completed)));
         }
         for (at, host) in hosts.iter_mut().enumerate() {
             decisions.push((at, host.tick(now)));
@@ -405,65 +408,67 @@
     starts
 }
 
-/// A host's zone mates hold every slot, so its own calls do not start at all. Each
-/// caller waited until it was late. Once a call has waited for longer than a new one
-/// may, the new one is refused at once, with a time to come back that is kept.
+/// If the peers of a host occupy every slot, its own calls do not start at all, and each caller
+/// used to wait until it was late. Once a call has waited for longer than a new one may, the new
+/// one is refused with a reserved retry time, at which it goes first.
 #[test]
 fn a_host_that_starts_nothing_lets_nobody_wait() {
-    let mut dispatch = dispatcher(DOCUMENT, &[("p", "a", 2)]);
-    let mates = radishstair_core::peer::Shares {
+    let mut dispatcher = dispatcher(DOCUMENT, &[("p", "a", 2)]);
+    let peer_shares = radishstair_core::peer::Shares {
         runners: vec![radishstair_core::id::digest(b"p-a") as u32],
         running: vec![2],
         ..Default::default()
     };
     let at = |ms: u64| Moment::at_ms(1_000 + ms);
-    dispatch.runners.set_peer_shares(at(0), Incarnation(9), &mates);
+    dispatcher
+        .runners
+        .set_peer_shares(at(0), Incarnation(9), &peer_shares);
     assert!(
-        dispatch.submit(at(0), submission(1, "best", "p")).is_empty(),
+        dispatcher.submit(at(0), submission(1, "best", "p")).is_empty(),
         "it waits"
     );
     assert!(
-        dispatch.submit(at(300), submission(2, "best", "p")).is_empty(),
-        "too early to tell"
+        dispatcher.submit(at(300), submission(2, "best", "p")).is_empty(),
+        "no estimate yet"
     );
-    // All that waits is late by then, and would let new calls go first.
-    dispatch.tick(at(1_400));
-    let refused = dispatch.submit(at(1_500), submission(3, "best", "p"));
+    // All waiting calls are late by then, and new calls would go first.
+    dispatcher.tick(at(1_400));
+    let refused = dispatcher.submit(at(1_500), submission(3, "best", "p"));
     let [Decision::Refuse(call, refusal)] = &refused[..] else {
         panic!("{refused:?}");
     };
     assert_eq!((call.0, refusal.kind), (3, Kind::Overloaded));
     assert!(refusal.reserved);
-    let after = refusal.retry_after.expect("a time to come back");
-    assert!(after <= Duration::from_secs(5), "{after:?}");
-    let mut back = submission(4, "best", "p");
-    back.reserved = true;
-    let now = at(1_500) + after;
-    assert!(dispatch.submit(now, back).is_empty(), "it is taken in");
-    dispatch
+    let delay = refusal.retry_after.expect("a retry time");
+    assert!(delay <= Duration::from_secs(5), "{delay:?}");
+    let mut retry = submission(4, "best", "p");
+    retry.reserved = true;
+    let now = at(1_500) + delay;
+    assert!(dispatcher.submit(now, retry).is_empty(), "it is queued");
+    dispatcher
         .runners
         .set_peer_shares(now, Incarnation(9), &radishstair_core::peer::Shares::default());
-    assert_eq!(started(&dispatch.tick(now))[0], 4, "and goes first");
+    assert_eq!(started(&dispatcher.tick(now))[0], 4, "and goes first");
 }
 
-/// A host had nothing to do for ten seconds; then a burst comes. Its pace was counted
-/// over the idle time as well, so the first calls that had to wait foretold seconds,
-/// and the rest of the burst was refused beside an engine that served it in time.
+/// A burst follows ten idle seconds. When the start rate included the idle time, the estimated
+/// waits were seconds, and the rest of the burst was refused although the engine could serve it in
+/// time.
 #[test]
 fn idle_time_does_not_slow_the_foretold_pace() {
-    let mut dispatch = dispatcher(DOCUMENT, &[("p", "a", 2)]);
+    let mut dispatcher = dispatcher(DOCUMENT, &[("p", "a", 2)]);
     let at = |ms: u64| Moment::at_ms(1_000 + ms);
     for ms in (0..10_000).step_by(100) {
-        dispatch.tick(at(ms));
+        dispatcher.tick(at(ms));
     }
     let mut running = std::collections::VecDeque::new();
     let mut refused = 0;
     for step in 0..30_u64 {
         let now = at(10_000 + step * 50);
-        // Calls take 100 ms on each of two slots; one comes every 50 ms, and four more
-        // at the beginning.
+        // Each call takes 100 ms on one of two slots. One arrives every 50 ms, and four more at
+        // the beginning.
         for more in 0..if step == 0 { 5 } else { 1 } {
-            let decisions = dispatch.submit(now, submission(step * 10 + more, "best", "p"));
+            let decisions = dispatcher.submit(now, submission(step * 10 + more, "best", "p"));
             let refuses = |decision: &&Decision| matches!(decision, Decision::Refuse(..));
             refused += decisions.iter().filter(refuses).count();
             running.extend(started_at(&decisions, now));
@@ -472,12 +477,12 @@
             .front()
             .is_some_and(|(_, _, since)| now.since(*since).as_millis() >= 100)
         {
-            let (call, runner, _) = running.pop_front().expect("there is one");
-            let whole = Outcome::Completed {
+            let (call, runner, _) = running.pop_front().expect("a running call");
+            let completed = Outcome::Completed {
                 tokens: 10,
                 ms_per_token: 10.0,
             };
-            let decisions = dispatch.finish(now, &submission(call, "best", "p"), runner, &whole);
+            let decisions = dispatcher.finish(now, &submission(call, "best", "p"), runner, &completed);
             running.extend(started_at(&decisions, now));
         }
     }
