--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere and never reverts; a
+//! An accepted configuration takes effect on all hosts and never reverts; a
 //! withdrawn key stops working.
 
 use std::collections::BTreeMap;
@@ -18,15 +18,15 @@
 const SECOND: u64 = 1_000;
 const CONFIGURATION: &str = r#"{ "settings": { "key_horizon": "20s" }, "customers": [{ "name": "c" }] }"#;
 
-/// What operators did to the log, as they saw it.
+/// An operation on the change log, with the result that the operator saw.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum LogOp {
     Proposed,
-    /// Version and change id, accepted.
+    /// Version and change id; the change was accepted.
     Added(u64, u64),
-    /// Version that somebody else's change id took.
+    /// Version, and the change id of another operator that has it.
     Conflicted(u64, u64),
-    /// No word: it may have been added, or not.
+    /// Version and change id; without an answer, it may have been added or not.
     Unanswered(u64, u64),
 }
 
@@ -43,20 +43,20 @@
 
     fn apply(op: &LogOp, log: &Self::State) -> (bool, Self::State) {
         let next = log.len() as u64 + 2;
-        let at = |version: u64| log.get(version as usize - 2).copied();
+        let id_at = |version: u64| log.get(version as usize - 2).copied();
         match op {
             LogOp::Proposed => (false, log.clone()),
             LogOp::Added(version, id) if *version == next => (true, [log.as_slice(), &[*id]].concat()),
             LogOp::Added(..) => (false, log.clone()),
-            LogOp::Conflicted(version, id) => (at(*version) == Some(*id), log.clone()),
+            LogOp::Conflicted(version, id) => (id_at(*version) == Some(*id), log.clone()),
             LogOp::Unanswered(version, id) if *version == next => (true, [log.as_slice(), &[*id]].concat()),
             LogOp::Unanswered(..) => (true, log.clone()),
         }
     }
 }
 
-/// An operator's offer that is on its way.
-struct Offer {
+/// A change that an operator has proposed and that is in flight.
+struct Proposal {
     entry: Entry,
     id: u64,
     process: usize,
@@ -67,7 +67,7 @@
 
 #[derive(Default)]
 struct Operators {
-    proposals: Vec<Offer>,
+    proposals: Vec<Proposal>,
     history: Vec<(usize, Action<LogOp>)>,
     unanswered: Vec<(usize, LogOp)>,
     last_id: u64,
@@ -89,36 +89,36 @@
 }
 
 impl Operators {
-    /// An operator reads the newest version and offers the next one; by the
-    /// time it lands another operator may have been faster.
+    /// An operator reads the newest version and proposes the next one. By the time the store
+    /// applies it, another operator may have been faster.
     fn propose(&mut self, world: &mut World) {
-        let log = world
+        let log_len = world
             .store
             .keys()
             .filter(|key| key.starts_with(change::LOG_PREFIX))
             .count() as u64;
         self.last_id += 1;
         let process = self.last_id as usize - 1;
-        let lands = world.now + world.rng.random_range(0..400);
-        let answers = lands + world.rng.random_range(0..300);
+        let applied_at = world.now + world.rng.random_range(0..400);
+        let answered_at = applied_at + world.rng.random_range(0..300);
         self.history.push((process, Action::Call(LogOp::Proposed)));
-        self.proposals.push(Offer {
-            entry: entry(log + 2, self.last_id),
+        self.proposals.push(Proposal {
+            entry: entry(log_len + 2, self.last_id),
             id: self.last_id,
             process,
-            applied_at: lands,
-            answered_at: answers,
+            applied_at,
+            answered_at,
             result: None,
         });
     }
 
     fn step(&mut self, world: &mut World) {
-        for offer in &mut self.proposals {
-            if offer.result.is_none() && world.now >= offer.applied_at {
+        for proposal in &mut self.proposals {
+            if proposal.result.is_none() && world.now >= proposal.applied_at {
                 let call = Call::Swap {
-                    key: change::log_key(offer.entry.version),
+                    key: change::log_key(proposal.entry.version),
                     expect: 0,
-                    value: serde_json::to_string(&offer.entry).expect("an entry is JSON"),
+                    value: serde_json::to_string(&proposal.entry).expect("an entry is JSON"),
                 };
                 let answer = if world.store_down {
                     Answer::Refused
@@ -126,60 +126,60 @@
                     world.apply(&call)
                 };
                 let lost = world.rng.random_bool(0.2);
-                offer.result = Some(if lost { Answer::Lost } else { answer });
+                proposal.result = Some(if lost { Answer::Lost } else { answer });
             }
         }
         let now = world.now;
         let (ready, rest) = std::mem::take(&mut self.proposals)
             .into_iter()
-            .partition(|offer| offer.result.is_some() && now >= offer.answered_at);
+            .partition(|proposal| proposal.result.is_some() && now >= proposal.answered_at);
         self.proposals = rest;
-        for offer in ready {
-            self.on_answer(world, offer);
+        for proposal in ready {
+            self.on_answer(world, proposal);
         }
     }
 
-    fn on_answer(&mut self, world: &mut World, offer: Offer) {
-        let version = offer.entry.version;
+    fn on_answer(&mut self, world: &mut World, proposal: Proposal) {
+        let version = proposal.entry.version;
         let key = change::log_key(version);
-        let stands = || -> Option<u64> {
+        let stored_id = || -> Option<u64> {
             let (_, value) = world.store.get(&key)?;
             serde_json::from_str::<Entry>(value).ok()?.id.parse().ok()
         };
-        let op = match offer.result {
-            Some(Answer::Written(_)) => LogOp::Added(version, offer.id),
-            // Settled by reading the entry back, as the command does.
-            Some(Answer::Lost | Answer::Conflict(_)) if !world.store_down => match stands() {
-                Some(id) if id == offer.id => LogOp::Added(version, id),
+        let op = match proposal.result {
+            Some(Answer::Written(_)) => LogOp::Added(version, proposal.id),
+            // Decided by reading the entry back, as the command does.
+            Some(Answer::Lost | Answer::Conflict(_)) if !world.store_down => match stored_id() {
+                Some(id) if id == proposal.id => LogOp::Added(version, id),
                 Some(id) => LogOp::Conflicted(version, id),
-                None => LogOp::Unanswered(version, offer.id),
+                None => LogOp::Unanswered(version, proposal.id),
             },
-            Some(Answer::Refused) | Some(Answer::Found(_)) | None => return self.discard(offer.process),
-            Some(_) => LogOp::Unanswered(version, offer.id),
+            Some(Answer::Refused) | Some(Answer::Found(_)) | None => return self.discard(proposal.process),
+            Some(_) => LogOp::Unanswered(version, proposal.id),
         };
         match op {
-            LogOp::Unanswered(..) => self.unanswered.push((offer.process, op)),
-            _ => self.history.push((offer.process, Action::Response(op))),
+            LogOp::Unanswered(..) => self.unanswered.push((proposal.process, op)),
+            _ => self.history.push((proposal.process, Action::Response(op))),
         }
     }
 
-    /// Drops an offer that never reached the store.
+    /// Drops a proposal that never reached the store.
     fn discard(&mut self, process: usize) {
         self.history.retain(|(have, _)| *have != process);
     }
 
     fn is_linearizable(&self) -> bool {
         let mut actions = self.history.clone();
-        let open = self
+        let unanswered = self
             .unanswered
             .iter()
             .map(|(process, op)| (*process, Action::Response(*op)));
-        actions.extend(open);
+        actions.extend(unanswered);
         actions.is_empty() || WGLChecker::<LogSpec>::is_linearizable(History::from_actions(actions))
     }
 }
 
-/// What each incarnation had in force, as it was seen.
+/// The highest version observed in force at each incarnation.
 #[derive(Default)]
 struct InForce {
     highest: BTreeMap<Incarnation, u64>,
@@ -250,7 +250,7 @@
         operators.step(&mut world);
         in_force.check_versions(&mut world)?;
         if step % 11 == 0 && step < 300 && world.rng.random_bool(0.5) {
-            // Two operators at once, as a race is what is tried.
+            // Two operators at the same time, to provoke a race.
             operators.propose(&mut world);
             operators.propose(&mut world);
         }
@@ -261,7 +261,7 @@
             heal(&mut world);
         }
     }
-    // Frozen hosts have woken by 60 s; 14 s after that all have the last change.
+    // Frozen hosts have resumed by 60 s; 14 s after that all hosts have the last change.
     world.run_until(74 * SECOND);
     let newest = newest(&world);
     for at in 0..world.nodes.len() {
@@ -277,22 +277,21 @@
     }
 }
 
-/// Operators race, answers to their changes are lost, hosts restart, freeze
-/// and are cut off, the store is down or reads old. No host's version goes
-/// back, the log is linearizable, and 14 s after the last frozen host
-/// has woken every host has the last change in force.
+/// Operators race, answers to their changes are lost, hosts restart, freeze and are partitioned,
+/// the store is down or returns stale reads. No host's version goes back, the log is linearizable,
+/// and 14 s after the last frozen host has resumed every host has the last change in force.
 #[test]
 fn configuration_never_reverts() {
     assert_all_pass(200, |seed| changes_under_failure(seed, Broken::None));
 }
 
-/// The checker must see a change that another operator's overwrote.
+/// The check must detect a change that another operator's change overwrote.
 #[test]
 fn broken_log_without_compare_and_swap() {
     assert_some_fail(40, |seed| changes_under_failure(seed, Broken::Swap));
 }
 
-/// Adds a change from outside.
+/// Appends a change to the log directly.
 fn append_change(world: &mut World) -> u64 {
     let version = newest(world) + 1;
     let text = serde_json::to_string(&entry(version, version)).expect("an entry is JSON");
@@ -300,8 +299,8 @@
     version
 }
 
-/// A key was withdrawn; then the store gives old reads and a host restarts
-/// with empty memory. `serves` tells when it takes callers.
+/// A key is withdrawn; then the store returns stale reads and a host restarts with empty memory.
+/// `serves` is the condition under which the host is taken to serve callers.
 fn start_on_stale_reads(seed: u64, serves: fn(&Status) -> bool) -> Result<(), String> {
     let mut world = Builder::new(seed).build(CONFIGURATION);
     world.run_until(5 * SECOND);
@@ -313,7 +312,7 @@
     world.start(0);
     for step in 0..200 {
         world.run_until(12 * SECOND + step * 50);
-        let status = world.status(0).ok_or("node 0 is up")?;
+        let status = world.status(0).ok_or("node 0 is down")?;
         if serves(&status) && status.version < newest {
             let (version, now) = (status.version, world.now);
             return Err(format!("served by version {version} at {now} ms"));
@@ -325,21 +324,21 @@
     }
 }
 
-/// The host's callers must not be served by the old configuration that the
-/// store gives it, by which a withdrawn key works: its peers know better.
+/// The host must not serve callers by the stale configuration from the store, in which a withdrawn
+/// key is valid, while its peers have a newer one.
 #[test]
 fn a_start_on_stale_reads_waits_for_peers() {
     assert_all_pass(200, |seed| start_on_stale_reads(seed, |status| status.trusted));
 }
 
-/// The checker must see a host that serves as soon as it has a version.
+/// The check must detect a host that serves as soon as it has any version.
 #[test]
 fn broken_start_without_waiting() {
     assert_some_fail(40, |seed| start_on_stale_reads(seed, |status| status.version > 0));
 }
 
-/// A zone is cut off from the store but not from its peers: a change reaches
-/// it through them within seconds.
+/// A zone that is cut off from the store but not from its peers gets a change from them within
+/// seconds.
 #[test]
 fn news_pass_through_peers() {
     assert_all_pass(200, |seed| {
@@ -351,7 +350,7 @@
         let version = append_change(&mut world);
         world.run_until(14 * SECOND);
         for at in 0..2 {
-            let status = world.status(at).ok_or("up")?;
+            let status = world.status(at).ok_or("node is down")?;
             if status.version != version || !status.trusted {
                 return Err(format!("node {at}: {status:?}"));
             }
@@ -360,9 +359,9 @@
     });
 }
 
-/// A host is cut off from everything. It goes on serving by the keys that it
-/// knows for the horizon of the settings and then refuses, as a key may have
-/// been withdrawn that it cannot know of; it serves again when the cut heals.
+/// A host that is cut off from the store and all peers serves with its known keys for the key
+/// horizon and then refuses, as a key may have been withdrawn in the meantime. It serves again
+/// when the partition ends.
 #[test]
 fn a_host_cut_off_stops_at_the_horizon() {
     let mut world = Builder::new(3).build(CONFIGURATION);
@@ -370,18 +369,24 @@
     world.nodes[0].cut_store = true;
     world.nodes[0].partition = 1;
     world.run_until(20 * SECOND);
-    assert!(world.status(0).expect("up").trusted, "serves within the horizon");
+    assert!(
+        world.status(0).expect("node 0 runs").trusted,
+        "serves within the horizon"
+    );
     world.run_until(45 * SECOND);
-    assert!(!world.status(0).expect("up").trusted, "refuses past the horizon");
+    assert!(
+        !world.status(0).expect("node 0 runs").trusted,
+        "refuses after the horizon"
+    );
     world.nodes[0].cut_store = false;
     world.nodes[0].partition = 0;
     world.run_until(60 * SECOND);
-    assert!(world.status(0).expect("up").trusted, "serves again");
+    assert!(world.status(0).expect("node 0 runs").trusted, "serves again");
 }
 
-/// Each waiting watch costs the platform a read. Every host watches for a
-/// moment at its start, when it does not know its peers; after that only a few
-/// a zone do, however many hosts there are.
+/// Each pending watch costs the platform a read. Every host watches for a short time after its
+/// start, when it does not know its peers; after that only a few hosts per zone do, regardless of
+/// the number of hosts.
 #[test]
 fn only_a_few_hosts_a_zone_watch() {
     let mut world = Builder::new(5).zones(&[("a", 9), ("b", 9)]).build(CONFIGURATION);
