--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -1,4 +1,4 @@
-//! Usage windows: sealed once, reported with the same figures, by one process.
+//! Usage windows are sealed once and reported by one process with the same figures.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -18,18 +18,18 @@
   "customers": [{ "name": "c" }]
 }"#;
 
-/// What befalls the hosts.
+/// Which faults are injected.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum FaultKind {
-    /// Kills, freezes, cuts and outages.
+    /// Kills, freezes, partitions and outages.
     All,
-    /// The same without kills: nothing may be lost.
+    /// All but kills, so that nothing may be lost.
     NoKills,
-    /// Kills alone, to measure what one loses.
+    /// Only kills, to measure what one loses.
     KillsOnly,
 }
 
-/// What really happened, by the incarnation that counted it.
+/// Actual calls and kills, by the incarnation that counted them.
 #[derive(Default)]
 struct Truth {
     counted: BTreeMap<Incarnation, Vec<u64>>,
@@ -41,14 +41,14 @@
         if !world.running(at) || !world.rng.random_bool(0.5) {
             continue;
         }
-        let item = Record {
+        let record = Record {
             customer: "c".into(),
             class: "x".into(),
             prompt_tokens: 1,
             output_tokens: 1,
             completed: true,
         };
-        world.handle(at, Event::Count(item));
+        world.handle(at, Event::Count(record));
         truth
             .counted
             .entry(world.nodes[at].me)
@@ -57,7 +57,7 @@
     }
 }
 
-fn inject_fault(world: &mut World, truth: &mut Truth, harm: FaultKind) {
+fn inject_fault(world: &mut World, truth: &mut Truth, fault_kind: FaultKind) {
     let holder = (0..world.nodes.len()).find(|at| {
         let duties = world.status(*at).map_or(Vec::new(), |status| status.duties);
         duties.iter().any(|(duty, _)| duty == "usage")
@@ -68,12 +68,12 @@
     } else {
         any
     };
-    let kind = match harm {
+    let kind = match fault_kind {
         FaultKind::KillsOnly => 0,
         FaultKind::All | FaultKind::NoKills => world.rng.random_range(0..8),
     };
     match kind {
-        0 | 1 if harm != FaultKind::NoKills => {
+        0 | 1 if fault_kind != FaultKind::NoKills => {
             truth.killed.insert(world.nodes[at].me, world.now);
             world.kill(at);
             world.start(at);
@@ -85,7 +85,7 @@
         4 => world.nodes[at].cut_store = true,
         5 => world.nodes.iter_mut().for_each(|node| node.cut_store = false),
         6 => world.store_down = !world.store_down,
-        // Cut off from its peers and from the platform.
+        // Partitioned from its peers and from the platform.
         _ => {
             world.nodes[at].partition = 1;
             world.nodes[at].cut_store = true;
@@ -102,39 +102,44 @@
     }
 }
 
-/// Each seal's figures, provided that nobody reported others.
+/// The reported windows by number; fails if a window was reported with different figures or under
+/// an older fencing number.
 fn reported_windows(world: &World) -> Result<BTreeMap<u64, SealedWindow>, String> {
-    let mut seals: BTreeMap<u64, SealedWindow> = BTreeMap::new();
-    let mut windows: BTreeMap<u64, u64> = BTreeMap::new();
+    let mut reported: BTreeMap<u64, SealedWindow> = BTreeMap::new();
+    let mut numbers: BTreeMap<u64, u64> = BTreeMap::new();
     let mut fence = 0;
-    for (time, sender, by, seal) in &world.received.reports {
-        if *by < fence {
+    for (time, sender, sender_fence, sealed) in &world.received.reports {
+        if *sender_fence < fence {
             return Err(format!(
-                "at {time} ms {sender} reported under fence {by} after fence {fence}"
+                "at {time} ms {sender} reported under fence {sender_fence} after fence {fence}"
             ));
         }
-        fence = *by;
-        let number = *windows.entry(seal.window).or_insert(seal.number);
-        let first = seals.entry(seal.number).or_insert_with(|| seal.clone());
-        if first != seal || number != seal.number {
+        fence = *sender_fence;
+        let number = *numbers.entry(sealed.window).or_insert(sealed.number);
+        let first = reported.entry(sealed.number).or_insert_with(|| sealed.clone());
+        if first != sealed || number != sealed.number {
             return Err(format!(
                 "window {} was reported with different figures",
-                seal.window
+                sealed.window
             ));
         }
     }
-    Ok(seals)
+    Ok(reported)
 }
 
 fn usage_under_failure(
     seed: u64,
-    harm: FaultKind,
+    fault_kind: FaultKind,
     broken: Broken,
     lost: &Mutex<Vec<(u64, u64)>>,
 ) -> Result<(), String> {
     let zones = [("a", 3), ("b", 2)];
     let faults = Faults {
-        freeze: if harm == FaultKind::KillsOnly { 0.0 } else { 0.05 },
+        freeze: if fault_kind == FaultKind::KillsOnly {
+            0.0
+        } else {
+            0.05
+        },
         ..Faults::default()
     };
     let mut world = Builder::new(seed)
@@ -148,49 +153,51 @@
         if step < 700 {
             count(&mut world, &mut truth);
         }
-        let due = match harm {
-            // One at a time: a zone of two hosts has one copy of each count,
-            // which the next reporter fetches within half a minute.
+        let inject = match fault_kind {
+            // One kill at a time: in a zone of two hosts there is one copy of each count, which
+            // the next reporter fetches within half a minute.
             FaultKind::KillsOnly => step % 300 == 100,
             FaultKind::All | FaultKind::NoKills => step % 20 == 0 && world.rng.random_bool(0.5),
         };
-        if due && step < 600 {
-            inject_fault(&mut world, &mut truth, harm);
+        if inject && step < 600 {
+            inject_fault(&mut world, &mut truth, fault_kind);
         }
         if step == 650 {
             heal(&mut world);
         }
     }
     world.run_until(150 * SECOND);
-    let seals = reported_windows(&world)?;
-    let reported: u64 = seals
+    let windows = reported_windows(&world)?;
+    let reported: u64 = windows
         .values()
-        .flat_map(|seal| &seal.lines)
+        .flat_map(|window| &window.lines)
         .map(|line| line.calls)
         .sum();
     let counted: u64 = truth.counted.values().map(|times| times.len() as u64).sum();
     if reported > counted {
         return Err(format!("{reported} reported of {counted} counted"));
     }
-    if harm == FaultKind::NoKills && reported != counted {
+    if fault_kind == FaultKind::NoKills && reported != counted {
         return Err(format!(
-            "{reported} reported of {counted} counted, and nobody died"
+            "{reported} reported of {counted} counted, and no host was killed"
         ));
     }
     let died = truth.killed.len() as u64;
     let missing = counted - reported;
     lost.lock().expect("not poisoned").push((died, missing));
-    match harm {
-        // Five calls a second at a host at most: the open chunk of two
-        // seconds, and up to three heartbeats that were lost in a row.
-        FaultKind::KillsOnly if missing > died * 25 => Err(format!("{missing} lost with {died} crashes")),
+    match fault_kind {
+        // At most five calls per second and host: those of the open chunk of two seconds and of up
+        // to three heartbeats that were lost in a row.
+        FaultKind::KillsOnly if missing > died * 25 => {
+            Err(format!("{missing} calls lost with {died} crashes"))
+        }
         _ => Ok(()),
     }
 }
 
-/// Reporters are frozen, cut off and raced; answers to their seals are lost
-/// after the write; hosts' counts come late. Every count is reported exactly
-/// once, and no window with different figures.
+/// Reporters are frozen, partitioned and compete; answers to their writes of sealed windows are
+/// lost; counts of hosts arrive late. Every count is reported exactly once, and no window is
+/// reported with different figures.
 #[test]
 fn windows_are_reported_once_and_exactly() {
     let lost = Mutex::default();
@@ -199,38 +206,38 @@
     });
 }
 
-/// Reporters die between sealing and reporting, and between reporting and
-/// recording it; other hosts die with counts in memory, some of them cut off
-/// from all who could keep a copy. Nothing is reported twice or differently.
+/// Reporters are killed between sealing and reporting, and between reporting and recording the
+/// progress. Other hosts are killed with counts in memory, some of them partitioned from all hosts
+/// that could store a copy. Nothing is reported twice or with different figures.
 #[test]
 fn crashes_repeat_nothing() {
     let lost = Mutex::default();
     assert_all_pass(200, |seed| {
         usage_under_failure(seed, FaultKind::All, Broken::None, &lost)
     });
-    print_losses("with cuts and outages", lost);
+    print_losses("with partitions and outages", lost);
 }
 
-/// A host dies with counts in memory while its peers can be reached: what is
-/// lost is the open chunk and what the last heartbeats did not carry.
+/// If a host is killed with counts in memory while its peers are reachable, only the open chunk and
+/// the chunks not in its last heartbeats are lost.
 #[test]
 fn a_crash_loses_seconds() {
     let lost = Mutex::default();
     assert_all_pass(200, |seed| {
         usage_under_failure(seed, FaultKind::KillsOnly, Broken::None, &lost)
     });
-    print_losses("with kills alone", lost);
+    print_losses("with kills only", lost);
 }
 
 fn print_losses(what: &str, lost: Mutex<Vec<(u64, u64)>>) {
     let lost = lost.into_inner().expect("not poisoned");
     let died: u64 = lost.iter().map(|(died, _)| died).sum();
     let missing: u64 = lost.iter().map(|(_, missing)| missing).sum();
-    println!("{what}: {died} crashes lost {missing} calls, at most 5 a second and host");
+    println!("{what}: {died} crashes lost {missing} calls, at most 5 per second and host");
 }
 
-/// The checker must see a second report, or a former reporter's, when the last
-/// look at the lease is left out.
+/// The check must detect a second report, or one of a former reporter, if the last check of the
+/// lease is left out.
 #[test]
 fn broken_reports_without_the_last_look() {
     let lost = Mutex::default();
@@ -239,7 +246,7 @@
     });
 }
 
-/// The checker must see different figures when the store lets any write pass.
+/// The check must detect different figures if the store accepts every write.
 #[test]
 fn broken_reports_without_compare_and_swap() {
     let lost = Mutex::default();
