--- a/tests/suite/parse.rs
+++ b/tests/suite/parse.rs
@@ -1,4 +1,4 @@
-//! Properties of what reads bytes from outside, over random input.
+//! Property tests of the parsers of external input.
 
 use bytes::Bytes;
 use quickcheck::{Gen, QuickCheck, TestResult};
@@ -11,7 +11,7 @@
 use radishstair_core::{claim, usage};
 use radishstair_entry::front::sse::Splitter;
 
-/// Fixed, so that each run tries the same.
+/// Seed of the random input, fixed so that every run uses the same.
 const SEED: u64 = 20_261_203;
 
 fn check(property: impl quickcheck::Testable) {
@@ -19,7 +19,7 @@
     QuickCheck::new().tests(2_000).rng(source).quickcheck(property);
 }
 
-/// However a stream is cut into pieces, the same events come out.
+/// The events of a stream do not depend on how it is split into chunks.
 #[test]
 fn events_do_not_depend_on_the_cuts() {
     fn property(texts: Vec<String>, cuts: Vec<u8>) -> bool {
@@ -46,7 +46,7 @@
     check(property as fn(Vec<String>, Vec<u8>) -> bool);
 }
 
-/// No text makes the readers of keys panic, and only tickets are read as such.
+/// No text makes the parsers of keys panic, and only tickets are parsed as tickets.
 #[test]
 fn keys_of_any_text_are_read_or_refused() {
     fn property(text: String) -> bool {
@@ -57,7 +57,7 @@
     check(property as fn(String) -> bool);
 }
 
-/// A ticket reads back as it was written, and holds for its customer only.
+/// A ticket is parsed as it was written, and is valid for its customer only.
 #[test]
 fn tickets_read_back() {
     fn property(owner: u64, number: u64, customer: String, other: String) -> TestResult {
@@ -73,7 +73,7 @@
     check(property as fn(u64, u64, String, String) -> TestResult);
 }
 
-/// A span reads back as it was written.
+/// A duration is parsed as it was written.
 #[test]
 fn spans_read_back() {
     fn property(millis: u32) -> bool {
@@ -83,7 +83,7 @@
     check(property as fn(u32) -> bool);
 }
 
-/// What `diff` says turns one document into the other.
+/// The operations of `diff` turn one document into the other.
 #[test]
 fn differences_apply() {
     fn document(names: &[u8]) -> Document {
@@ -97,7 +97,8 @@
             value: Some(value.clone()),
         });
         let mut document = Document::default();
-        change::apply(&mut document, &ops.collect::<Vec<_>>()).expect("customers alone are right");
+        change::apply(&mut document, &ops.collect::<Vec<_>>())
+            .expect("a document with only customers is valid");
         document
     }
     fn property(from: Vec<u8>, to: Vec<u8>) -> bool {
@@ -108,7 +109,7 @@
     check(property as fn(Vec<u8>, Vec<u8>) -> bool);
 }
 
-/// No text makes the reader of documents panic.
+/// No text makes the parser of documents panic.
 #[test]
 fn documents_of_any_text_are_read_or_refused() {
     fn property(text: String, cut: u8) -> bool {
@@ -122,10 +123,10 @@
     check(property as fn(String, u8) -> bool);
 }
 
-/// Merging rows in any order gives the same figures.
+/// Merging rows gives the same figures in any order.
 #[test]
 fn usage_merges_in_any_order() {
-    fn property(items: Vec<(u8, u16)>) -> bool {
+    fn property(records: Vec<(u8, u16)>) -> bool {
         let row = |(customer, tokens): &(u8, u16)| radishstair_core::peer::Row {
             customer: format!("c{customer}"),
             tokens: u64::from(*tokens),
@@ -133,13 +134,13 @@
             ..Default::default()
         };
         let (mut one, mut two) = (Vec::new(), Vec::new());
-        items
+        records
             .iter()
-            .for_each(|item| usage::merge_rows(&mut one, &[row(item)]));
-        items
+            .for_each(|record| usage::merge_rows(&mut one, &[row(record)]));
+        records
             .iter()
             .rev()
-            .for_each(|item| usage::merge_rows(&mut two, &[row(item)]));
+            .for_each(|record| usage::merge_rows(&mut two, &[row(record)]));
         one == two
     }
     check(property as fn(Vec<(u8, u16)>) -> bool);
--- a/tests/suite/repeat.rs
+++ b/tests/suite/repeat.rs
@@ -1,4 +1,4 @@
-//! Whether a request may go to one more runner, decided without sockets.
+//! Whether a request may be sent to another runner, without sockets.
 
 use quickcheck::{TestResult, quickcheck};
 use radishstair_core::error::{Kind, Ran, Refusal};
@@ -14,98 +14,98 @@
     ..POSTING
 };
 
-/// A posting stands in the ledger twice. Its runner broke off, so that it may have run,
-/// and another runner got it: never, whatever budget is left.
+/// A posting whose runner broke off may have run, so it is not sent to another runner whatever the
+/// retry budget is. Otherwise it could be in the ledger twice.
 #[test]
 fn what_may_have_run_once_is_not_sent_again() {
-    let mut tries = History::<u32>::default();
-    tries.record_send();
-    let untouched = || panic!("the budget is asked for nothing");
+    let mut history = History::<u32>::default();
+    history.record_send();
+    let untouched = || panic!("no retry may be taken from the budget");
     assert_eq!(
-        tries.record_failure(&POSTING, Fault::MayHaveRun, false, untouched),
+        history.record_failure(&POSTING, Fault::MayHaveRun, false, untouched),
         Some(Denial::MayHaveRun)
     );
 }
 
-/// A caller is told "not run" by a runner that is full and gets an answer from the next
-/// one; what was refused by as many runners as the route allows ends there.
+/// A request that a runner states it has not run goes to the next one, up to the maximum number of
+/// attempts.
 #[test]
 fn what_has_not_run_goes_on_up_to_the_attempts() {
-    let mut tries = History::<u32>::default();
-    let mut ends = Vec::new();
+    let mut history = History::<u32>::default();
+    let mut denials = Vec::new();
     for _ in 0..3 {
-        tries.record_send();
-        ends.push(tries.record_failure(&POSTING, Fault::NotRun, false, || true));
+        history.record_send();
+        denials.push(history.record_failure(&POSTING, Fault::NotRun, false, || true));
     }
-    assert_eq!(ends, [None, None, Some(Denial::AttemptsExhausted)]);
-    assert!(!tries.may_have_run());
+    assert_eq!(denials, [None, None, Some(Denial::AttemptsExhausted)]);
+    assert!(!history.may_have_run());
 }
 
-/// A zone is cut off, and the shared budget of repeats is spent on requests that never
-/// left this host. A runner that cannot be reached costs neither budget nor attempt, and
-/// four of them in a row end the search.
+/// An unreachable runner costs neither retry budget nor an attempt, and after four of them the
+/// request is refused. Otherwise a zone that is cut off would exhaust the shared budget with
+/// requests that were never sent.
 #[test]
 fn unreachable_runners_spend_nothing() {
-    let mut tries = History::<u32>::default();
+    let mut history = History::<u32>::default();
     let untouched = || panic!("nothing was sent");
     for _ in 0..3 {
         assert_eq!(
-            tries.record_failure(&LOOK_UP, Fault::Unreachable, true, untouched),
+            history.record_failure(&LOOK_UP, Fault::Unreachable, true, untouched),
             None
         );
     }
     assert_eq!(
-        tries.record_failure(&LOOK_UP, Fault::Unreachable, true, untouched),
+        history.record_failure(&LOOK_UP, Fault::Unreachable, true, untouched),
         Some(Denial::Unreachable)
     );
-    assert_eq!((tries.sends(), tries.may_have_run()), (0, false));
+    assert_eq!((history.sends(), history.may_have_run()), (0, false));
 }
 
-/// A look-up is sent on after its caller's time, or without budget: a retry storm.
+/// A look-up is not retried after its deadline or without retry budget, to prevent a retry storm.
 #[test]
 fn repeats_need_time_and_budget() {
-    let mut tries = History::<u32>::default();
-    tries.record_send();
-    let fail = |tries: &mut History<u32>, over, budget: bool| {
-        tries.record_failure(&LOOK_UP, Fault::MayHaveRun, over, || budget)
+    let mut history = History::<u32>::default();
+    history.record_send();
+    let fail = |history: &mut History<u32>, timed_out, budget: bool| {
+        history.record_failure(&LOOK_UP, Fault::MayHaveRun, timed_out, || budget)
     };
-    assert_eq!(fail(&mut tries, true, true), Some(Denial::TimedOut));
-    assert_eq!(fail(&mut tries, false, false), Some(Denial::BudgetExhausted));
-    assert_eq!(fail(&mut tries, false, true), None);
+    assert_eq!(fail(&mut history, true, true), Some(Denial::TimedOut));
+    assert_eq!(fail(&mut history, false, false), Some(Denial::BudgetExhausted));
+    assert_eq!(fail(&mut history, false, true), None);
 }
 
-/// A caller is told "not run" and posts again, while its first posting stands. Its first
-/// runner broke off, and no second one is to be had: the refusal must leave it open.
+/// If the first runner broke off and no second one is available, the refusal must state an unknown
+/// outcome. After "not run" the caller would post again although the first posting may exist.
 #[test]
 fn a_refusal_after_a_run_leaves_it_open() {
-    let mut tries = History::<u32>::default();
-    let none = || Refusal::new(Kind::NoRunner);
-    assert_eq!(tries.adjust_refusal(none()).ran, Ran::NotRun);
-    tries.record_send();
-    tries.record_failure(&LOOK_UP, Fault::MayHaveRun, false, || true);
-    assert_eq!(tries.adjust_refusal(none()).ran, Ran::Unknown);
+    let mut history = History::<u32>::default();
+    let no_runner = || Refusal::new(Kind::NoRunner);
+    assert_eq!(history.adjust_refusal(no_runner()).ran, Ran::NotRun);
+    history.record_send();
+    history.record_failure(&LOOK_UP, Fault::MayHaveRun, false, || true);
+    assert_eq!(history.adjust_refusal(no_runner()).ran, Ran::Unknown);
 }
 
 quickcheck! {
-    /// Whatever happens in whatever order: a request that runs at most once is not sent
-    /// again after it may have run, and none is sent more often than allowed.
+    /// For any sequence of faults, an at-most-once request is not sent again after it may have run,
+    /// and no request is sent more often than allowed.
     fn no_order_of_faults_breaks_a_rule(faults: Vec<u8>, once: bool, attempts: u8) -> TestResult {
         let rule = Rule { at_most_once: once, max_attempts: u32::from(attempts % 4) + 1, max_unreachable: 4 };
-        let mut tries = History::<usize>::default();
+        let mut history = History::<usize>::default();
         for (at, fault) in faults.iter().enumerate() {
-            if (once && tries.may_have_run()) || tries.sends() >= rule.max_attempts {
+            if (once && history.may_have_run()) || history.sends() >= rule.max_attempts {
                 return TestResult::failed();
             }
-            tries.record_choice(at);
+            history.record_choice(at);
             let fault = match fault % 3 {
                 0 => Fault::Unreachable,
                 1 => Fault::NotRun,
                 _ => Fault::MayHaveRun,
             };
             if fault != Fault::Unreachable {
-                tries.record_send();
+                history.record_send();
             }
-            if tries.record_failure(&rule, fault, false, || true).is_some() {
+            if history.record_failure(&rule, fault, false, || true).is_some() {
                 break;
             }
         }
--- a/tests/suite/schedule.rs
+++ b/tests/suite/schedule.rs
@@ -1,7 +1,7 @@
-//! Checks over many seeded schedules.
+//! Running a check over many seeded schedules.
 
-/// Runs a check over many seeds at once, on all cores; gives back how many
-/// seeds failed, with the first failure's text.
+/// Runs a check for many seeds, on all cores. Returns the number of failed seeds and the message of
+/// the first failure.
 pub fn run_seeds(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) -> (usize, Option<String>) {
     let threads = std::thread::available_parallelism().map_or(4, |count| count.get()) as u64;
     let mut failures: Vec<(u64, String)> = std::thread::scope(|scope| {
@@ -28,7 +28,7 @@
     (failures.len(), first)
 }
 
-/// Fails a test when any seed failed.
+/// Fails the test if any seed fails.
 pub fn assert_all_pass(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) {
     let (failed, first) = run_seeds(count, check);
     assert!(
@@ -38,12 +38,12 @@
     );
 }
 
-/// Fails a test when no seed failed: the checker could not see the fault.
+/// Fails the test if no seed fails, as the check then cannot detect the fault.
 pub fn assert_some_fail(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) {
     let (failed, first) = run_seeds(count, check);
     println!("the broken variant failed in {failed} of {count} schedules; first: {first:?}");
     assert!(
         failed > 0,
-        "the checker saw nothing wrong in {count} schedules of the broken variant"
+        "the check detected no failure in {count} schedules of the broken variant"
     );
 }
--- a/tests/suite/seal.rs
+++ b/tests/suite/seal.rs
@@ -1,4 +1,4 @@
-//! Figures that are written once, and numbers that were ordered, without sockets.
+//! Write-once values and ordered counts, without sockets.
 
 use std::time::Duration;
 
@@ -31,8 +31,8 @@
     writer
 }
 
-/// A window is reported twice with different figures. The holder's write stands and its
-/// answer is lost; a later sum must not go out in its place, so what stands is read back.
+/// If a write succeeds but its answer is lost, the stored value is read back. Otherwise a later
+/// sum could be reported in its place, and the window twice with different figures.
 #[test]
 fn a_lost_write_is_read_back() {
     let mut writer = writing();
@@ -45,16 +45,15 @@
     assert_eq!(writer.on_answer(at(2), &found), Some(Outcome::Stored(9, 4)));
 }
 
-/// The same with two holders in turn: the second one finds the first one's figure in its
-/// way and reports that one.
+/// The second of two lease holders finds the value of the first one and reports that.
 #[test]
 fn what_another_wrote_is_adopted() {
     let conflict = Answer::Conflict(entry(3, "5"));
     assert_eq!(writing().on_answer(at(1), &conflict), Some(Outcome::Stored(5, 3)));
 }
 
-/// A figure is reported that no successor would find: the write was refused, or nothing
-/// stands after it was lost. Neither counts as written.
+/// A write that was refused, or whose key does not exist after a lost answer, does not count as
+/// written. Otherwise a value would be reported that no successor finds.
 #[test]
 fn what_does_not_stand_is_not_reported() {
     assert_eq!(
@@ -65,11 +64,11 @@
     lost.on_answer(at(1), &Answer::Lost);
     let none = Answer::Found(vec![entry(0, "")]);
     assert_eq!(lost.on_answer(at(2), &none), Some(Outcome::Missing));
-    assert_eq!(lost.on_answer(at(3), &none), None, "nothing was asked");
+    assert_eq!(lost.on_answer(at(3), &none), None, "no store call in progress");
 }
 
-/// The duty stands still for ever. The answer to a write is lost on its way inside the
-/// process; the wait for it ends.
+/// If the answer to a write is lost inside the process, the wait for it ends, so that the duty
+/// does not stop for ever.
 #[test]
 fn a_wait_ends() {
     let mut writer = writing();
@@ -78,25 +77,25 @@
     assert!(writer.time_out(at(3_000), patience) && !writer.is_busy());
 }
 
-/// Runners are paid for that nobody wants. An order whose answer was lost is carried out
-/// late, over a newer one; said again after a while, the newer one holds.
+/// An order whose answer was lost may be carried out late and override a newer one, so that unwanted
+/// runners are paid for. An accepted order is therefore restated after some time.
 #[test]
 fn what_stands_is_said_again() {
     let mut targets = Targets::<&str, ()>::default();
     targets.entry("zone-a").set_desired(3);
-    let again = Some(Duration::from_secs(15));
-    let due = targets.due(at(100), again).expect("nothing was accepted");
+    let restate = Some(Duration::from_secs(15));
+    let due = targets.due(at(100), restate).expect("nothing was accepted");
     due.accept(at(100), 3);
-    assert!(targets.due(at(15_000), again).is_none());
+    assert!(targets.due(at(15_000), restate).is_none());
     assert!(targets.due(at(15_000), None).is_none());
     assert_eq!(
-        targets.due(at(15_100), again).map(|target| target.desired),
+        targets.due(at(15_100), restate).map(|target| target.desired),
         Some(3)
     );
 }
 
-/// A burst meets too few runners. An order was refused and waits for its pause; a new
-/// number is due at once.
+/// While a refused order waits for its delay, a new desired count is due immediately; otherwise a
+/// burst would meet too few runners.
 #[test]
 fn a_new_number_does_not_wait() {
     let mut targets = Targets::<&str, ()>::default();
