--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -1,8 +1,8 @@
-//! Many kernels in one process, with fakes at their interfaces.
+//! A simulated cluster: many kernels in one process, with fakes at their interfaces.
 //!
-//! One queue holds everything that is under way; a seeded schedule delays,
-//! drops and doubles messages, pauses, kills and restarts nodes, and has the
-//! store fail. The same seed gives the same run.
+//! One queue holds all pending tasks. A seeded schedule delays, drops and
+//! duplicates messages, pauses, kills and restarts nodes, and makes the store
+//! fail. The same seed gives the same run.
 
 mod jobs;
 mod store;
@@ -16,37 +16,37 @@
 use radishstair_core::lease::Grant;
 use radishstair_core::member::Me;
 use radishstair_core::order::Order;
-use radishstair_core::store::{Call as Ask, Token};
+use radishstair_core::store::{Call as StoreCall, Token};
 use radishstair_core::time::Moment;
 use radishstair_core::usage::report::SealedWindow;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Milliseconds between ticks.
+/// Interval between ticks of a node, in milliseconds.
 const TICK_MS: u64 = 50;
 /// Wall clock at the start, in milliseconds.
 pub const WALL_START_MS: u64 = 1_800_000_000_000;
-/// Monotonic clocks start here, in milliseconds.
+/// Monotonic clocks at the start, in milliseconds.
 const MONO_START_MS: u64 = 30 * 24 * 3_600 * 1_000;
 
-/// How the world misbehaves.
+/// Fault rates and delays.
 #[derive(Clone, Debug)]
 pub struct Faults {
     /// Share of messages between nodes that are lost.
     pub drop: f64,
-    /// Share that come twice.
+    /// Share of messages between nodes that are duplicated.
     pub duplicate: f64,
-    /// Longest delay of a message, in milliseconds.
+    /// Maximum delay of a message, in milliseconds.
     pub delay_ms: u64,
-    /// Share of store calls whose effect stands and whose answer is lost.
+    /// Share of store calls that take effect but whose answer is lost.
     pub lose_answer: f64,
     /// Share of store calls that are refused.
     pub refuse: f64,
-    /// Wall clocks differ by up to this, in milliseconds.
+    /// Maximum difference between wall clocks, in milliseconds.
     pub skew_ms: u64,
     /// Share of orders and reports before which their sender is frozen.
     pub freeze: f64,
-    /// Longest time from the last check of a lease to the receiver.
+    /// Maximum time from the last check of a lease to the receiver, in milliseconds.
     pub transit_ms: u64,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Safeguards left out on purpose, to see that a checker can fail.
+/// A safeguard left out on purpose, to show that a check can fail.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Broken {
     /// Nothing is left out.
@@ -73,9 +73,9 @@
     None,
     /// Every copy of a call runs.
     Claims,
-    /// Orders and reports leave without the last look at the lease.
+    /// Orders and reports are sent without the last check of the lease.
     Grant,
-    /// The store writes whatever version is expected.
+    /// The store writes without comparing versions.
     Swap,
     /// A refusal does not close its key.
     KeyClosing,
@@ -91,7 +91,7 @@
     pub zone: String,
     /// Whether its zone is cut off from the store.
     pub cut_store: bool,
-    /// Partition that it is in; only equal ones reach each other.
+    /// Network partition that it is in; only nodes of the same one reach each other.
     pub partition: u32,
     skew_ms: u64,
     started_at: u64,
@@ -99,11 +99,11 @@
     serial: u64,
 }
 
-/// Something under way.
+/// A pending task; the numbers are the node's index and serial number.
 enum Task {
     Tick(usize, u64),
     Event(usize, u64, Box<Event>),
-    Store(usize, u64, Token, Ask),
+    Store(usize, u64, Token, StoreCall),
     Job(usize, u64, Job),
     Arrive(usize, u64, Job),
     Timer(u64),
@@ -115,9 +115,9 @@
     Report(Grant, SealedWindow),
 }
 
-/// What a node answered to a call of a test.
+/// A node's reply to a call of a test.
 pub struct Replied {
-    /// Node.
+    /// Index of the node.
     pub node: usize,
     /// Call.
     pub call: Call,
@@ -125,40 +125,40 @@
     pub reply: Reply,
 }
 
-/// What the receivers of orders and reports saw.
+/// Messages that the receivers of orders and reports got.
 #[derive(Clone, Debug, Default)]
 pub struct Received {
     /// Orders: time, sender, order.
     pub orders: Vec<(u64, Incarnation, Order)>,
-    /// Reports: time, sender, fencing number, sealed figures.
+    /// Reports: time, sender, fencing number, sealed window.
     pub reports: Vec<(u64, Incarnation, u64, SealedWindow)>,
 }
 
-/// The world.
+/// The simulated cluster with its store and receivers.
 pub struct World {
-    /// Milliseconds since the start.
+    /// Current time, in milliseconds since the start.
     pub now: u64,
-    /// Nodes.
+    /// The nodes.
     pub nodes: Vec<Node>,
-    /// What the store holds: version and value.
+    /// Content of the store: version and value by key.
     pub store: BTreeMap<String, (u64, String)>,
-    /// Whether the store is down for all.
+    /// Whether the store is down for all nodes.
     pub store_down: bool,
-    /// An old state that reads give while it is set.
+    /// Old content of the store, returned by reads while set.
     pub stale: Option<BTreeMap<String, (u64, String)>>,
     /// Replies to calls that tests made.
     pub replies: Vec<Replied>,
-    /// What receivers saw.
+    /// Messages that the receivers got.
     pub received: Received,
-    /// How it misbehaves.
+    /// Fault rates and delays.
     pub faults: Faults,
-    /// What is left out.
+    /// Safeguard that is left out.
     pub broken: Broken,
-    /// The seeded source of all chance.
+    /// The seeded random generator of the simulation.
     pub rng: ChaCha8Rng,
-    /// Watches that wait at the store, by node.
+    /// Nodes that have had a pending watch at the store.
     pub watching: std::collections::BTreeSet<usize>,
-    /// Times asked for by `wake`, that have come.
+    /// Ids of the timers set by `set_timer` that have fired.
     pub fired_timers: Vec<u64>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     tasks: BTreeMap<u64, Task>,
@@ -168,7 +168,7 @@
     node_calls: BTreeMap<u64, (usize, u64)>,
 }
 
-/// Builds a world in a few lines.
+/// Builder of a [`World`].
 pub struct Builder {
     zones: Vec<(String, usize)>,
     faults: Faults,
@@ -177,7 +177,7 @@
 }
 
 impl Builder {
-    /// Two zones of two nodes, the usual faults.
+    /// Two zones of two nodes, with the default faults.
     pub fn new(seed: u64) -> Self {
         Self {
             zones: vec![("a".into(), 2), ("b".into(), 2)],
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Other zones.
+    /// Sets the zones and their numbers of nodes.
     pub fn zones(mut self, zones: &[(&str, usize)]) -> Self {
         self.zones = zones
             .iter()
@@ -196,7 +196,7 @@
         self
     }
 
-    /// Other faults.
+    /// Sets the faults.
     pub fn faults(mut self, faults: Faults) -> Self {
         self.faults = faults;
         self
@@ -208,7 +208,7 @@
         self
     }
 
-    /// The world, with a configuration in the store.
+    /// Builds the world with a configuration in the store and starts all nodes.
     pub fn build(self, configuration: &str) -> World {
         let mut world = World {
             now: 0,
@@ -291,16 +291,16 @@
         self.schedule(offset, Task::Tick(at, self.nodes[at].serial));
     }
 
-    /// Kills a node: its memory is gone.
+    /// Kills a node; its memory is lost.
     pub fn kill(&mut self, at: usize) {
         self.nodes[at].kernel = None;
         self.serial += 1;
         self.nodes[at].serial = self.serial;
     }
 
-    /// Freezes a node for a while; what comes meanwhile waits for it.
-    pub fn pause(&mut self, at: usize, millis: u64) {
-        self.nodes[at].paused_until = self.now + millis;
+    /// Freezes a node for a time; its tasks wait until it resumes.
+    pub fn pause(&mut self, at: usize, duration_ms: u64) {
+        self.nodes[at].paused_until = self.now + duration_ms;
     }
 
     /// Whether a node is up and not frozen.
@@ -308,7 +308,7 @@
         self.nodes[at].kernel.is_some() && self.nodes[at].paused_until <= self.now
     }
 
-    /// A node's clocks.
+    /// Current time by a node's clocks.
     pub fn moment(&self, at: usize) -> Moment {
         Moment {
             mono: (MONO_START_MS + self.now) * 1_000,
@@ -316,7 +316,7 @@
         }
     }
 
-    /// Writes to the store from outside.
+    /// Writes to the store directly.
     pub fn put(&mut self, key: &str, value: &str) {
         self.version += 1;
         self.store.insert(key.into(), (self.version, value.into()));
@@ -328,19 +328,19 @@
         Call(self.calls)
     }
 
-    /// Asks for a word at a time from now.
-    pub fn set_timer(&mut self, after: u64, what: u64) {
-        self.schedule(after, Task::Timer(what));
+    /// Sets a timer; its id is added to `fired_timers` after the delay.
+    pub fn set_timer(&mut self, delay_ms: u64, id: u64) {
+        self.schedule(delay_ms, Task::Timer(id));
     }
 
-    /// Gives a node an event after a delay; it waits while the node is frozen
-    /// and is lost if the node dies.
-    pub fn send_event(&mut self, at: usize, after: u64, event: Event) {
+    /// Sends an event to a node after a delay. It waits while the node is frozen and is lost if the
+    /// node is killed.
+    pub fn send_event(&mut self, at: usize, delay_ms: u64, event: Event) {
         let serial = self.nodes[at].serial;
-        self.schedule(after, Task::Event(at, serial, Box::new(event)));
+        self.schedule(delay_ms, Task::Event(at, serial, Box::new(event)));
     }
 
-    /// How things stand at a node; `None` while it does not run.
+    /// Status of a node; `None` while it does not run.
     pub fn status(&mut self, at: usize) -> Option<Status> {
         if !self.running(at) {
             return None;
@@ -357,7 +357,7 @@
         })
     }
 
-    /// Does the next thing; false when `until` is reached first.
+    /// Runs the next task; returns false if `until` is reached first.
     pub fn step(&mut self, until: u64) -> bool {
         let Some(Reverse((time, serial))) = self.queue.peek().copied() else {
             self.now = until;
@@ -380,16 +380,16 @@
         while self.step(until) {}
     }
 
-    fn schedule(&mut self, after: u64, task: Task) {
+    fn schedule(&mut self, delay_ms: u64, task: Task) {
         self.serial += 1;
-        self.queue.push(Reverse((self.now + after, self.serial)));
+        self.queue.push(Reverse((self.now + delay_ms, self.serial)));
         self.tasks.insert(self.serial, task);
     }
 
     fn run(&mut self, task: Task) {
         let (at, serial) = match &task {
-            Task::Timer(what) => {
-                self.fired_timers.push(*what);
+            Task::Timer(id) => {
+                self.fired_timers.push(*id);
                 return;
             }
             Task::Arrive(at, serial, job) => {
@@ -400,8 +400,7 @@
             Task::Tick(at, serial) | Task::Event(at, serial, _) => (*at, *serial),
             Task::Store(at, serial, ..) | Task::Job(at, serial, _) => (*at, *serial),
         };
-        // A store call that has left the node takes effect whatever becomes
-        // of the node.
+        // A store call that the node has sent takes effect even if the node is killed.
         if let Task::Store(_, _, token, call) = &task {
             let (token, call) = (*token, call.clone());
             self.store_call(at, serial, token, &call);
@@ -426,7 +425,7 @@
         }
     }
 
-    /// Has a node handle an event now.
+    /// Makes a node handle an event now.
     pub fn handle(&mut self, at: usize, event: Event) {
         let now = self.moment(at);
         let Some(kernel) = &mut self.nodes[at].kernel else {
@@ -444,23 +443,23 @@
                 let delay = self.rng.random_range(0..=self.faults.delay_ms);
                 self.schedule(delay, Task::Store(at, serial, token, call));
             }
-            Action::Heartbeat(address, beat) => self.deliver(at, &address, Event::Hear(*beat)),
+            Action::Heartbeat(address, heartbeat) => self.deliver(at, &address, Event::Hear(*heartbeat)),
             Action::Pull(address, pull) => {
                 let call = self.node_call(at);
                 self.deliver(at, &address, Event::Pull(call, pull));
             }
-            Action::Collect(address, ask) => {
+            Action::Collect(address, request) => {
                 let call = self.node_call(at);
-                self.deliver(at, &address, Event::Collect(call, ask));
+                self.deliver(at, &address, Event::Collect(call, request));
             }
             Action::Reply(call, reply) => self.reply(at, call, *reply),
             Action::Order(grant, order) => self.schedule_job(at, serial, Job::Order(grant, order)),
-            Action::Report(grant, seal) => self.schedule_job(at, serial, Job::Report(grant, seal)),
+            Action::Report(grant, window) => self.schedule_job(at, serial, Job::Report(grant, window)),
             Action::View(_) | Action::Members(_) | Action::Trusted(_) | Action::Exit => {}
         }
     }
 
-    /// A call that stands for a question between nodes.
+    /// A call id for a request between nodes.
     fn node_call(&mut self, at: usize) -> Call {
         let call = self.call();
         self.node_calls.insert(call.0, (at, self.nodes[at].serial));
--- a/tests/suite/world/jobs.rs
+++ b/tests/suite/world/jobs.rs
@@ -1,4 +1,4 @@
-//! Orders and reports on their way: the shell's last look, the transit, and
+//! Sending of orders and reports: the last check of the lease, the transit, and
 //! receivers that ignore fencing numbers.
 
 use radishstair_core::kernel::Event;
@@ -10,14 +10,14 @@
     pub(super) fn schedule_job(&mut self, at: usize, serial: u64, job: Job) {
         if self.rng.random_bool(self.faults.freeze) {
             // Frozen between the decision and the send.
-            let span = self.rng.random_range(1_000..25_000);
-            self.pause(at, span);
+            let duration_ms = self.rng.random_range(1_000..25_000);
+            self.pause(at, duration_ms);
         }
         let delay = self.rng.random_range(0..=self.faults.delay_ms);
         self.schedule(delay, Task::Job(at, serial, job));
     }
 
-    /// The shell's last look, then the way to the receiver.
+    /// Checks the lease a last time, then sends the job to the receiver.
     pub(super) fn send_job(&mut self, at: usize, serial: u64, job: Job) {
         let (Job::Order(grant, _) | Job::Report(grant, _)) = &job;
         if self.broken != Broken::Grant && !grant.covers(self.moment(at)) {
@@ -32,7 +32,7 @@
         let me = self.nodes[at].me;
         let reachable = !self.store_down && !self.nodes[at].cut_store;
         if !reachable || self.nodes[at].serial != serial {
-            // The sender died on the way: the message still lands.
+            // If the sender was killed during the transit, the message still arrives.
             if self.nodes[at].serial == serial {
                 self.send_event(at, 0, refused(&job));
                 return;
@@ -40,10 +40,11 @@
         }
         match &job {
             Job::Order(_, order) => self.received.orders.push((self.now, me, order.clone())),
-            Job::Report(grant, seal) => self
-                .received
-                .reports
-                .push((self.now, me, grant.fence, seal.clone())),
+            Job::Report(grant, window) => {
+                self.received
+                    .reports
+                    .push((self.now, me, grant.fence, window.clone()))
+            }
         }
         if self.nodes[at].serial != serial {
             return;
--- a/tests/suite/world/store.rs
+++ b/tests/suite/world/store.rs
@@ -1,4 +1,4 @@
-//! The store of the world: one ordered map, with failures.
+//! The simulated store: one ordered map, with faults.
 
 use radishstair_core::kernel::Event;
 use radishstair_core::store::{self, Answer, Entry, Token};
@@ -8,14 +8,14 @@
 
 impl World {
     pub(super) fn store_call(&mut self, at: usize, serial: u64, token: Token, call: &store::Call) {
-        let dead = self.nodes[at].serial != serial;
-        if matches!(call, store::Call::Watch { .. }) && !dead {
+        let killed = self.nodes[at].serial != serial;
+        if matches!(call, store::Call::Watch { .. }) && !killed {
             self.watching.insert(at);
         }
-        let cut = self.store_down || self.nodes[at].cut_store;
-        let refused = cut || self.rng.random_bool(self.faults.refuse);
+        let unreachable = self.store_down || self.nodes[at].cut_store;
+        let refused = unreachable || self.rng.random_bool(self.faults.refuse);
         let lost = self.rng.random_bool(self.faults.lose_answer);
-        let mut answer = match (refused, cut && self.rng.random_bool(0.5)) {
+        let mut answer = match (refused, unreachable && self.rng.random_bool(0.5)) {
             (true, true) => Answer::Lost,
             (true, false) => Answer::Refused,
             (false, _) => self.apply(call),
@@ -23,7 +23,7 @@
         if let store::Call::Watch { prefix, after } = call
             && matches!(&answer, Answer::Found(found) if found.is_empty())
         {
-            // Waits at the store: look again in a while, as a fake may.
+            // The watch is pending; a fake may poll for it.
             let call = store::Call::Watch {
                 prefix: prefix.clone(),
                 after: after.clone(),
@@ -34,7 +34,7 @@
         if lost {
             answer = Answer::Lost;
         }
-        if !dead {
+        if !killed {
             let delay = match answer {
                 Answer::Lost => 2_000,
                 _ => self.rng.random_range(0..=self.faults.delay_ms),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// What the store does, as one step.
+    /// Applies a store call atomically.
     pub fn apply(&mut self, call: &store::Call) -> Answer {
         match call {
             store::Call::Swap { key, expect, value } => {
