--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -16,7 +16,7 @@
 use crate::at_most_once::{Claim, Records, Verdict};
 use crate::error::{Kind, Refusal};
 use crate::id::{Call, Incarnation};
-use crate::store::{Answer, Call as Ask, Entry, Token};
+use crate::store::{Answer, Call as StoreCall, Entry, Token};
 use crate::time::Moment;
 
 /// Store prefix of claims that are never deleted.
@@ -143,7 +143,7 @@
         token: Token,
         (call, key): (Call, &str),
         (customer, body): (&str, u64),
-    ) -> Result<Verdict, Ask> {
+    ) -> Result<Verdict, StoreCall> {
         let claim = digest(customer, key);
         if records.contains(&claim) {
             return Ok(records.begin_claim(now, call, claim, customer, body));
@@ -168,7 +168,7 @@
         };
         let store_key = pending.store_key.clone();
         self.pending.push((token, pending));
-        Err(Ask::Swap {
+        Err(StoreCall::Swap {
             key: store_key,
             expect: 0,
             value: serde_json::to_string(&record).unwrap_or_default(),
@@ -184,7 +184,7 @@
         token: Token,
         next_token: Token,
         answer: &Answer,
-    ) -> Option<(Call, Result<Verdict, Ask>)> {
+    ) -> Option<(Call, Result<Verdict, StoreCall>)> {
         let at = self.pending.iter().position(|(have, _)| *have == token)?;
         let (_, mut pending) = self.pending.swap_remove(at);
         let call = pending.call;
@@ -202,7 +202,7 @@
                 pending.read_backs += 1;
                 let key = pending.store_key.clone();
                 self.pending.push((next_token, pending));
-                Err(Ask::Get { key })
+                Err(StoreCall::Get { key })
             }
             Answer::Lost => Ok(unsettled()),
         };
