--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -9,7 +9,7 @@
 /// Whether a refused call reached a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ran {
+pub enum Execution {
     /// No byte reached a runner and none will.
     NotRun,
     /// The call ran; its answer is included or lost.
@@ -52,8 +52,8 @@
             }
 
             /// Whether the call ran, unless the refusal says otherwise.
-            pub fn ran(self) -> Ran {
-                match self { $(Kind::$kind => Ran::$ran,)* }
+            pub fn ran(self) -> Execution {
+                match self { $(Kind::$kind => Execution::$ran,)* }
             }
 
             /// How the call may be repeated, unless the refusal says otherwise.
@@ -134,7 +134,7 @@
         /// Reason.
         pub kind: Kind,
         /// Whether the call ran.
-        pub ran: Ran,
+        pub ran: Execution,
         /// Whether and how the call may be repeated.
         pub repeat: Repeat,
         /// Time until the caller should retry.
@@ -184,7 +184,7 @@
 
     /// Sets that the call may have run and may be repeated with the same key.
     pub fn outcome_unknown(mut self) -> Self {
-        self.ran = Ran::Unknown;
+        self.ran = Execution::Unknown;
         self.repeat = Repeat::SameKey;
         self
     }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -5,7 +5,7 @@
 //! after a reset, a closed connection or a timeout it may have. A request that may run at
 //! most once is not retried then, as another send could post an entry twice.
 
-use crate::error::{Ran, Refusal};
+use crate::error::{Execution, Refusal};
 
 plain! {
     /// How an attempt at one runner ended without an answer.
@@ -141,7 +141,7 @@
     pub fn adjust_refusal(&self, refusal: Refusal) -> Refusal {
         match self.may_have_run {
             true => Refusal {
-                ran: Ran::Unknown,
+                ran: Execution::Unknown,
                 ..refusal
             },
             false => refusal,
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -14,7 +14,7 @@
 use radishstair_core::config::Mode;
 use radishstair_core::config::view::{Route, View};
 use radishstair_core::dispatch::{Assignment, Outcome, Submission};
-use radishstair_core::error::{Kind, Ran, Refusal, Repeat};
+use radishstair_core::error::{Execution, Kind, Refusal, Repeat};
 use radishstair_core::id::{Incarnation, digest};
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::peer::{Forward, Forwarded};
@@ -171,7 +171,7 @@
             verdict => self.settle(&job, verdict).await,
         };
         match answer {
-            Err(refusal) if refusal.ran == Ran::NotRun && refusal.repeat == Repeat::NewKey => {
+            Err(refusal) if refusal.ran == Execution::NotRun && refusal.repeat == Repeat::NewKey => {
                 Ok(self.with_next_key(&refusal, customer).await)
             }
             other => other,
@@ -439,9 +439,9 @@
 fn unsettled(refusal: Refusal) -> Refusal {
     match refusal.kind {
         Kind::BadRequest | Kind::TooLarge | Kind::NotFound | Kind::MissingKey => refusal,
-        _ if refusal.ran != Ran::NotRun => refusal,
+        _ if refusal.ran != Execution::NotRun => refusal,
         _ if refusal.repeat == Repeat::Never => Refusal {
-            ran: Ran::Unknown,
+            ran: Execution::Unknown,
             ..refusal
         },
         _ => refusal.outcome_unknown(),
--- a/crates/entry/src/front/call/answer.rs
+++ b/crates/entry/src/front/call/answer.rs
@@ -5,7 +5,7 @@
 use hyper::Response;
 use hyper::header::HeaderValue;
 use radishstair_core::at_most_once::Answer;
-use radishstair_core::error::{Kind, Ran, Refusal};
+use radishstair_core::error::{Execution, Kind, Refusal};
 use radishstair_core::peer::Forwarded;
 use radishstair_wire::http;
 
@@ -23,7 +23,7 @@
     match answer.body {
         Some(body) => Ok(response("recorded", answer.status, body.into())),
         None => Err(Refusal {
-            ran: Ran::Ran,
+            ran: Execution::Ran,
             ..Refusal::new(Kind::KeyReused).detail("it ran; its answer was too long to keep")
         }),
     }
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use radishstair_core::config::view::Route;
 use radishstair_core::dispatch::{Assignment, Outcome, Submission};
-use radishstair_core::error::{Kind, Ran, Refusal};
+use radishstair_core::error::{Execution, Kind, Refusal};
 use radishstair_core::id::Call;
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::retry::{Fault, History, Rule};
@@ -363,7 +363,7 @@
                 None => {
                     // Some of it ran, whatever the last attempt says.
                     let refusal = Refusal {
-                        ran: Ran::Ran,
+                        ran: Execution::Ran,
                         ..refusal
                     };
                     let _ = pieces.send(Piece::Broken(refusal)).await;
--- a/tests/suite/calls/postings.rs
+++ b/tests/suite/calls/postings.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use radishstair_core::at_most_once::{Answer, Completion, Key, Verdict};
-use radishstair_core::error::{Kind, Ran, Refusal, Repeat};
+use radishstair_core::error::{Execution, Kind, Refusal, Repeat};
 use radishstair_core::id::{Call, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::ticket::Ticket;
@@ -353,7 +353,7 @@
         if item.key.as_deref() != Some(key) || item.settled {
             return;
         }
-        if refusal.ran == Ran::NotRun {
+        if refusal.ran == Execution::NotRun {
             item.said_not_run.push(key.to_string());
         }
         match refusal.repeat {
--- a/tests/suite/proxy/freshness.rs
+++ b/tests/suite/proxy/freshness.rs
@@ -45,7 +45,7 @@
         .may_send(at(3_100), &admission, &ask)
         .expect_err("the proof is old");
     assert_eq!(refusal.kind, Kind::Stale);
-    assert_eq!(refusal.ran, radishstair_core::error::Ran::NotRun);
+    assert_eq!(refusal.ran, radishstair_core::error::Execution::NotRun);
 }
 
 /// A key that was just added is not known to a host that has not read the newer
--- a/tests/suite/repeat.rs
+++ b/tests/suite/repeat.rs
@@ -1,7 +1,7 @@
 //! Whether a request may be sent to another runner, without sockets.
 
 use quickcheck::{TestResult, quickcheck};
-use radishstair_core::error::{Kind, Ran, Refusal};
+use radishstair_core::error::{Execution, Kind, Refusal};
 use radishstair_core::retry::{Denial, Fault, History, Rule};
 
 const POSTING: Rule = Rule {
@@ -80,10 +80,10 @@
 fn a_refusal_after_a_run_leaves_it_open() {
     let mut history = History::<u32>::default();
     let no_runner = || Refusal::new(Kind::NoRunner);
-    assert_eq!(history.adjust_refusal(no_runner()).ran, Ran::NotRun);
+    assert_eq!(history.adjust_refusal(no_runner()).ran, Execution::NotRun);
     history.record_send();
     history.record_failure(&LOOK_UP, Fault::MayHaveRun, false, || true);
-    assert_eq!(history.adjust_refusal(no_runner()).ran, Ran::Unknown);
+    assert_eq!(history.adjust_refusal(no_runner()).ran, Execution::Unknown);
 }
 
 quickcheck! {
