--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -80,9 +80,11 @@
     /// The first target for which an order is due: one that was not accepted yet, or was accepted
     /// at least `restate` ago.
     pub fn due(&mut self, now: Moment, restate: Option<Duration>) -> Option<&mut Target<K, X>> {
-        let old = |target: &Target<K, X>| restate.is_some_and(|span| now.since(target.next_attempt) >= span);
+        let is_old = |target: &Target<K, X>| {
+            restate.is_some_and(|interval| now.since(target.next_attempt) >= interval)
+        };
         let due = |target: &&mut Target<K, X>| {
-            now.reached(target.next_attempt) && (target.is_unconfirmed() || old(target))
+            now.reached(target.next_attempt) && (target.is_unconfirmed() || is_old(target))
         };
         self.rows.iter_mut().find(due)
     }
--- a/crates/core/src/write_once.rs
+++ b/crates/core/src/write_once.rs
@@ -62,16 +62,16 @@
         self.step.is_some()
     }
 
-    /// Abandons a store call that has been in progress for `patience`; returns whether it did.
-    pub fn time_out(&mut self, now: Moment, patience: Duration) -> bool {
-        let late = self
+    /// Abandons a store call that has been in progress for `timeout`; returns whether it did.
+    pub fn time_out(&mut self, now: Moment, timeout: Duration) -> bool {
+        let timed_out = self
             .step
             .as_ref()
-            .is_some_and(|(since, _)| now.since(*since) >= patience);
-        if late {
+            .is_some_and(|(since, _)| now.since(*since) >= timeout);
+        if timed_out {
             self.step = None;
         }
-        late
+        timed_out
     }
 
     /// Handles the store's answer; none if no store call is in progress.
--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -212,8 +212,8 @@
             world.start(at);
         }
         2 => {
-            let span = world.rng.random_range(SECOND..15 * SECOND);
-            world.pause(at, span);
+            let duration_ms = world.rng.random_range(SECOND..15 * SECOND);
+            world.pause(at, duration_ms);
         }
         3 => world.nodes[at].partition ^= 1,
         4 => world.nodes[at].cut_store = !world.nodes[at].cut_store,
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -321,16 +321,16 @@
         .into_iter()
         .find(|(scenario, _)| scenario.name.contains("peak day"));
     let (scenario, document) = peak.expect("a peak day scenario exists");
-    let (mut kept, mut all) = (0, 0);
+    let (mut in_time, mut all) = (0, 0);
     for seed in 0..10 {
         let measure = play(&scenario, &document, Policy::Full, 200 + seed);
         all += measure.promises.0;
-        kept += measure.promises.1;
+        in_time += measure.promises.1;
     }
-    println!("{kept} of {all} reserved retries served in time");
+    println!("{in_time} of {all} reserved retries served in time");
     assert!(
-        all > 1_000 && kept * 10 >= all * 9,
-        "{kept} of {all} reserved retries served in time"
+        all > 1_000 && in_time * 10 >= all * 9,
+        "{in_time} of {all} reserved retries served in time"
     );
 }
 
--- a/tests/suite/seal.rs
+++ b/tests/suite/seal.rs
@@ -72,9 +72,9 @@
 #[test]
 fn a_wait_ends() {
     let mut writer = writing();
-    let patience = Duration::from_secs(3);
-    assert!(!writer.time_out(at(2_900), patience) && writer.is_busy());
-    assert!(writer.time_out(at(3_000), patience) && !writer.is_busy());
+    let timeout = Duration::from_secs(3);
+    assert!(!writer.time_out(at(2_900), timeout) && writer.is_busy());
+    assert!(writer.time_out(at(3_000), timeout) && !writer.is_busy());
 }
 
 /// An order whose answer was lost may be carried out late and override a newer one, so that unwanted
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -79,8 +79,8 @@
             world.start(at);
         }
         0..=3 => {
-            let span = world.rng.random_range(SECOND..20 * SECOND);
-            world.pause(at, span);
+            let duration_ms = world.rng.random_range(SECOND..20 * SECOND);
+            world.pause(at, duration_ms);
         }
         4 => world.nodes[at].cut_store = true,
         5 => world.nodes.iter_mut().for_each(|node| node.cut_store = false),
@@ -182,14 +182,14 @@
             "{reported} reported of {counted} counted, and no host was killed"
         ));
     }
-    let died = truth.killed.len() as u64;
+    let kills = truth.killed.len() as u64;
     let missing = counted - reported;
-    lost.lock().expect("not poisoned").push((died, missing));
+    lost.lock().expect("not poisoned").push((kills, missing));
     match fault_kind {
         // At most five calls per second and host: those of the open chunk of two seconds and of up
         // to three heartbeats that were lost in a row.
-        FaultKind::KillsOnly if missing > died * 25 => {
-            Err(format!("{missing} calls lost with {died} crashes"))
+        FaultKind::KillsOnly if missing > kills * 25 => {
+            Err(format!("{missing} calls lost with {kills} crashes"))
         }
         _ => Ok(()),
     }
@@ -231,9 +231,9 @@
 
 fn print_losses(what: &str, lost: Mutex<Vec<(u64, u64)>>) {
     let lost = lost.into_inner().expect("not poisoned");
-    let died: u64 = lost.iter().map(|(died, _)| died).sum();
+    let kills: u64 = lost.iter().map(|(kills, _)| kills).sum();
     let missing: u64 = lost.iter().map(|(_, missing)| missing).sum();
-    println!("{what}: {died} crashes lost {missing} calls, at most 5 per second and host");
+    println!("{what}: {kills} crashes lost {missing} calls, at most 5 per second and host");
 }
 
 /// The check must detect a second report, or one of a former reporter, if the last check of the
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -410,8 +410,8 @@
             return;
         }
         if self.nodes[at].paused_until > self.now {
-            let left = self.nodes[at].paused_until - self.now;
-            self.schedule(left, task);
+            let remaining_ms = self.nodes[at].paused_until - self.now;
+            self.schedule(remaining_ms, task);
             return;
         }
         match task {
