--- a/crates/core/src/dispatch/placement.rs
+++ b/crates/core/src/dispatch/placement.rs
@@ -327,26 +327,27 @@
             }
             Locality::Local | Locality::Remote | Locality::RemoteOnly => self.capacity(runner),
         };
-        let yields_share = shares_remote
+        let limits_share = shares_remote
             && locality == Locality::Local
             && !self.protected
             && self.contention_for(runner).higher_priority;
         let used = runner.running + runner.peer_running;
         let within_share =
-            !yields_share || runner.unreported < self.share_of_free(capacity, used, runner.unreported);
-        let limits_to_peers = self.policy.yields_to_peers() && locality == Locality::Local && !self.protected;
+            !limits_share || runner.unreported < self.share_of_free(capacity, used, runner.unreported);
+        let shares_with_peers =
+            self.policy.yields_to_peers() && locality == Locality::Local && !self.protected;
         let within_peer_share =
-            !limits_to_peers || runner.running < self.share_beside_peers(runner, capacity);
+            !shares_with_peers || runner.running < self.share_beside_peers(runner, capacity);
         runner.is_available(self.now) && used < capacity && within_share && within_peer_share
     }
 
     /// Maximum calls of this host on a runner while zone peers have calls waiting for its pool.
     ///
-    /// On a full runner, the host whose call ends sees the free slot at once and uses it again
-    /// before its peers get the news. With one engine of two slots, a host held both for 4.5 s
-    /// while all 28 calls of its peer became late. So every host with waiting calls is left an
-    /// even share. A host that needs less than its share reports no waiting calls and the others
-    /// use the rest, so that a slot stays free no longer than that report takes.
+    /// On a full runner, the host whose call ends sees the free slot at once and would reuse it
+    /// before its report reaches its peers. With one engine of two slots, a host held both for
+    /// 4.5 s while all 28 calls of its peer became late. So every host with waiting calls is
+    /// left an even share. A host that needs less than its share reports no waiting calls and
+    /// the others use the rest, so that a slot stays free no longer than that report takes.
     fn share_beside_peers(&self, runner: &Runner, capacity: u32) -> u32 {
         let pool = runner.listing.pool.as_str();
         let peers = self.waiting_peers.iter().find(|(name, _)| name == pool);
