--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -1,7 +1,7 @@
 //! The opaque front: requests are passed on to runners byte by byte, as an
 //! operator's document says, in the words of whatever platform it runs on.
 //!
-//! What it needs of the platform's language stands in [`dialect`]; decisions
+//! What it needs of the platform's language stands in [`adapter`]; decisions
 //! are in the core crate. A control thread keeps the beliefs up to date and
 //! holds duties, traffic threads forward.
 
@@ -23,27 +23,27 @@
 use crate::clock::Clock;
 use crate::flight::{self, Flight};
 use crate::metrics::Metrics;
-use dialect::Dialect;
+use adapter::Adapter;
 
 pub mod accept;
+pub mod adapter;
 pub mod admin;
-pub mod beliefs;
+pub mod buffered;
 pub mod call;
 pub mod changes;
-pub mod dialect;
+pub mod client;
+pub mod discovery;
 pub mod document;
 pub mod duty;
 pub mod events;
 pub mod forward;
+pub mod gossip;
 pub mod job;
-pub mod peers;
-pub mod plain;
 pub mod records;
 pub mod reply;
 pub mod run;
 pub mod settings;
 pub mod slot;
-pub mod store;
 pub mod stream;
 pub mod sync;
 
@@ -62,7 +62,7 @@
     /// Counters.
     pub metrics: Metrics,
     /// The platform's language.
-    pub dialect: Arc<dyn Dialect>,
+    pub adapter: Arc<dyn Adapter>,
     /// Settings as last read.
     pub settings: ArcSwap<settings::Settings>,
     /// Whether the process was told to stop.
@@ -89,7 +89,7 @@
 
 impl Shared {
     /// State of a process that has just started.
-    pub fn new(settings: settings::Settings, dialect: Arc<dyn Dialect>) -> Arc<Self> {
+    pub fn new(settings: settings::Settings, adapter: Arc<dyn Adapter>) -> Arc<Self> {
         let state = State::new(settings.bounds.clone(), &settings.zone);
         let clock = Clock::default();
         let mut civil = Civil::default();
@@ -98,7 +98,7 @@
             began: civil.now(clock.now()),
             clock,
             metrics: Metrics::default(),
-            dialect,
+            adapter,
             settings: ArcSwap::from_pointee(settings),
             stopping: AtomicBool::new(false),
             state: Mutex::new(state),
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -18,7 +18,7 @@
 
 use super::Shared;
 use super::call::{self, LIMIT, WRITE};
-use super::store::Asker;
+use super::client::Client;
 
 /// Prefix of this system's own keys.
 pub const PREFIX: &str = "radishstair/";
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Records {
     shared: Arc<Shared>,
-    store: Arc<Asker>,
+    store: Arc<Client>,
     presence: Written,
     counts: Written,
     announced: bool,
@@ -79,7 +79,7 @@
 
 impl Records {
     /// Of a run that has written nothing.
-    pub fn new(shared: Arc<Shared>, store: Arc<Asker>) -> Self {
+    pub fn new(shared: Arc<Shared>, store: Arc<Client>) -> Self {
         let run = run(&shared.settings.load().host, shared.me);
         let written = |prefix: &str| Written {
             key: format!("{prefix}{run}"),
@@ -181,13 +181,13 @@
                 after,
                 limit: LIMIT,
             };
-            let page = call::ask(&self.shared, &self.store, &call, WRITE).await;
+            let page = call::send(&self.shared, &self.store, &call, WRITE).await;
             let Answer::Found(entries) = page.answer else {
                 return;
             };
             let last = entries
                 .last()
-                .filter(|_| page.more)
+                .filter(|_| page.has_more)
                 .map(|entry| entry.key.clone());
             let now = self.shared.now();
             for record in entries.iter().filter_map(parse) {
@@ -213,7 +213,7 @@
                 };
                 let expect = *version;
                 let call = Call::Remove { key, expect };
-                let answer = call::ask(&self.shared, &self.store, &call, WRITE).await.answer;
+                let answer = call::send(&self.shared, &self.store, &call, WRITE).await.answer;
                 tracing::info!(event = "host-forgotten", host = record.host, incarnation = %record.incarnation, answer = ?answer);
             }
         }
@@ -234,7 +234,7 @@
 /// Writes a key of this run; whether it stands then.
 async fn put(
     shared: &Shared,
-    store: &Asker,
+    store: &Client,
     written: &mut Written,
     value: Result<String, serde_json::Error>,
 ) -> bool {
@@ -247,7 +247,7 @@
         expect: written.version,
         value,
     };
-    match call::ask(shared, store, &call, WRITE).await.answer {
+    match call::send(shared, store, &call, WRITE).await.answer {
         Answer::Written(version) => {
             written.version = version;
             true
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -18,10 +18,10 @@
 use radishstair_core::time::Moment;
 use tokio::sync::mpsc;
 
-use super::beliefs::Beliefs;
 use super::call::{self, LIMIT};
+use super::client::Client;
+use super::discovery::Discovery;
 use super::records::{self, COUNTS, NOTHING, Own, PREFIX};
-use super::store::Asker;
 use super::{Shared, changes, document};
 use crate::upstream::pool::Pool;
 
@@ -40,9 +40,9 @@
 const DEFERRED: u32 = 3;
 
 /// Reads round after round until `own` is closed.
-pub async fn run(shared: Arc<Shared>, store: Arc<Asker>, runners: Arc<Pool>, own: mpsc::Sender<Own>) {
+pub async fn run(shared: Arc<Shared>, store: Arc<Client>, runners: Arc<Pool>, own: mpsc::Sender<Own>) {
     let mut reader = Reader {
-        beliefs: Beliefs::new(shared.clone(), runners),
+        discovery: Discovery::new(shared.clone(), runners),
         shared,
         store,
         own,
@@ -71,12 +71,12 @@
 
 struct Reader {
     shared: Arc<Shared>,
-    store: Arc<Asker>,
-    beliefs: Beliefs,
+    store: Arc<Client>,
+    discovery: Discovery,
     own: mpsc::Sender<Own>,
     share: Share,
     /// Connections to the peers that were asked, sorted by address.
-    peers: Vec<(SocketAddr, Asker)>,
+    peers: Vec<(SocketAddr, Client)>,
     /// Where the last round learned what is new.
     source: Option<Source>,
     backoff: Backoff,
@@ -150,7 +150,7 @@
         let asked = self.shared.now();
         let shared = self.shared.clone();
         let have = shared.document().version();
-        let mut told = changes::ask(&shared, self.connection(peer), peer, after, have).await?;
+        let mut told = changes::fetch(&shared, self.connection(peer), peer, after, have).await?;
         if let Some(notice) = told.document.take() {
             document::hear(&shared, asked, notice);
         }
@@ -158,14 +158,14 @@
     }
 
     /// The connections to a peer; those to hosts that no longer live are dropped.
-    fn connection(&mut self, peer: SocketAddr) -> &Asker {
+    fn connection(&mut self, peer: SocketAddr) -> &Client {
         let live = self.shared.peers.load();
         self.peers
             .retain(|(have, _)| *have == peer || live.contains(have));
         let at = match self.peers.binary_search_by_key(&peer, |(have, _)| *have) {
             Ok(at) => at,
             Err(at) => {
-                self.peers.insert(at, (peer, Asker::default()));
+                self.peers.insert(at, (peer, Client::default()));
                 at
             }
         };
@@ -188,17 +188,17 @@
                 prefix: String::new(),
                 after: match after.is_empty() {
                     // It sorts before the other keys.
-                    true => self.shared.dialect.keys().document.to_string(),
+                    true => self.shared.adapter.store_keys().document.to_string(),
                     false => after.clone(),
                 },
                 limit: LIMIT,
             };
-            let page = call::ask(&self.shared, &self.store, &call, PAGE).await;
+            let page = call::send(&self.shared, &self.store, &call, PAGE).await;
             let Answer::Found(mut entries) = page.answer else {
                 return false;
             };
             strip_counts(&mut entries);
-            let last = entries.last().filter(|_| page.more);
+            let last = entries.last().filter(|_| page.has_more);
             let last = last.map(|entry| entry.key.clone());
             if after.is_empty()
                 && last.is_some()
@@ -210,7 +210,7 @@
                 after,
                 entries,
                 more: last.is_some(),
-                revision: page.revision,
+                revision: page.store_revision,
                 sent,
             });
             let Some(last) = last else {
@@ -243,16 +243,16 @@
 
     /// Puts in force what all keys say; whether any runner has changed.
     fn settle(&mut self) -> bool {
-        let keys = self.shared.dialect.keys();
+        let keys = self.shared.adapter.store_keys();
         let (as_of, runners, own) = {
             let mirror = self.shared.mirror();
             let Some(as_of) = mirror.as_of() else {
                 return false;
             };
             let under = |prefix: &str| mirror.under(prefix).to_vec();
-            (as_of, under(keys.runners), under(PREFIX))
+            (as_of, under(keys.runner_prefix), under(PREFIX))
         };
-        let changed = self.beliefs.list(as_of, &runners);
+        let changed = self.discovery.list(as_of, &runners);
         // A full channel is emptied by the next round.
         let _ = self.own.try_send(Own { as_of, entries: own });
         changed
@@ -286,12 +286,12 @@
 
 /// Asks the store now and then whether it still answers this host, where nothing
 /// else has asked it.
-pub async fn watch_store(shared: Arc<Shared>, store: Arc<Asker>) {
+pub async fn watch_store(shared: Arc<Shared>, store: Arc<Client>) {
     loop {
         let now = shared.now();
         let key = NOTHING.to_string();
         if !shared.state().store_answered.covers(now, STORE_ASKED) {
-            call::ask(&shared, &store, &Call::Peek { key }, PAGE).await;
+            call::send(&shared, &store, &Call::Peek { key }, PAGE).await;
         }
         tokio::time::sleep(STORE_ASKED / 4).await;
     }
