--- a/crates/core/src/config/check.rs
+++ b/crates/core/src/config/check.rs
@@ -34,7 +34,7 @@
     let floors: u32 = document.tiers.iter().map(|tier| u32::from(tier.floor)).sum();
     ensure!(
         floors <= 50,
-        "tiers: the floors add up to {floors}; 50 percent at most leaves room for priorities"
+        "tiers: the floors add up to {floors} percent; at most 50 are allowed, so that priorities have an effect"
     );
     for tier in document.tiers.iter() {
         ensure!(
@@ -69,7 +69,7 @@
         );
         ensure!(
             !class.path.starts_with("/v1/"),
-            "classes.{}.path: paths under /v1/ are the router's own",
+            "classes.{}.path: paths under /v1/ are reserved for the router",
             class.name
         );
         let duplicate = document
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -57,7 +57,7 @@
         pub listing: Listing,
         /// Number of this host's calls on it.
         pub running: u32,
-        /// Number of this host's peers' calls on it, as last reported.
+        /// Number of calls of its peers on it, as last reported.
         pub peer_running: u32,
         /// Number of this host's calls that started in the current round and may not have been
         /// reported to all peers.
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -44,9 +44,9 @@
 
 /// Start of the window that contains a wall-clock time, in milliseconds since the Unix epoch.
 ///
-/// Windows are identified by their start, not numbered. Hosts may differ in the length, before
-/// their first configuration or while a change of it spreads, and the same number would then
-/// mean times that are years apart.
+/// Windows are identified by their start, not by a number. Hosts may use different lengths, before
+/// their first configuration or while a change of the length spreads, and the same number would
+/// then mean times that are years apart.
 pub fn window_start(now: Moment, length: Duration) -> u64 {
     let length = (length.as_millis() as u64).max(1);
     now.wall / length * length
--- a/tests/suite/repeat.rs
+++ b/tests/suite/repeat.rs
@@ -27,8 +27,8 @@
     );
 }
 
-/// A request that a runner states it has not run goes to the next one, up to the maximum number of
-/// attempts.
+/// If a runner states that it has not run a request, the request goes to the next runner, up to the
+/// maximum number of attempts; the caller is refused only then.
 #[test]
 fn what_has_not_run_goes_on_up_to_the_attempts() {
     let mut history = History::<u32>::default();
