--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -195,7 +195,7 @@
         if self.spent.binary_search(&claim).is_ok() {
             return Verdict::Refuse(Kind::KeyExpired.into());
         }
-        let at = match self.claims.binary_search_by(|(have, _)| have.cmp(&claim)) {
+        let at = match self.claims.binary_search_by(|(existing, _)| existing.cmp(&claim)) {
             Ok(at) => at,
             Err(at) => {
                 let record = Record {
@@ -216,7 +216,10 @@
 
     /// Whether this process has decided about a claim.
     pub fn contains(&self, claim: &Claim) -> bool {
-        let recorded = self.claims.binary_search_by(|(have, _)| have.cmp(claim)).is_ok();
+        let recorded = self
+            .claims
+            .binary_search_by(|(existing, _)| existing.cmp(claim))
+            .is_ok();
         recorded || self.spent.binary_search(claim).is_ok()
     }
 
@@ -315,7 +318,10 @@
                 self.tickets.get_mut(at as usize)
             }
             Key::Claim(claim) => {
-                let at = self.claims.binary_search_by(|(have, _)| have.cmp(&claim)).ok()?;
+                let at = self
+                    .claims
+                    .binary_search_by(|(existing, _)| existing.cmp(&claim))
+                    .ok()?;
                 Some(&mut self.claims[at].1)
             }
         }
@@ -398,11 +404,13 @@
             };
             Verdict::Run(key)
         }
-        State::Running { body: have, .. }
+        State::Running {
+            body: recorded_body, ..
+        }
         | State::Ended {
-            body: have,
+            body: recorded_body,
             completion: Completion::Ran(_) | Completion::Unknown,
-        } if *have != body => Verdict::Refuse(Kind::KeyReused.into()),
+        } if *recorded_body != body => Verdict::Refuse(Kind::KeyReused.into()),
         State::Running { waiting, .. } => {
             waiting.push(call);
             Verdict::Wait
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -185,7 +185,7 @@
         next_token: Token,
         answer: &Answer,
     ) -> Option<(Call, Result<Verdict, StoreCall>)> {
-        let at = self.pending.iter().position(|(have, _)| *have == token)?;
+        let at = self.pending.iter().position(|(existing, _)| *existing == token)?;
         let (_, mut pending) = self.pending.swap_remove(at);
         let call = pending.call;
         let result = match answer {
--- a/crates/core/src/config/table.rs
+++ b/crates/core/src/config/table.rs
@@ -45,7 +45,10 @@
 
     /// Adds or replaces a record.
     pub fn put(&mut self, item: T) {
-        match self.0.binary_search_by(|have| have.name().cmp(item.name())) {
+        match self
+            .0
+            .binary_search_by(|existing| existing.name().cmp(item.name()))
+        {
             Ok(at) => self.0[at] = item,
             Err(at) => self.0.insert(at, item),
         }
--- a/crates/core/src/config/view.rs
+++ b/crates/core/src/config/view.rs
@@ -87,10 +87,10 @@
         let hash: [u8; 32] = Sha256::digest(presented.as_bytes()).into();
         let at = self
             .hashes
-            .binary_search_by(|(have, _)| have.cmp(&hash))
+            .binary_search_by(|(stored, _)| stored.cmp(&hash))
             .map_err(|_| Refusal::new(Kind::UnknownKey))?;
-        let (have, key) = self.hashes[at];
-        if !bool::from(have.ct_eq(&hash)) {
+        let (stored, key) = self.hashes[at];
+        if !bool::from(stored.ct_eq(&hash)) {
             return Err(Kind::UnknownKey.into());
         }
         let record = &self.document.keys[key];
@@ -182,8 +182,8 @@
     fn matches(&self, selector: &Selector, caller: &Caller, class: &Class) -> bool {
         let key = &self.document.keys[caller.key];
         let customer = &self.document.customers[caller.customer.index()];
-        selector.when.iter().all(|(name, want)| {
-            let have = match name.split_once('.') {
+        selector.when.iter().all(|(name, expected)| {
+            let actual = match name.split_once('.') {
                 None if name == "class" => Some(&class.name),
                 None if name == "customer" => Some(&customer.name),
                 None => Some(&key.name),
@@ -191,7 +191,7 @@
                 Some(("customer", label)) => customer.labels.get(label),
                 Some((_, label)) => key.labels.get(label),
             };
-            have == Some(want)
+            actual == Some(expected)
         })
     }
 }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -192,7 +192,7 @@
     pub fn set_waiting_peers<'a>(&mut self, pools: impl Iterator<Item = &'a str>) {
         let mut peers: Vec<(String, u32)> = Vec::new();
         for pool in pools {
-            match peers.iter_mut().find(|(have, _)| have == pool) {
+            match peers.iter_mut().find(|(existing, _)| existing == pool) {
                 Some((_, count)) => *count += 1,
                 None => peers.push((pool.to_string(), 1)),
             }
@@ -323,7 +323,7 @@
                 continue;
             };
             let count = queue.len() as u32;
-            match all.iter_mut().find(|(have, _)| have == pool) {
+            match all.iter_mut().find(|(existing, _)| existing == pool) {
                 Some((_, sum)) => *sum += count,
                 None => all.push((pool.clone(), count)),
             }
@@ -418,7 +418,9 @@
     fn pool_contention(&self, at: usize) -> Arc<[(String, placement::Contention)]> {
         let priority = self.tier(at).priority;
         let contention = |pool: &String| {
-            let found = self.pool_priorities.binary_search_by(|(have, _)| have.cmp(pool));
+            let found = self
+                .pool_priorities
+                .binary_search_by(|(existing, _)| existing.cmp(pool));
             let priorities = found.map_or(&[][..], |at| &self.pool_priorities[at].1);
             placement::Contention {
                 higher_priority: priorities.iter().any(|other| *other < priority),
--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -177,7 +177,7 @@
             self.flows[at].last_reservation + Duration::from_secs_f64(flows / starts_per_s.max(1e-3));
         let due = next_free.max(earliest);
         self.flows[at].last_reservation = due;
-        let position = self.reservations.partition_point(|have| *have <= due);
+        let position = self.reservations.partition_point(|existing| *existing <= due);
         self.reservations.insert(position, due);
         due
     }
@@ -385,7 +385,7 @@
     fn learn_length(&mut self, class: &str, tokens: f64) {
         match self
             .mean_tokens
-            .binary_search_by(|(have, _)| have.as_str().cmp(class))
+            .binary_search_by(|(existing, _)| existing.as_str().cmp(class))
         {
             Ok(at) => self.mean_tokens[at].1 += (tokens - self.mean_tokens[at].1) * LENGTH_GAIN,
             Err(at) => self.mean_tokens.insert(at, (class.to_string(), tokens)),
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -182,7 +182,7 @@
     pub fn find(&self, name: &str) -> Option<Key> {
         let at = self
             .names
-            .binary_search_by(|(have, _)| have.as_str().cmp(name))
+            .binary_search_by(|(existing, _)| existing.as_str().cmp(name))
             .ok()?;
         Some(self.names[at].1)
     }
@@ -194,7 +194,10 @@
 
     /// Listed runners of a pool, by zone.
     pub fn pool(&self, name: &str) -> &[(String, Vec<Key>)] {
-        match self.pools.binary_search_by(|(have, _)| have.as_str().cmp(name)) {
+        match self
+            .pools
+            .binary_search_by(|(existing, _)| existing.as_str().cmp(name))
+        {
             Ok(at) => &self.pools[at].1,
             Err(_) => &[],
         }
@@ -227,7 +230,7 @@
         if ms_per_token > 0.0 {
             runner.ms_per_token = match runner.ms_per_token {
                 0.0 => ms_per_token,
-                have => have + (ms_per_token - have) * PACE_GAIN,
+                mean => mean + (ms_per_token - mean) * PACE_GAIN,
             };
         }
     }
@@ -281,7 +284,7 @@
         let known = pairs.filter_map(|(runner, running)| {
             let at = self
                 .short_ids
-                .binary_search_by(|(have, _)| have.cmp(runner))
+                .binary_search_by(|(existing, _)| existing.cmp(runner))
                 .ok()?;
             Some((self.short_ids[at].1, *running))
         });
@@ -324,7 +327,7 @@
     }
 
     fn remove_peer(&mut self, peer: Incarnation) {
-        let Some(at) = self.peers.iter().position(|have| have.peer == peer) else {
+        let Some(at) = self.peers.iter().position(|existing| existing.peer == peer) else {
             return;
         };
         for (key, running) in self.peers.swap_remove(at).shares {
@@ -354,7 +357,7 @@
 }
 
 fn entry_mut<'a, T: Default>(table: &'a mut Vec<(String, T)>, name: &str) -> &'a mut T {
-    let at = match table.binary_search_by(|(have, _)| have.as_str().cmp(name)) {
+    let at = match table.binary_search_by(|(existing, _)| existing.as_str().cmp(name)) {
         Ok(at) => at,
         Err(at) => {
             table.insert(at, (name.to_string(), T::default()));
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -59,7 +59,7 @@
 impl<K: Ord, X: Default> Targets<K, X> {
     /// The target of a key, created with a desired count of 0 if there is none.
     pub fn entry(&mut self, key: K) -> &mut Target<K, X> {
-        let found = self.rows.binary_search_by(|have| have.key.cmp(&key));
+        let found = self.rows.binary_search_by(|existing| existing.key.cmp(&key));
         let at = match found {
             Ok(at) => at,
             Err(at) => {
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -55,7 +55,9 @@
 /// Adds rows to a sorted list, summing those of the same customer and class.
 pub fn merge_rows(into: &mut Vec<Row>, rows: &[Row]) {
     for row in rows {
-        match into.binary_search_by(|have| (&have.customer, &have.class).cmp(&(&row.customer, &row.class))) {
+        match into.binary_search_by(|existing| {
+            (&existing.customer, &existing.class).cmp(&(&row.customer, &row.class))
+        }) {
             Ok(at) => add_row(&mut into[at], row),
             Err(at) => into.insert(at, row.clone()),
         }
@@ -158,7 +160,10 @@
 
     /// Records that a replica has stored the own chunks up to `number`.
     pub fn acknowledge(&mut self, replica: Incarnation, number: u64) {
-        match self.acked.binary_search_by(|(have, _)| have.cmp(&replica)) {
+        match self
+            .acked
+            .binary_search_by(|(existing, _)| existing.cmp(&replica))
+        {
             Ok(at) => self.acked[at].1 = self.acked[at].1.max(number),
             Err(at) => self.acked.insert(at, (replica, number)),
         }
@@ -184,7 +189,7 @@
         let key = (chunk.source, chunk.number);
         if let Err(at) = self
             .chunks
-            .binary_search_by(|have| (have.source, have.number).cmp(&key))
+            .binary_search_by(|existing| (existing.source, existing.number).cmp(&key))
         {
             self.chunks.insert(at, chunk);
         }
@@ -241,7 +246,10 @@
     }
 
     fn acked(&self, replica: Incarnation) -> u64 {
-        match self.acked.binary_search_by(|(have, _)| have.cmp(&replica)) {
+        match self
+            .acked
+            .binary_search_by(|(existing, _)| existing.cmp(&replica))
+        {
             Ok(at) => self.acked[at].1,
             Err(_) => 0,
         }
@@ -261,7 +269,7 @@
 
 /// Number of the highest sealed chunk of a source; 0 if none.
 pub fn sealed_until(cursors: &[Cursor], source: u64) -> u64 {
-    match cursors.binary_search_by(|have| have.source.cmp(&source)) {
+    match cursors.binary_search_by(|existing| existing.source.cmp(&source)) {
         Ok(at) => cursors[at].number,
         Err(_) => 0,
     }
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -40,7 +40,10 @@
     /// Adds the answer of a zone peer.
     pub fn add_answer(&mut self, answer: Collected) {
         for sum in answer.sums {
-            match self.sums.binary_search_by(|have| have.source.cmp(&sum.source)) {
+            match self
+                .sums
+                .binary_search_by(|existing| existing.source.cmp(&sum.source))
+            {
                 // If two hosts have chunks of a source, the one that has more of them counts;
                 // adding both would count chunks twice.
                 Ok(at) if self.sums[at].number < sum.number => self.sums[at] = sum,
@@ -77,7 +80,7 @@
 
 /// Adds a part to a list of parts sorted by window.
 pub fn add_part(parts: &mut Vec<Part>, part: &Part) {
-    match parts.binary_search_by(|have| have.window.cmp(&part.window)) {
+    match parts.binary_search_by(|existing| existing.window.cmp(&part.window)) {
         Ok(at) => merge_rows(&mut parts[at].rows, &part.rows),
         Err(at) => parts.insert(at, part.clone()),
     }
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -228,7 +228,7 @@
         let is_known = |span: &Span| {
             bundle
                 .spans
-                .binary_search_by(|have| have.source.cmp(&span.source))
+                .binary_search_by(|existing| existing.source.cmp(&span.source))
                 .is_ok()
         };
         let is_stale = |span: &Span| span.from < sealed_until(&cursors, span.source);
@@ -236,7 +236,9 @@
             return;
         }
         for span in &answer.spans {
-            let at = bundle.spans.partition_point(|have| have.source < span.source);
+            let at = bundle
+                .spans
+                .partition_point(|existing| existing.source < span.source);
             bundle.spans.insert(at, span.clone());
         }
         answer
@@ -401,7 +403,7 @@
         number: span.number,
         moved: window,
     };
-    match marks.binary_search_by(|have| have.source.cmp(&source)) {
+    match marks.binary_search_by(|existing| existing.source.cmp(&source)) {
         Ok(at) => marks[at] = checkpoint,
         Err(at) => marks.insert(at, checkpoint),
     }
