--- a/crates/core/src/reservation.rs
+++ b/crates/core/src/reservation.rs
@@ -1,9 +1,9 @@
-//! Promises: times to come back that any entry host honours.
+//! Reserved retry times that every entry host accepts.
 //!
-//! A refused caller gets the time and a token over customer, class and time.
-//! When it comes back with the token, whichever host it meets lets it pass the
-//! early refusal and start before calls that are new. The hosts share the key,
-//! so that no host need remember what another has promised.
+//! A refused caller gets a retry time and a token that authenticates customer,
+//! class and time. When it retries with the token, any host exempts it from early
+//! rejection and starts it before new calls. The hosts share the signing key, so
+//! that no host has to know the reservations of another.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 
 use crate::time::Moment;
 
-/// How much too early a caller may come; clocks differ.
-const EARLY: Duration = Duration::from_secs(1);
-/// How much too late. A token can be used more than once in this time, which
-/// bounds what a caller gains by it.
-const LATE: Duration = Duration::from_secs(5);
+/// How much too early a caller may retry, as clocks differ.
+const MAX_EARLY: Duration = Duration::from_secs(1);
+/// How much too late a caller may retry. A token can be used several times within `MAX_EARLY`
+/// and `MAX_LATE`, which limits what a caller gains by reuse.
+const MAX_LATE: Duration = Duration::from_secs(5);
 
-/// Key for promises, the same at all hosts.
+/// Key that signs reservations, the same on all hosts.
 #[derive(Clone, Debug)]
 pub struct Secret([u8; 32]);
 
 impl Secret {
-    /// Derived from the token that the hosts share.
+    /// Derives the key from the token that the hosts share.
     pub fn derive(shared: &str) -> Self {
         let mut hash = Sha256::new();
         hash.update(b"radishstair promise");
@@ -31,7 +31,7 @@
         Self(hash.finalize().into())
     }
 
-    /// A token for a customer to come back with.
+    /// Creates the token for a customer's retry at a time.
     pub fn sign(&self, customer: &str, class: &str, due: Moment) -> String {
         let mac: [u8; 32] = self
             .mac(customer, class, due.wall_ms)
@@ -41,7 +41,7 @@
         format!("{}-{}", due.wall_ms, hex::encode(&mac[..16]))
     }
 
-    /// Whether a token is this customer's for this class and it is its time.
+    /// Whether a token was issued to this customer for this class and its time is now.
     pub fn verify(&self, now: Moment, token: &str, customer: &str, class: &str) -> bool {
         let Some((due, mac)) = token.split_once('-') else {
             return false;
@@ -49,8 +49,8 @@
         let (Ok(due), Ok(mac)) = (due.parse::<u64>(), hex::decode(mac)) else {
             return false;
         };
-        let early = due.saturating_sub(EARLY.as_millis() as u64);
-        let late = due.saturating_add(LATE.as_millis() as u64);
+        let early = due.saturating_sub(MAX_EARLY.as_millis() as u64);
+        let late = due.saturating_add(MAX_LATE.as_millis() as u64);
         let in_time = (early..=late).contains(&now.wall_ms);
         in_time && mac.len() == 16 && self.mac(customer, class, due).verify_truncated_left(&mac).is_ok()
     }
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -1,9 +1,9 @@
-//! Upstream runners as one host sees them.
+//! The table of upstream runners at one host.
 //!
-//! The platform's list lags, so what this host or a peer saw first-hand (a
-//! refused connection, a notice of leaving) counts until the list has had time
-//! to catch up. Load is this host's own calls plus what its peers last said of
-//! theirs.
+//! The platform's list is delayed. So direct observations of this host or a peer,
+//! such as a refused connection or a notice that a runner leaves, take precedence
+//! until the list has had time to catch up. The load of a runner is this host's
+//! own calls plus the calls that its peers last reported.
 
 use std::time::Duration;
 
@@ -12,77 +12,82 @@
 use crate::time::Moment;
 
 arena_key! {
-    /// A runner in the table.
+    /// Index of a runner in the table.
     Key(u32)
 }
 
-/// How long first-hand news outweighs the list.
+/// How long a notice that a runner leaves takes precedence over the list.
 pub const LEAVING_TTL: Duration = Duration::from_secs(90);
-/// First rest of a runner that refused a connection or broke off.
-const REST: Duration = Duration::from_secs(1);
-/// Longest rest.
-const REST_MOST: Duration = Duration::from_secs(30);
-/// How long a peer's shares count without a newer heartbeat.
-const SHARES: Duration = Duration::from_secs(20);
-/// Shortest time in which peers hear of a call.
-const ROUND: Duration = Duration::from_secs(2);
-/// Longest time that a round waits for a peer.
-const ROUND_MOST: Duration = Duration::from_secs(12);
-/// Weight of the newest reading in running means.
-const GAIN: f64 = 0.1;
+/// First back-off of a runner that refused a connection or broke off.
+const MIN_BACKOFF: Duration = Duration::from_secs(1);
+/// Maximum back-off of a runner.
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
+/// How long a peer's reported calls count without a newer heartbeat.
+const PEER_SHARES_TTL: Duration = Duration::from_secs(20);
+/// Minimum length of a reporting round.
+const MIN_ROUND: Duration = Duration::from_secs(2);
+/// Maximum length of a reporting round, if a peer does not report.
+const MAX_ROUND: Duration = Duration::from_secs(12);
+/// Weight of the newest measurement in the mean milliseconds per token.
+const PACE_GAIN: f64 = 0.1;
 
 record! {
-    /// A runner as the platform lists it.
+    /// A runner in the platform's list.
     pub struct Listing {
         /// Its name.
         pub name: String,
-        /// Its pool.
+        /// Name of its pool.
         pub pool: String,
         /// Availability zone.
         pub zone: String,
         /// IP address and port.
         pub address: String,
-        /// Calls it can run at once.
+        /// Number of calls that it can run at once.
         pub slots: u32,
-        /// Announced to leave.
+        /// Whether it is announced to leave.
         #[serde(default)]
         pub leaving: bool,
     }
 }
 
 plain! {
-    /// One runner.
+    /// A runner with the state that this host keeps of it.
     pub struct Runner {
-        /// As listed.
+        /// Its entry in the platform's list.
         pub listing: Listing,
-        /// This host's calls on it.
+        /// Number of this host's calls on it.
         pub running: u32,
-        /// Its peers' calls on it.
+        /// Number of calls of its peers on it, as last reported.
         pub peer_running: u32,
-        /// This host's calls of the last round, of which its peers may not
-        /// have heard.
+        /// Number of this host's calls that started in the current round and may not have been
+        /// reported to all peers.
         pub unreported: u32,
-        /// Milliseconds a token, as this host saw them; 0 before the first.
+        /// Mean milliseconds per token, as measured by this host; 0 before the first measurement.
         pub ms_per_token: f64,
-        gone: bool,
-        news: Option<Moment>,
+        delisted: bool,
+        /// When this host got the notice that it leaves.
+        notice_at: Option<Moment>,
+        /// Consecutive failures.
         failures: u32,
-        rest: Moment,
+        backoff_until: Moment,
     }
 }
 
 impl Runner {
-    /// Whether new work may go there.
+    /// Whether new calls may start on it.
     pub fn is_available(&self, now: Moment) -> bool {
-        !self.gone && !self.is_leaving(now) && now.reached(self.rest)
+        !self.delisted && !self.is_leaving(now) && now.reached(self.backoff_until)
     }
 
-    /// Whether it leaves, by the list or first-hand.
+    /// Whether it is leaving, according to the list or to a notice.
     pub fn is_leaving(&self, now: Moment) -> bool {
-        self.listing.leaving || self.news.is_some_and(|news| now.since(news) < LEAVING_TTL)
+        self.listing.leaving
+            || self
+                .notice_at
+                .is_some_and(|notice_at| now.since(notice_at) < LEAVING_TTL)
     }
 
-    /// Share of its slots in use.
+    /// Fraction of its slots in use.
     pub fn load(&self) -> f64 {
         f64::from(self.running + self.peer_running) / f64::from(self.listing.slots.max(1))
     }
@@ -91,7 +96,7 @@
 plain! {
     struct PeerShares {
         peer: Incarnation,
-        heard: Moment,
+        received_at: Moment,
         shares: Vec<(Key, u32)>,
     }
 }
@@ -99,80 +104,85 @@
 /// A pool's runners by zone.
 type Zones = Vec<(String, Vec<Key>)>;
 
-/// All runners that this host may use.
+/// All runners known to this host.
 #[derive(Debug, Default)]
 pub struct Runners {
     arena: Vec<Runner>,
     names: Vec<(String, Key)>,
-    shorts: Vec<(u32, Key)>,
+    short_ids: Vec<(u32, Key)>,
     pools: Vec<(String, Zones)>,
     peers: Vec<PeerShares>,
-    round: Moment,
+    round_start: Moment,
 }
 
 impl Runners {
-    /// Takes the platform's list.
-    pub fn set_listings(&mut self, listed: Vec<Listing>) {
+    /// Replaces the platform's list.
+    pub fn set_listings(&mut self, listings: Vec<Listing>) {
         for runner in &mut self.arena {
-            runner.gone = true;
+            runner.delisted = true;
         }
-        for item in listed {
-            match self.find(&item.name) {
-                Some(key) => self.relist(key, item),
-                None => self.add(item),
+        for listing in listings {
+            match self.find(&listing.name) {
+                Some(key) => self.update_listing(key, listing),
+                None => self.add_listing(listing),
             }
         }
-        self.index();
+        self.rebuild_index();
     }
 
-    fn relist(&mut self, key: Key, item: Listing) {
+    fn update_listing(&mut self, key: Key, listing: Listing) {
         let runner = &mut self.arena[key.index()];
-        // A new address under an old name is a new process: what was known
-        // of the former one no longer counts.
-        if runner.listing.address != item.address {
-            runner.news = None;
+        // A new address under a known name is a new process, so the state of the former one is
+        // reset.
+        if runner.listing.address != listing.address {
+            runner.notice_at = None;
             runner.failures = 0;
-            runner.rest = Moment::default();
+            runner.backoff_until = Moment::default();
             runner.ms_per_token = 0.0;
         }
-        runner.listing = item;
-        runner.gone = false;
+        runner.listing = listing;
+        runner.delisted = false;
     }
 
-    fn add(&mut self, item: Listing) {
+    fn add_listing(&mut self, listing: Listing) {
         let key = Key(self.arena.len() as u32);
-        let at = self.names.partition_point(|(name, _)| *name < item.name);
-        self.names.insert(at, (item.name.clone(), key));
+        let at = self.names.partition_point(|(name, _)| *name < listing.name);
+        self.names.insert(at, (listing.name.clone(), key));
         self.arena.push(Runner {
-            listing: item,
+            listing,
             running: 0,
             peer_running: 0,
             unreported: 0,
             ms_per_token: 0.0,
-            gone: false,
-            news: None,
+            delisted: false,
+            notice_at: None,
             failures: 0,
-            rest: Moment::default(),
+            backoff_until: Moment::default(),
         });
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.pools.clear();
-        self.shorts.clear();
-        for (at, runner) in self.arena.iter().enumerate().filter(|(_, runner)| !runner.gone) {
+        self.short_ids.clear();
+        for (at, runner) in self
+            .arena
+            .iter()
+            .enumerate()
+            .filter(|(_, runner)| !runner.delisted)
+        {
             let key = Key(at as u32);
-            let zones = entry(&mut self.pools, &runner.listing.pool);
-            entry(zones, &runner.listing.zone).push(key);
-            self.shorts.push((short(&runner.listing.name), key));
+            let zones = entry_mut(&mut self.pools, &runner.listing.pool);
+            entry_mut(zones, &runner.listing.zone).push(key);
+            self.short_ids.push((short_id(&runner.listing.name), key));
         }
-        self.shorts.sort_unstable();
+        self.short_ids.sort_unstable();
     }
 
     /// A runner by name.
     pub fn find(&self, name: &str) -> Option<Key> {
         let at = self
             .names
-            .binary_search_by(|(have, _)| have.as_str().cmp(name))
+            .binary_search_by(|(existing, _)| existing.as_str().cmp(name))
             .ok()?;
         Some(self.names[at].1)
     }
@@ -182,131 +192,142 @@
         &self.arena[key.index()]
     }
 
-    /// Runners of a pool, by zone.
+    /// Listed runners of a pool, by zone.
     pub fn pool(&self, name: &str) -> &[(String, Vec<Key>)] {
-        match self.pools.binary_search_by(|(have, _)| have.as_str().cmp(name)) {
+        match self
+            .pools
+            .binary_search_by(|(existing, _)| existing.as_str().cmp(name))
+        {
             Ok(at) => &self.pools[at].1,
             Err(_) => &[],
         }
     }
 
-    /// Every runner that is listed.
+    /// All listed runners.
     pub fn iter(&self) -> impl Iterator<Item = &Runner> {
-        self.arena.iter().filter(|runner| !runner.gone)
+        self.arena.iter().filter(|runner| !runner.delisted)
     }
 
-    /// A call starts.
+    /// Records the start of a call.
     pub fn start(&mut self, key: Key) {
         let runner = &mut self.arena[key.index()];
         runner.running += 1;
         runner.unreported += 1;
     }
 
-    /// A call ends.
+    /// Records the end of a call.
     pub fn finish(&mut self, key: Key) {
         let runner = &mut self.arena[key.index()];
         runner.running = runner.running.saturating_sub(1);
         runner.unreported = runner.unreported.min(runner.running);
     }
 
-    /// A whole answer came, at this pace.
-    pub fn record_success(&mut self, key: Key, pace: f64) {
+    /// Records a complete answer and its milliseconds per token.
+    pub fn record_success(&mut self, key: Key, ms_per_token: f64) {
         let runner = &mut self.arena[key.index()];
         runner.failures = 0;
-        runner.rest = Moment::default();
-        if pace > 0.0 {
+        runner.backoff_until = Moment::default();
+        if ms_per_token > 0.0 {
             runner.ms_per_token = match runner.ms_per_token {
-                0.0 => pace,
-                have => have + (pace - have) * GAIN,
+                0.0 => ms_per_token,
+                mean => mean + (ms_per_token - mean) * PACE_GAIN,
             };
         }
     }
 
-    /// It refused or broke off: it rests, longer each time.
+    /// Records a refused connection or a broken answer; the back-off doubles each time.
     pub fn record_failure(&mut self, now: Moment, key: Key) {
         let runner = &mut self.arena[key.index()];
-        let span = REST.saturating_mul(1 << runner.failures.min(5));
+        let backoff = MIN_BACKOFF.saturating_mul(1 << runner.failures.min(5));
         runner.failures += 1;
-        runner.rest = now + span.min(REST_MOST);
+        runner.backoff_until = now + backoff.min(MAX_BACKOFF);
     }
 
-    /// First-hand news that it leaves; tells whether it is new.
+    /// Records a notice that a runner leaves; returns whether that was not known.
     pub fn mark_leaving(&mut self, now: Moment, name: &str) -> bool {
         let Some(key) = self.find(name) else {
             return false;
         };
         let runner = &mut self.arena[key.index()];
-        let new = !runner.is_leaving(now);
-        if new {
-            runner.news = Some(now);
+        let is_new = !runner.is_leaving(now);
+        if is_new {
+            runner.notice_at = Some(now);
         }
-        new
+        is_new
     }
 
-    /// Runners known first-hand to leave, for the peers.
+    /// Names of the runners with a recent notice that they leave, to be sent to peers.
     pub fn leaving_names(&self, now: Moment) -> Vec<String> {
         self.iter()
-            .filter(|runner| runner.news.is_some_and(|news| now.since(news) < LEAVING_TTL / 2))
+            .filter(|runner| {
+                runner
+                    .notice_at
+                    .is_some_and(|notice_at| now.since(notice_at) < LEAVING_TTL / 2)
+            })
             .map(|runner| runner.listing.name.clone())
             .collect()
     }
 
-    /// This host's calls, for the peers.
+    /// This host's calls by runner, to be sent to peers.
     pub fn shares(&self) -> HostLoad {
         let mut shares = HostLoad::default();
         for runner in self.iter().filter(|runner| runner.running > 0) {
-            shares.runner_hashes.push(short(&runner.listing.name));
+            shares.runner_hashes.push(short_id(&runner.listing.name));
             shares.running.push(runner.running);
         }
         shares
     }
 
-    /// A peer's calls.
+    /// Replaces the reported calls of a peer.
     pub fn set_peer_shares(&mut self, now: Moment, peer: Incarnation, shares: &HostLoad) {
         let pairs = shares.runner_hashes.iter().zip(&shares.running);
         let known = pairs.filter_map(|(runner, running)| {
-            let at = self.shorts.binary_search_by(|(have, _)| have.cmp(runner)).ok()?;
-            Some((self.shorts[at].1, *running))
+            let at = self
+                .short_ids
+                .binary_search_by(|(existing, _)| existing.cmp(runner))
+                .ok()?;
+            Some((self.short_ids[at].1, *running))
         });
         let shares: Vec<(Key, u32)> = known.collect();
-        self.forget(peer);
+        self.remove_peer(peer);
         for (key, running) in &shares {
             self.arena[key.index()].peer_running += running;
         }
         self.peers.push(PeerShares {
             peer,
-            heard: now,
+            received_at: now,
             shares,
         });
     }
 
-    /// Drops the shares of peers that fell silent.
+    /// Starts a new round if the current one is over, and drops the reports of silent peers.
     pub fn expire_shares(&mut self, now: Moment) {
         if self.round_is_over(now) {
-            self.round = now;
+            self.round_start = now;
             self.arena.iter_mut().for_each(|runner| runner.unreported = 0);
         }
-        let silent: Vec<Incarnation> = self
+        let expired: Vec<Incarnation> = self
             .peers
             .iter()
-            .filter(|peer| now.since(peer.heard) >= SHARES)
+            .filter(|peer| now.since(peer.received_at) >= PEER_SHARES_TTL)
             .map(|peer| peer.peer)
             .collect();
-        for peer in silent {
-            self.forget(peer);
+        for peer in expired {
+            self.remove_peer(peer);
         }
     }
 
-    /// A round ends when every peer has told its calls since it began: two
-    /// rounds within one lag would let all take their share twice.
+    /// Whether every peer has reported its calls since the round started, or the round has reached
+    /// its maximum length. Two rounds within one reporting delay would let every host take its
+    /// share twice.
     fn round_is_over(&self, now: Moment) -> bool {
-        let span = now.since(self.round);
-        let all_told = self.peers.iter().all(|peer| peer.heard > self.round);
-        span >= ROUND_MOST || (span >= ROUND && all_told)
+        let elapsed = now.since(self.round_start);
+        let all_reported = self.peers.iter().all(|peer| peer.received_at > self.round_start);
+        elapsed >= MAX_ROUND || (elapsed >= MIN_ROUND && all_reported)
     }
 
-    fn forget(&mut self, peer: Incarnation) {
-        let Some(at) = self.peers.iter().position(|have| have.peer == peer) else {
+    fn remove_peer(&mut self, peer: Incarnation) {
+        let Some(at) = self.peers.iter().position(|existing| existing.peer == peer) else {
             return;
         };
         for (key, running) in self.peers.swap_remove(at).shares {
@@ -315,12 +336,12 @@
         }
     }
 
-    /// Mean pace of a pool's runners, 0 when unknown.
+    /// Mean milliseconds per token of a pool's runners; 0 if unknown.
     pub fn mean_ms_per_token(&self, pool: &str) -> f64 {
         let keys = self.pool(pool).iter().flat_map(|(_, keys)| keys);
         let known: Vec<f64> = keys
             .map(|key| self.get(*key).ms_per_token)
-            .filter(|pace| *pace > 0.0)
+            .filter(|ms_per_token| *ms_per_token > 0.0)
             .collect();
         match known.len() {
             0 => 0.0,
@@ -329,14 +350,14 @@
     }
 }
 
-/// Name of a runner between peers. Two runners that share one count as each
-/// other's load, which two random choices live with.
-fn short(name: &str) -> u32 {
+/// Id of a runner in heartbeats. If two runners have the same id, the load of one is counted for
+/// the other too, which the choice between two random runners tolerates.
+fn short_id(name: &str) -> u32 {
     id::digest(name.as_bytes()) as u32
 }
 
-fn entry<'a, T: Default>(table: &'a mut Vec<(String, T)>, name: &str) -> &'a mut T {
-    let at = match table.binary_search_by(|(have, _)| have.as_str().cmp(name)) {
+fn entry_mut<'a, T: Default>(table: &'a mut Vec<(String, T)>, name: &str) -> &'a mut T {
+    let at = match table.binary_search_by(|(existing, _)| existing.as_str().cmp(name)) {
         Ok(at) => at,
         Err(at) => {
             table.insert(at, (name.to_string(), T::default()));
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -1,8 +1,8 @@
-//! The reporter: collects, seals, reports, in that order.
+//! The usage reporter: collects, seals and reports windows, in that order.
 //!
-//! What another reporter sealed is adopted as it stands, so two processes that
-//! both believe they are in charge still report the same figures; and a report
-//! is sent only inside the lease, so they do not both send.
+//! A window that another reporter has sealed is adopted unchanged, so that two
+//! processes that both act as the reporter still report the same figures. A
+//! report is sent only within the lease, so that only one of them sends it.
 
 use std::time::Duration;
 
@@ -16,48 +16,48 @@
 
 /// Store prefix of sealed windows.
 pub const SEALED_PREFIX: &str = "usage/sealed/";
-/// Store key that tells how far reports went.
+/// Store key of the [`Progress`].
 pub const PROGRESS_KEY: &str = "usage/head";
-/// Wait for the zones' answers to a collection.
-const COLLECT: Duration = Duration::from_secs(4);
-/// Wait for one store answer or report before it counts as lost.
-const PATIENCE: Duration = Duration::from_secs(8);
-/// Pause after a failed step.
-const PAUSE: Duration = Duration::from_secs(1);
-/// Milliseconds after which a source that is silent loses its cursor, and a
-/// chunk that is older is not counted any more: both in one rule, so that a
-/// chunk cannot be counted again once its cursor is gone.
+/// Time for which the reporter waits for the zones' answers.
+const COLLECT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time after which an unanswered store call or report counts as lost.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
+/// Delay after a failed step.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Time in milliseconds after which the cursor of a silent source is dropped and after which
+/// chunks are no longer counted. One bound serves both, so that a chunk cannot be counted again
+/// once its cursor is dropped.
 pub const RETENTION_MS: u64 = 24 * 3_600_000;
 
 record! {
     /// Figures of one customer and class in a report.
     pub struct Line {
-        /// Customer.
+        /// Name of the customer.
         pub customer: String,
-        /// Request class.
+        /// Name of the request class.
         pub class: String,
-        /// Whole answers.
+        /// Number of complete answers.
         pub calls: u64,
-        /// Prompt tokens.
+        /// Number of prompt tokens.
         pub prompt: u64,
-        /// Generated tokens that went to callers.
+        /// Number of generated tokens sent to callers.
         pub tokens: u64,
-        /// Broken answers.
+        /// Number of incomplete answers.
         pub broken: u64,
-        /// Window in which it was counted, when that was an earlier one.
+        /// Start of the window in which it was counted, if that was an earlier one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub late_from: Option<u64>,
     }
 }
 
 record! {
-    /// A source's sealed chunks.
+    /// How far the chunks of a source are sealed.
     pub struct Checkpoint {
-        /// Source.
+        /// Process that counted the chunks.
         pub source: crate::id::Incarnation,
-        /// Highest sealed chunk.
+        /// Number of the highest sealed chunk.
         pub number: u64,
-        /// Window in which the source last moved.
+        /// Window for which a chunk of the source was last sealed.
         pub moved: u64,
     }
 }
@@ -65,35 +65,35 @@
 record! {
     /// A sealed window.
     pub struct SealedWindow {
-        /// Place in the chain of seals, from 1 and without gaps. A reporter
-        /// that was away must adopt each seal it missed before it can add
-        /// one; skipping one would count that one's chunks twice.
+        /// Sequence number, from 1 and without gaps. A reporter must adopt all windows that others
+        /// have sealed before it can add one; the chunks of a skipped window would be counted
+        /// twice.
         pub number: u64,
         /// Start of the window, in milliseconds since the Unix epoch.
         pub window: u64,
-        /// Figures, for good.
+        /// Final figures.
         pub lines: Vec<Line>,
-        /// Cursors after it.
+        /// Cursors after this window.
         pub marks: Vec<Checkpoint>,
     }
 }
 
 record! {
-    /// How far reports went; a hint that saves reading, never trusted alone.
+    /// How far windows have been reported; a hint that saves reads and is never relied on alone.
     pub struct Progress {
-        /// Number of the last seal known to be reported.
+        /// Number of the last window known to be reported.
         pub reported: u64,
     }
 }
 
 plain! {
-    /// What the shell is to do.
+    /// I/O that the caller is to do.
     pub enum Effect {
-        /// Ask the store.
+        /// Call the store.
         Store(Call),
-        /// Ask every zone.
+        /// Collect the usage of every zone.
         Collect(Collect),
-        /// Send to the usage interface while the grant covers it.
+        /// Send a window to the usage interface, if the grant still covers the send.
         Report(Grant, SealedWindow),
     }
 }
@@ -101,25 +101,27 @@
 plain! {
     enum State {
         Idle,
-        ReadHead { since: Moment },
-        ReadSeals { since: Moment, head: u64 },
+        ReadingProgress { since: Moment },
+        ReadingWindows { since: Moment, reported: u64 },
         Ready,
         Collecting { since: Moment, window: u64, bundle: ZoneUsage },
         Sealing,
         Reporting { since: Moment },
-        Recording { since: Moment },
+        RecordingProgress { since: Moment },
     }
 }
 
-/// The reporter's progress.
+/// State of the reporter.
 #[derive(Debug)]
 pub struct Reporter {
     state: State,
     writer: Writer<SealedWindow>,
+    /// Sealed windows that are not known to be reported, in order.
     unreported: Vec<SealedWindow>,
-    last: Option<SealedWindow>,
-    head_version: u64,
-    next: Moment,
+    last_sealed: Option<SealedWindow>,
+    /// Version of the store entry of the progress.
+    progress_version: u64,
+    next_step: Moment,
 }
 
 impl Default for Reporter {
@@ -128,15 +130,15 @@
             state: State::Idle,
             writer: Writer::default(),
             unreported: Vec::new(),
-            last: None,
-            head_version: 0,
-            next: Moment::default(),
+            last_sealed: None,
+            progress_version: 0,
+            next_step: Moment::default(),
         }
     }
 }
 
 impl Reporter {
-    /// Moves on while in charge; starts afresh when not.
+    /// Returns the next I/O to do while this process holds the lease; resets the state otherwise.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -148,13 +150,13 @@
             *self = Self::default();
             return None;
         };
-        self.give_up(now);
-        if !now.reached(self.next) {
+        self.time_out(now);
+        if !now.reached(self.next_step) {
             return None;
         }
         match &self.state {
             State::Idle => {
-                self.state = State::ReadHead { since: now };
+                self.state = State::ReadingProgress { since: now };
                 Some(Effect::Store(Call::Get {
                     key: PROGRESS_KEY.into(),
                 }))
@@ -164,10 +166,10 @@
                 since,
                 window,
                 bundle,
-            } if now.since(*since) >= COLLECT => {
-                let seal = self.seal(*window, bundle);
+            } if now.since(*since) >= COLLECT_TIMEOUT => {
+                let sealed = self.seal_window(*window, bundle);
                 self.state = State::Sealing;
-                let call = self.writer.write(now, seal_key(seal.number), seal);
+                let call = self.writer.write(now, window_key(sealed.number), sealed);
                 call.map(Effect::Store)
             }
             _ => None,
@@ -175,18 +177,18 @@
     }
 
     fn proceed(&mut self, now: Moment, grant: Grant, length: Duration, grace: Duration) -> Option<Effect> {
-        if let Some(seal) = self.unreported.first() {
-            // The last check before the send: after a pause the lease is over
-            // and the successor reports the same sealed figures instead.
+        if let Some(sealed) = self.unreported.first() {
+            // Last check before the send: if this process was paused and its lease has ended,
+            // its successor reports the same sealed figures instead.
             if !grant.covers(now) {
                 return None;
             }
             self.state = State::Reporting { since: now };
-            return Some(Effect::Report(grant, seal.clone()));
+            return Some(Effect::Report(grant, sealed.clone()));
         }
-        let millis = length.as_millis() as u64;
-        let window = self.next_window(now, millis);
-        if now.wall_ms < window + millis + grace.as_millis() as u64 {
+        let length_ms = length.as_millis() as u64;
+        let window = self.next_window(now, length_ms);
+        if now.wall_ms < window + length_ms + grace.as_millis() as u64 {
             return None;
         }
         self.state = State::Collecting {
@@ -201,40 +203,46 @@
         }))
     }
 
-    /// The window after the last sealed one. Windows that no reporter was
-    /// there for are skipped; their chunks come as late ones.
-    fn next_window(&self, now: Moment, millis: u64) -> u64 {
-        let millis = millis.max(1);
-        let ended = (now.wall_ms / millis).saturating_sub(1) * millis;
-        match &self.last {
-            Some(seal) => ((seal.window / millis + 1) * millis).max(ended.saturating_sub(millis)),
-            None => ended,
+    /// The window to seal after the last sealed one. Windows that ended while there was no
+    /// reporter are skipped; their chunks are counted as late.
+    fn next_window(&self, now: Moment, length_ms: u64) -> u64 {
+        let length_ms = length_ms.max(1);
+        let last_ended = (now.wall_ms / length_ms).saturating_sub(1) * length_ms;
+        match &self.last_sealed {
+            Some(sealed) => {
+                ((sealed.window / length_ms + 1) * length_ms).max(last_ended.saturating_sub(length_ms))
+            }
+            None => last_ended,
         }
     }
 
-    /// A zone's answer to the collection; taken whole or not at all.
+    /// Handles a zone's answer to the collection, which is added as a whole or not at all.
     pub fn on_collected(&mut self, answer: &ZoneUsage) {
         let cursors = self.cursors();
         let State::Collecting { bundle, .. } = &mut self.state else {
             return;
         };
-        // A host that was frozen answers an earlier question late; its sums
-        // begin before what has been sealed since and would count it again.
-        // So would a second answer for the same sources.
-        let known = |span: &ChunkRange| {
+        // A host that was frozen may answer an earlier collection late. Its sums then start
+        // before chunks that have been sealed since, which would be counted again. A second
+        // answer for the same sources would have the same effect.
+        let is_known = |span: &ChunkRange| {
             bundle
                 .chunk_ranges
-                .binary_search_by(|have| have.source.cmp(&span.source))
+                .binary_search_by(|existing| existing.source.cmp(&span.source))
                 .is_ok()
         };
-        let stale = |span: &ChunkRange| span.after_chunk < sealed_until(&cursors, span.source);
-        if answer.chunk_ranges.iter().any(|span| known(span) || stale(span)) {
+        let is_stale = |span: &ChunkRange| span.after_chunk < sealed_until(&cursors, span.source);
+        if answer
+            .chunk_ranges
+            .iter()
+            .any(|span| is_known(span) || is_stale(span))
+        {
             return;
         }
         for span in &answer.chunk_ranges {
             let at = bundle
                 .chunk_ranges
-                .partition_point(|have| have.source < span.source);
+                .partition_point(|existing| existing.source < span.source);
             bundle.chunk_ranges.insert(at, span.clone());
         }
         answer
@@ -243,38 +251,35 @@
             .for_each(|part| add_part(&mut bundle.windows, part));
     }
 
-    /// The store's answer.
+    /// Handles the store's answer; returns the next store call.
     pub fn on_answer(&mut self, now: Moment, answer: &Answer) -> Option<Call> {
         if let Some(outcome) = self.writer.on_answer(now, answer) {
-            return self.sealed(now, outcome);
+            return self.on_sealed(now, outcome);
         }
         match (std::mem::replace(&mut self.state, State::Idle), answer) {
-            (State::ReadHead { .. }, Answer::Found(entries)) => {
+            (State::ReadingProgress { .. }, Answer::Found(entries)) => {
                 let entry = entries.first().filter(|entry| entry.version > 0);
-                self.head_version = entry.map_or(0, |entry| entry.version);
-                let head = entry.and_then(|entry| serde_json::from_str::<Progress>(&entry.value).ok());
-                let reported = head.map_or(0, |head| head.reported);
-                self.state = State::ReadSeals {
-                    since: now,
-                    head: reported,
-                };
+                self.progress_version = entry.map_or(0, |entry| entry.version);
+                let progress = entry.and_then(|entry| serde_json::from_str::<Progress>(&entry.value).ok());
+                let reported = progress.map_or(0, |progress| progress.reported);
+                self.state = State::ReadingWindows { since: now, reported };
                 Some(Call::Range {
                     prefix: SEALED_PREFIX.into(),
-                    after: seal_key(reported.saturating_sub(1)),
+                    after: window_key(reported.saturating_sub(1)),
                     limit: 1_000,
                 })
             }
-            (State::ReadSeals { head, .. }, Answer::Found(entries)) => {
-                self.recover(head, entries);
+            (State::ReadingWindows { reported, .. }, Answer::Found(entries)) => {
+                self.recover(reported, entries);
                 None
             }
-            (State::Recording { .. }, Answer::Written(version)) => {
-                self.head_version = *version;
+            (State::RecordingProgress { .. }, Answer::Written(version)) => {
+                self.progress_version = *version;
                 self.state = State::Ready;
                 None
             }
             (State::Idle, _) => None,
-            // Anything else: read again from the start.
+            // On any other answer, read again from the start.
             _ => {
                 self.restart(now);
                 None
@@ -282,11 +287,11 @@
         }
     }
 
-    /// What came of sealing a window.
-    fn sealed(&mut self, now: Moment, outcome: Outcome<SealedWindow>) -> Option<Call> {
+    /// Handles the result of sealing a window.
+    fn on_sealed(&mut self, now: Moment, outcome: Outcome<SealedWindow>) -> Option<Call> {
         match outcome {
             Outcome::Pending(call) => return Some(call),
-            Outcome::Stored(seal, _) => self.adopt(seal),
+            Outcome::Stored(sealed, _) => self.adopt(sealed),
             Outcome::Missing => self.state = State::Ready,
             Outcome::Failed => self.restart(now),
         }
@@ -295,52 +300,55 @@
 
     fn restart(&mut self, now: Moment) {
         *self = Self {
-            next: now + PAUSE,
+            next_step: now + RETRY_DELAY,
             ..Self::default()
         };
     }
 
-    /// The usage interface's answer; only a clear yes moves on.
+    /// Handles the answer of the usage interface; continues only if the report was accepted.
     pub fn on_reported(&mut self, now: Moment, accepted: bool) -> Option<Call> {
         let State::Reporting { .. } = self.state else {
             return None;
         };
         if !accepted || self.unreported.is_empty() {
             self.state = State::Ready;
-            self.next = now + PAUSE;
+            self.next_step = now + RETRY_DELAY;
             return None;
         }
-        let seal = self.unreported.remove(0);
-        self.state = State::Recording { since: now };
-        let head = Progress {
-            reported: seal.number,
+        let sealed = self.unreported.remove(0);
+        self.state = State::RecordingProgress { since: now };
+        let progress = Progress {
+            reported: sealed.number,
         };
         Some(Call::CompareAndSwap {
             key: PROGRESS_KEY.into(),
-            expect: self.head_version,
-            value: serde_json::to_string(&head).unwrap_or_default(),
+            expect: self.progress_version,
+            value: serde_json::to_string(&progress).unwrap_or_default(),
         })
     }
 
-    fn recover(&mut self, head: u64, entries: &[crate::store::Entry]) {
-        let mut seals: Vec<SealedWindow> = entries
+    fn recover(&mut self, reported: u64, entries: &[crate::store::Entry]) {
+        let mut sealed_windows: Vec<SealedWindow> = entries
             .iter()
             .filter_map(|entry| serde_json::from_str(&entry.value).ok())
             .collect();
-        seals.sort_by_key(|seal| seal.number);
-        self.last = seals.last().cloned();
-        self.unreported = seals.into_iter().filter(|seal| seal.number > head).collect();
+        sealed_windows.sort_by_key(|sealed| sealed.number);
+        self.last_sealed = sealed_windows.last().cloned();
+        self.unreported = sealed_windows
+            .into_iter()
+            .filter(|sealed| sealed.number > reported)
+            .collect();
         self.state = State::Ready;
     }
 
-    fn adopt(&mut self, seal: SealedWindow) {
-        self.last = Some(seal.clone());
-        self.unreported.push(seal);
+    fn adopt(&mut self, sealed: SealedWindow) {
+        self.last_sealed = Some(sealed.clone());
+        self.unreported.push(sealed);
         self.state = State::Ready;
     }
 
     fn cursors(&self) -> Vec<Cursor> {
-        let marks = self.last.as_ref().map_or(&[][..], |seal| &seal.marks);
+        let marks = self.last_sealed.as_ref().map_or(&[][..], |sealed| &sealed.marks);
         marks
             .iter()
             .map(|mark| Cursor {
@@ -350,55 +358,58 @@
             .collect()
     }
 
-    fn seal(&self, window: u64, bundle: &ZoneUsage) -> SealedWindow {
-        let mut marks = self.last.as_ref().map_or(Vec::new(), |seal| seal.marks.clone());
+    fn seal_window(&self, window: u64, bundle: &ZoneUsage) -> SealedWindow {
+        let mut marks = self
+            .last_sealed
+            .as_ref()
+            .map_or(Vec::new(), |sealed| sealed.marks.clone());
         marks.retain(|mark| mark.moved + RETENTION_MS > window);
         bundle
             .chunk_ranges
             .iter()
-            .for_each(|span| mark(&mut marks, span, window));
-        let counts = |part: &&WindowUsage| part.window + RETENTION_MS > window;
-        let parts: Vec<&WindowUsage> = bundle.windows.iter().filter(counts).collect();
+            .for_each(|span| set_checkpoint(&mut marks, span, window));
+        let is_recent = |part: &&WindowUsage| part.window + RETENTION_MS > window;
+        let parts: Vec<&WindowUsage> = bundle.windows.iter().filter(is_recent).collect();
         SealedWindow {
-            number: self.last.as_ref().map_or(1, |seal| seal.number + 1),
+            number: self.last_sealed.as_ref().map_or(1, |sealed| sealed.number + 1),
             window,
             lines: lines(window, &parts),
             marks,
         }
     }
 
-    fn give_up(&mut self, now: Moment) {
-        if self.writer.time_out(now, PATIENCE) {
+    fn time_out(&mut self, now: Moment) {
+        if self.writer.time_out(now, ANSWER_TIMEOUT) {
             *self = Self::default();
         }
         let since = match &self.state {
             State::Idle | State::Ready | State::Collecting { .. } | State::Sealing => return,
-            State::ReadHead { since }
-            | State::ReadSeals { since, .. }
+            State::ReadingProgress { since }
+            | State::ReadingWindows { since, .. }
             | State::Reporting { since }
-            | State::Recording { since } => *since,
+            | State::RecordingProgress { since } => *since,
         };
-        if now.since(since) >= PATIENCE {
+        if now.since(since) >= ANSWER_TIMEOUT {
             *self = Self::default();
         }
     }
 }
 
-/// Store key of a seal.
-pub fn seal_key(number: u64) -> String {
+/// Store key of a sealed window.
+pub fn window_key(number: u64) -> String {
     format!("{SEALED_PREFIX}{number:016}")
 }
 
-fn mark(marks: &mut Vec<Checkpoint>, span: &ChunkRange, window: u64) {
+fn set_checkpoint(marks: &mut Vec<Checkpoint>, span: &ChunkRange, window: u64) {
     let source = crate::id::Incarnation(span.source);
-    let mark = Checkpoint {
+    let checkpoint = Checkpoint {
         source,
         number: span.last_chunk,
         moved: window,
     };
-    match marks.binary_search_by(|have| have.source.cmp(&source)) {
-        Ok(at) => marks[at] = mark,
-        Err(at) => marks.insert(at, mark),
+    match marks.binary_search_by(|existing| existing.source.cmp(&source)) {
+        Ok(at) => marks[at] = checkpoint,
+        Err(at) => marks.insert(at, checkpoint),
     }
 }
 
--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -19,7 +19,7 @@
 
 use postings::Postings;
 
-use crate::schedule::{all_hold, some_fail};
+use crate::schedule::{assert_all_pass, assert_some_fail};
 use crate::world::{Broken, Builder, Faults, World};
 
 const SECOND_MS: u64 = 1_000;
@@ -40,8 +40,8 @@
             let pause_ms = world.rng.random_range(500..15 * SECOND_MS);
             world.pause(node, pause_ms);
         }
-        3 => world.nodes[node].island = (now % 3) as u32,
-        4 => world.nodes.iter_mut().for_each(|node| node.island = 0),
+        3 => world.nodes[node].partition = (now % 3) as u32,
+        4 => world.nodes.iter_mut().for_each(|node| node.partition = 0),
         5 => world.store_down = !world.store_down,
         6 => world.nodes[node].cut_store = !world.nodes[node].cut_store,
         _ => world.store_down = false,
@@ -55,7 +55,7 @@
     run_count: &AtomicUsize,
 ) -> Result<(), String> {
     let faults = Faults {
-        lose: 0.15,
+        lose_answer: 0.15,
         ..Faults::default()
     };
     let world = Builder::new(seed)
@@ -66,7 +66,7 @@
     postings.run(3 * SECOND_MS);
     for posting in 0..POSTINGS as u64 {
         let delay_ms = postings.world.rng.random_range(0..20 * SECOND_MS);
-        postings.world.wake(delay_ms, posting);
+        postings.world.set_timer(delay_ms, posting);
     }
     for second in 4..45 {
         postings.run(second * SECOND_MS);
@@ -89,7 +89,7 @@
 #[test]
 fn tickets_run_at_most_once() {
     let run_count = AtomicUsize::new(0);
-    all_hold(400, |seed| {
+    assert_all_pass(400, |seed| {
         postings_under_failure(seed, false, Broken::None, &run_count)
     });
     println!("{run_count:?} of {} postings ran", 400 * POSTINGS);
@@ -106,7 +106,7 @@
 #[test]
 fn own_keys_run_at_most_once() {
     let run_count = AtomicUsize::new(0);
-    all_hold(400, |seed| {
+    assert_all_pass(400, |seed| {
         postings_under_failure(seed, true, Broken::None, &run_count)
     });
     println!("{run_count:?} of {} postings ran", 400 * POSTINGS);
@@ -119,10 +119,10 @@
 /// The checker must detect doubled runs when each copy of a call is run.
 #[test]
 fn broken_without_claims() {
-    some_fail(40, |seed| {
+    assert_some_fail(40, |seed| {
         postings_under_failure(seed, true, Broken::Claims, &AtomicUsize::new(0))
     });
-    some_fail(40, |seed| {
+    assert_some_fail(40, |seed| {
         postings_under_failure(seed, false, Broken::Claims, &AtomicUsize::new(0))
     });
 }
@@ -132,8 +132,8 @@
 /// on with a new key.
 #[test]
 fn broken_without_closing_keys() {
-    some_fail(200, |seed| {
-        postings_under_failure(seed, false, Broken::Void, &AtomicUsize::new(0))
+    assert_some_fail(200, |seed| {
+        postings_under_failure(seed, false, Broken::KeyClosing, &AtomicUsize::new(0))
     });
 }
 
--- a/tests/suite/calls/postings.rs
+++ b/tests/suite/calls/postings.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use radishstair_core::at_most_once::{Answer, Completion, Key, Verdict};
-use radishstair_core::error::{Kind, Ran, Refusal, Repeat};
+use radishstair_core::error::{Execution, Kind, Refusal, Repeat};
 use radishstair_core::id::{CallId, Incarnation};
 use radishstair_core::kernel::{Event, Reply};
 use radishstair_core::ticket::Ticket;
@@ -132,18 +132,18 @@
                     customer: CUSTOMER.into(),
                     count: 1,
                 };
-                self.world.give(node, 1, event);
+                self.world.send_event(node, 1, event);
             }
         }
         // The caller retries if there is no answer.
         let retry_delay_ms = self.world.rng.random_range(500..6 * SECOND_MS);
-        self.world.wake(retry_delay_ms, posting as u64);
+        self.world.set_timer(retry_delay_ms, posting as u64);
     }
 
     /// Sends a posting. Some are delayed in a socket buffer, and of some a load
     /// balancer delivers a second copy to another host.
     fn send(&mut self, node: usize, posting: usize, key: String) {
-        if self.world.broken == Broken::Void && self.world.rng.random_bool(0.3) {
+        if self.world.broken == Broken::KeyClosing && self.world.rng.random_bool(0.3) {
             // The host refuses the copy without asking the owner of its key.
             self.begin(node, 5 * SECOND_MS, posting, key.clone(), None);
             self.on_refusal(posting, &key, &Kind::Overloaded.into());
@@ -181,7 +181,7 @@
             idempotency_key: key,
             body_hash: posting as u64,
         };
-        self.world.give(node, delay_ms, event);
+        self.world.send_event(node, delay_ms, event);
     }
 
     fn register_call(&mut self, purpose: Purpose) -> CallId {
@@ -193,7 +193,7 @@
     /// Runs the simulation until `until`, in milliseconds.
     pub fn run(&mut self, until: u64) {
         while self.world.step(until) {
-            for woken in std::mem::take(&mut self.world.woken) {
+            for woken in std::mem::take(&mut self.world.fired_timers) {
                 match self.running.remove(&woken) {
                     Some(run) => self.finish_run(run),
                     None => self.next_attempt(woken as usize),
@@ -260,7 +260,7 @@
         self.running
             .insert(timer, (node, serial, record, posting, key, call));
         let delay_ms = self.world.rng.random_range(1..2 * SECOND_MS);
-        self.world.wake(delay_ms, timer);
+        self.world.set_timer(delay_ms, timer);
     }
 
     fn finish_run(
@@ -276,7 +276,7 @@
             self.last_timer += 1;
             let timer = u64::MAX - self.last_timer;
             self.running.insert(timer, (node, me, record, posting, key, call));
-            self.world.wake(200, timer);
+            self.world.set_timer(200, timer);
             return;
         }
         let end = match self.world.rng.random_range(0..10) {
@@ -326,7 +326,7 @@
                     None => Key::Claim(radishstair_core::claim::digest(CUSTOMER, &key)),
                 };
                 let call = self.register_call(Purpose::OwnerUnreachable { posting, key });
-                self.world.give(
+                self.world.send_event(
                     node,
                     0,
                     Event::OwnerUnreachable {
@@ -369,7 +369,7 @@
         if state.key.as_deref() != Some(key) || state.finished {
             return;
         }
-        if refusal.ran == Ran::NotRun {
+        if refusal.ran == Execution::NotRun {
             state.reported_not_run.push(key.to_string());
         }
         match refusal.repeat {
--- a/tests/suite/duties.rs
+++ b/tests/suite/duties.rs
@@ -5,7 +5,7 @@
 use radishstair_core::runner::Listing;
 use rand::RngExt;
 
-use crate::schedule::{all_hold, some_fail};
+use crate::schedule::{assert_all_pass, assert_some_fail};
 use crate::world::{Broken, Builder, Faults, World};
 
 const SECOND_MS: u64 = 1_000;
@@ -47,7 +47,7 @@
         slots: 4,
         leaving: false,
     });
-    world.give(node, 0, Event::RunnerList(runners.to_vec()));
+    world.send_event(node, 0, Event::RunnerList(runners.to_vec()));
 }
 
 /// Injects a random fault, mostly at the holder of a duty: a crash, a
@@ -79,7 +79,7 @@
         4 => world.nodes[node].cut_store = true,
         5 => world.nodes.iter_mut().for_each(|node| node.cut_store = false),
         6 => world.store_down = !world.store_down,
-        _ => world.nodes[node].island ^= 1,
+        _ => world.nodes[node].partition ^= 1,
     }
 }
 
@@ -103,7 +103,7 @@
 /// Checks that the fencing numbers of the orders never decrease, for upstreams
 /// that ignore these numbers.
 fn check_fences_rise(world: &World) -> Result<(), String> {
-    for pair in world.seen.orders.windows(2) {
+    for pair in world.received.orders.windows(2) {
         if pair[1].2.fence < pair[0].2.fence {
             return Err(format!(
                 "at {} ms an order of fence {} came after fence {}",
@@ -140,14 +140,14 @@
             world.faults.freeze = 0.0;
             for node in &mut world.nodes {
                 node.cut_store = false;
-                node.island = 0;
+                node.partition = 0;
             }
         }
     }
     check_fences_rise(&world)?;
     let duty_held =
         (0..world.nodes.len()).any(|node| world.status(node).is_some_and(|status| !status.duties.is_empty()));
-    match duty_held && !world.seen.orders.is_empty() {
+    match duty_held && !world.received.orders.is_empty() {
         true => Ok(()),
         false => Err("no node holds a duty long after all faults ended".into()),
     }
@@ -160,18 +160,18 @@
 /// longest send and the quiet period.
 #[test]
 fn orders_come_from_one_process() {
-    all_hold(300, |seed| orders_under_failure(seed, Broken::None));
+    assert_all_pass(300, |seed| orders_under_failure(seed, Broken::None));
 }
 
 /// The checker must detect an order of a former holder when the last check of
 /// the lease is left out.
 #[test]
 fn broken_without_the_last_look() {
-    some_fail(300, |seed| orders_under_failure(seed, Broken::Grant));
+    assert_some_fail(300, |seed| orders_under_failure(seed, Broken::Grant));
 }
 
 /// The checker must detect two holders when the store accepts every write.
 #[test]
 fn broken_without_compare_and_swap() {
-    some_fail(60, |seed| orders_under_failure(seed, Broken::Swap));
+    assert_some_fail(60, |seed| orders_under_failure(seed, Broken::Swap));
 }
--- a/tests/suite/proxy/freshness.rs
+++ b/tests/suite/proxy/freshness.rs
@@ -46,7 +46,7 @@
         .may_send(at(3_100), &admission, &request)
         .expect_err("the confirmation is too old");
     assert_eq!(refusal.kind, Kind::Stale);
-    assert_eq!(refusal.ran, radishstair_core::error::Ran::NotRun);
+    assert_eq!(refusal.ran, radishstair_core::error::Execution::NotRun);
 }
 
 /// A host that has not read the newest document does not have a key that was just added. "Unknown
--- a/tests/suite/schedule.rs
+++ b/tests/suite/schedule.rs
@@ -1,8 +1,8 @@
-//! Checks over many seeded schedules.
+//! Running a check over many seeded schedules.
 
-/// Runs a check over many seeds at once, on all cores; gives back how many
-/// seeds failed, with the first failure's text.
-pub fn seeds(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) -> (usize, Option<String>) {
+/// Runs a check for many seeds, on all cores. Returns the number of failed seeds and the message of
+/// the first failure.
+pub fn run_seeds(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) -> (usize, Option<String>) {
     let threads = std::thread::available_parallelism().map_or(4, |count| count.get()) as u64;
     let mut failures: Vec<(u64, String)> = std::thread::scope(|scope| {
         let check = &check;
@@ -28,9 +28,9 @@
     (failures.len(), first)
 }
 
-/// Fails a test when any seed failed.
-pub fn all_hold(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) {
-    let (failed, first) = seeds(count, check);
+/// Fails the test if any seed fails.
+pub fn assert_all_pass(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) {
+    let (failed, first) = run_seeds(count, check);
     assert!(
         failed == 0,
         "{failed} of {count} schedules failed; first: {}",
@@ -38,12 +38,12 @@
     );
 }
 
-/// Fails a test when no seed failed: the checker could not see the fault.
-pub fn some_fail(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) {
-    let (failed, first) = seeds(count, check);
+/// Fails the test if no seed fails, as the check then cannot detect the fault.
+pub fn assert_some_fail(count: u64, check: impl Fn(u64) -> Result<(), String> + Sync) {
+    let (failed, first) = run_seeds(count, check);
     println!("the broken variant failed in {failed} of {count} schedules; first: {first:?}");
     assert!(
         failed > 0,
-        "the checker saw nothing wrong in {count} schedules of the broken variant"
+        "the check detected no failure in {count} schedules of the broken variant"
     );
 }
