--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -19,9 +19,9 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::{Piece, Usage};
-use crate::flight::Flight;
 use crate::front::sse::Splitter;
 use crate::handle::Handle;
+use crate::in_flight::InFlightGuard;
 use crate::metrics::Class;
 use crate::upstream::attempts::{self, Attempts, Stop};
 use crate::upstream::pool::Pool;
@@ -51,7 +51,7 @@
     pub promised: bool,
     pub limit: u32,
     pub began: Instant,
-    pub _flight: Flight,
+    pub _flight: InFlightGuard,
 }
 
 /// Why an answer is not whole.
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -15,7 +15,7 @@
 use tokio::sync::oneshot;
 
 use crate::clock::Clock;
-use crate::flight::{self, Flight};
+use crate::in_flight::{self, InFlightGuard};
 use crate::metrics::Metrics;
 
 /// An event, with whoever waits for the reply to it.
@@ -48,7 +48,7 @@
     pub metrics: Metrics,
     inputs: Sender<Input>,
     next: AtomicU64,
-    running: flight::Count,
+    running: in_flight::Counter,
 }
 
 impl Handle {
@@ -65,7 +65,7 @@
             metrics: Metrics::default(),
             inputs,
             next: AtomicU64::new(1),
-            running: flight::Count::default(),
+            running: in_flight::Counter::default(),
         })
     }
 
@@ -107,8 +107,8 @@
 
     /// Counts a request in flight until the guard is dropped; a graceful stop
     /// waits for all of them.
-    pub fn flight(&self) -> Flight {
-        self.running.begin()
+    pub fn flight(&self) -> InFlightGuard {
+        self.running.track()
     }
 
     /// Requests in flight.
--- a/crates/entry/src/flight.rs
+++ b/crates/entry/src/in_flight.rs
@@ -5,13 +5,13 @@
 
 /// Requests in flight.
 #[derive(Clone, Debug, Default)]
-pub struct Count(Arc<AtomicUsize>);
+pub struct Counter(Arc<AtomicUsize>);
 
-impl Count {
+impl Counter {
     /// Counts one more until the guard is dropped.
-    pub fn begin(&self) -> Flight {
+    pub fn track(&self) -> InFlightGuard {
         self.0.fetch_add(1, Ordering::SeqCst);
-        Flight(self.0.clone())
+        InFlightGuard(self.0.clone())
     }
 
     /// How many there are.
@@ -22,9 +22,9 @@
 
 /// One request in flight.
 #[derive(Debug)]
-pub struct Flight(Arc<AtomicUsize>);
+pub struct InFlightGuard(Arc<AtomicUsize>);
 
-impl Drop for Flight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -8,9 +8,9 @@
 pub mod admin;
 pub mod clock;
 pub mod control;
-pub mod flight;
 pub mod front;
 pub mod handle;
+pub mod in_flight;
 pub mod metrics;
 pub mod peers;
 pub mod platform;
--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -21,7 +21,7 @@
 use tokio::sync::Notify;
 
 use crate::clock::Clock;
-use crate::flight::{self, Flight};
+use crate::in_flight::{self, InFlightGuard};
 use crate::metrics::Metrics;
 use adapter::Adapter;
 
@@ -81,7 +81,7 @@
     found: Notify,
     /// A peer has read something new in the store.
     nudged: Notify,
-    running: flight::Count,
+    running: in_flight::Counter,
     peers: ArcSwap<Vec<SocketAddr>>,
     /// Where hosts are, as their datagrams tell; sorted by address.
     places: Mutex<Vec<Host>>,
@@ -110,7 +110,7 @@
             document_holder: Mutex::default(),
             found: Notify::new(),
             nudged: Notify::new(),
-            running: flight::Count::default(),
+            running: in_flight::Counter::default(),
             peers: ArcSwap::default(),
             places: Mutex::default(),
         })
@@ -226,8 +226,8 @@
     }
 
     /// Counts a request in flight until the guard is dropped.
-    pub fn flight(&self) -> Flight {
-        self.running.begin()
+    pub fn flight(&self) -> InFlightGuard {
+        self.running.track()
     }
 
     /// Requests in flight.
--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -24,7 +24,7 @@
 use super::forward::Forwarder;
 use super::job::{Job, Tries, ask};
 use super::reply::{self, Body, come_back};
-use crate::flight::Flight;
+use crate::in_flight::InFlightGuard;
 use crate::serve;
 
 /// Longest time for a body to come where the caller names no deadline.
@@ -131,7 +131,7 @@
     pass(forwarder, job, flight).await
 }
 
-async fn pass(forwarder: Arc<Forwarder>, job: Job, flight: Flight) -> Result<Response<Body>, Refusal> {
+async fn pass(forwarder: Arc<Forwarder>, job: Job, flight: InFlightGuard) -> Result<Response<Body>, Refusal> {
     let shared = forwarder.shared.clone();
     let job = Arc::new(job);
     let mut tries = Tries::default();
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -20,7 +20,7 @@
 use super::job::{Job, Tries};
 use super::reply::{self, Body, Cut};
 use super::slot::Slot;
-use crate::flight::Flight;
+use crate::in_flight::InFlightGuard;
 use crate::upstream::attempts::{self, Attempts};
 
 mod segment;
@@ -34,7 +34,7 @@
     runs: u32,
     events: usize,
     outcome: &'static str,
-    _flight: Flight,
+    _flight: InFlightGuard,
 }
 
 impl Drop for Closing {
@@ -152,7 +152,7 @@
         self: Arc<Self>,
         job: Arc<Job>,
         tries: &mut Tries,
-        flight: Flight,
+        flight: InFlightGuard,
     ) -> Result<Response<Body>, Refusal> {
         let mut begin = Begin {
             forwarder: &self,
