--- a/crates/entry/src/proxy/client.rs
+++ b/crates/entry/src/proxy/client.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::time::{Instant, timeout};
 
-use crate::upstream::line::{self, Line, Sent};
+use crate::upstream::connection::{self, Connection, Sent};
 
 /// Longest time to connect.
 const CONNECT: Duration = Duration::from_millis(400);
@@ -62,7 +62,7 @@
 /// Connections to one service of the platform.
 #[derive(Debug, Default)]
 pub struct Client {
-    idle: Mutex<Vec<Line>>,
+    idle: Mutex<Vec<Connection>>,
 }
 
 impl Client {
@@ -100,7 +100,7 @@
         address: SocketAddr,
         request: Request<Bytes>,
         left: &mut bool,
-    ) -> Result<(Line, Response<Incoming>), Outcome> {
+    ) -> Result<(Connection, Response<Incoming>), Outcome> {
         let Some(mut line) = self.line(address).await else {
             return Err(Outcome::NotSent);
         };
@@ -119,7 +119,7 @@
     /// Reads an answer to its end; its connection serves on then. None if it broke off or fell silent.
     async fn collect(
         &self,
-        line: Line,
+        line: Connection,
         response: Response<Incoming>,
         idle: Duration,
         received: &mut BytesMut,
@@ -131,7 +131,7 @@
                 received.extend_from_slice(&data);
             }
         }
-        if !line::closes(&parts.headers) {
+        if !connection::closes(&parts.headers) {
             let mut idle = self.lock();
             if idle.len() < MOST {
                 idle.push(line);
@@ -140,7 +140,7 @@
         Some(parts.status)
     }
 
-    async fn line(&self, address: SocketAddr) -> Option<Line> {
+    async fn line(&self, address: SocketAddr) -> Option<Connection> {
         loop {
             let Some(mut line) = self.lock().pop() else {
                 break;
@@ -149,10 +149,10 @@
                 return Some(line);
             }
         }
-        Line::connect(address, CONNECT).await.ok()
+        Connection::connect(address, CONNECT).await.ok()
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Line>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Connection>> {
         self.idle.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -27,7 +27,7 @@
 use super::reply::come_back;
 use super::slot::Slot;
 use crate::upstream::attempts::Stop;
-use crate::upstream::line::{self, Line};
+use crate::upstream::connection::{self, Connection};
 use crate::upstream::pool::{self, Pool};
 use crate::upstream::{self, Exchange, Failure, Kept};
 
@@ -213,19 +213,19 @@
     /// Whether the runner takes a new connection, or refuses it; one that does is there.
     async fn answers(&self, slot: &Slot) -> bool {
         for _ in 0..MISSED {
-            match Line::connect(slot.address, pool::CONNECT).await {
+            match Connection::connect(slot.address, pool::CONNECT).await {
                 Ok(line) => {
                     self.pool.give(self.shared.now(), slot.address, line, None);
                     return true;
                 }
-                Err(err) if line::is_silent(&err) => {}
+                Err(err) if connection::is_silent(&err) => {}
                 Err(_) => return true,
             }
         }
         false
     }
 
-    async fn connect(&self, job: &Job, slot: &Slot) -> Result<Line, Halt> {
+    async fn connect(&self, job: &Job, slot: &Slot) -> Result<Connection, Halt> {
         let now = self.shared.now();
         let limit = job.left(now).unwrap_or(pool::CONNECT);
         let taken = self.pool.take(now, slot.address, job.once(), limit).await;
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -20,10 +20,10 @@
 use radishstair_wire::http;
 
 pub mod attempts;
-pub mod line;
+pub mod connection;
 pub mod pool;
 
-use line::{Line, Sent};
+use connection::{Connection, Sent};
 use pool::Pool;
 
 /// Longest wait for a connection.
@@ -61,7 +61,7 @@
 /// An answer that has begun, and the connection that it comes on.
 #[derive(Debug)]
 pub struct Exchange {
-    line: Line,
+    line: Connection,
     address: SocketAddr,
     /// The answer.
     pub response: Response<Incoming>,
@@ -70,7 +70,7 @@
 /// A connection whose answer was read apart from it.
 #[derive(Debug)]
 pub struct Kept {
-    line: Line,
+    line: Connection,
     address: SocketAddr,
     closes: bool,
     kept: Option<Duration>,
@@ -81,8 +81,8 @@
     pub fn split(self) -> (Response<Incoming>, Kept) {
         let headers = self.response.headers();
         let kept = Kept {
-            closes: line::closes(headers),
-            kept: line::keeps(headers),
+            closes: connection::closes(headers),
+            kept: connection::keeps(headers),
             line: self.line,
             address: self.address,
         };
@@ -114,7 +114,7 @@
     let request = request(start, outgoing)?;
     let address: SocketAddr = start.address.parse().map_err(|_| Failure::NotSent)?;
     let connected = match alone {
-        true => Line::connect(address, CONNECT).await,
+        true => Connection::connect(address, CONNECT).await,
         false => pool.take(now, address, false, CONNECT).await,
     };
     let line = connected.map_err(|_| Failure::NotSent)?;
@@ -127,7 +127,7 @@
 ///
 /// Tells whether any byte can have gone out.
 pub async fn exchange(
-    mut line: Line,
+    mut line: Connection,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<Exchange, Failure> {
--- a/crates/entry/src/upstream/line.rs
+++ b/crates/entry/src/upstream/connection.rs
@@ -31,7 +31,7 @@
 
 /// A connection; dropping it closes it at once, which cancels what runs there.
 #[derive(Debug)]
-pub struct Line {
+pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
 }
@@ -47,7 +47,7 @@
     Maybe,
 }
 
-impl Line {
+impl Connection {
     /// Connects.
     ///
     /// # Errors
@@ -87,7 +87,7 @@
     }
 }
 
-impl Drop for Line {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/entry/src/upstream/pool.rs
+++ b/crates/entry/src/upstream/pool.rs
@@ -13,7 +13,7 @@
 use radishstair_core::proxy::fleet::Idle;
 use radishstair_core::time::Moment;
 
-use super::line::Line;
+use super::connection::Connection;
 
 /// Longest time to establish a connection: 1 to 3 ms are usual, a lost packet
 /// takes a second, and another runner answers sooner than that.
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct Waiting {
-    line: Line,
+    line: Connection,
     idle: Idle,
 }
 
@@ -41,17 +41,23 @@
     /// # Errors
     ///
     /// When the runner cannot be reached; then no byte of a request has left.
-    pub async fn take(&self, now: Moment, address: SocketAddr, once: bool, limit: Duration) -> Result<Line> {
+    pub async fn take(
+        &self,
+        now: Moment,
+        address: SocketAddr,
+        once: bool,
+        limit: Duration,
+    ) -> Result<Connection> {
         while let Some(mut line) = self.pop(now, address, once) {
             if line.is_usable().await {
                 return Ok(line);
             }
         }
-        Line::connect(address, limit.min(CONNECT)).await
+        Connection::connect(address, limit.min(CONNECT)).await
     }
 
     /// Gives back a connection whose answer was read to its end.
-    pub fn give(&self, now: Moment, address: SocketAddr, line: Line, kept: Option<Duration>) {
+    pub fn give(&self, now: Moment, address: SocketAddr, line: Connection, kept: Option<Duration>) {
         let mut all = self.lock();
         let at = match all.binary_search_by_key(&address, |(have, _)| *have) {
             Ok(at) => at,
@@ -83,7 +89,7 @@
         self.lock().retain(|(have, _)| *have != address);
     }
 
-    fn pop(&self, now: Moment, address: SocketAddr, once: bool) -> Option<Line> {
+    fn pop(&self, now: Moment, address: SocketAddr, once: bool) -> Option<Connection> {
         let mut all = self.lock();
         let at = all.binary_search_by_key(&address, |(have, _)| *have).ok()?;
         let lines = &mut all[at].1;
