--- a/crates/entry/src/proxy/client.rs
+++ b/crates/entry/src/proxy/client.rs
@@ -131,7 +131,7 @@
                 received.extend_from_slice(&data);
             }
         }
-        if !connection::closes(&parts.headers) {
+        if !connection::has_connection_close(&parts.headers) {
             let mut idle = self.lock();
             if idle.len() < MOST {
                 idle.push(line);
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -218,7 +218,7 @@
                     self.pool.give(self.shared.now(), slot.address, line, None);
                     return true;
                 }
-                Err(err) if connection::is_silent(&err) => {}
+                Err(err) if connection::is_connect_timeout(&err) => {}
                 Err(_) => return true,
             }
         }
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -81,8 +81,8 @@
     pub fn split(self) -> (Response<Incoming>, Kept) {
         let headers = self.response.headers();
         let kept = Kept {
-            closes: connection::closes(headers),
-            kept: connection::keeps(headers),
+            closes: connection::has_connection_close(headers),
+            kept: connection::keep_alive_timeout(headers),
             line: self.line,
             address: self.address,
         };
--- a/crates/entry/src/upstream/connection.rs
+++ b/crates/entry/src/upstream/connection.rs
@@ -94,7 +94,7 @@
 }
 
 /// Whether a connection failed because nobody answered at all.
-pub fn is_silent(err: &anyhow::Error) -> bool {
+pub fn is_connect_timeout(err: &anyhow::Error) -> bool {
     err.is::<Elapsed>()
 }
 
@@ -115,7 +115,7 @@
 }
 
 /// Whether the other side will close the connection after this answer.
-pub fn closes(headers: &HeaderMap) -> bool {
+pub fn has_connection_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION).iter();
     values
         .filter_map(|value| value.to_str().ok())
@@ -124,7 +124,7 @@
 }
 
 /// How long the other side keeps an idle connection, if it says so.
-pub fn keeps(headers: &HeaderMap) -> Option<Duration> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = value
         .split(',')
