--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -382,14 +382,14 @@
             body: job.body.clone(),
         };
         let exchange = tokio::time::timeout(ANSWER, self.exchange(start, &outgoing, alone)).await;
-        let result = exchange.unwrap_or_else(|_| Err((Failure::Broken, Kind::UpstreamTimeout.into())));
+        let result = exchange.unwrap_or_else(|_| Err((Failure::MaybeSent, Kind::UpstreamTimeout.into())));
         running.finish(match &result {
             Ok(_) => Outcome::Completed {
                 tokens: 1,
                 ms_per_token: 0.0,
             },
             Err((Failure::NotSent, _)) => Outcome::ConnectionRefused,
-            Err((Failure::Broken, _)) => Outcome::Failed { tokens: 0 },
+            Err((Failure::MaybeSent, _)) => Outcome::Failed { tokens: 0 },
         });
         result
     }
@@ -404,7 +404,7 @@
         let sent = upstream::send(&self.pool, now, start, outgoing, alone).await;
         let (answer, kept) = sent.map(Exchange::split).map_err(|failure| match failure {
             Failure::NotSent => (failure, Kind::NoRunner.into()),
-            Failure::Broken => (failure, Kind::UpstreamBroken.into()),
+            Failure::MaybeSent => (failure, Kind::UpstreamBroken.into()),
         })?;
         if leaves(&answer) {
             self.handle.tell(Event::RunnerLeaving(start.name.clone()));
@@ -414,11 +414,11 @@
             .get(http::REQUEST_ID)
             .and_then(|id| id.to_str().ok());
         if named != Some(outgoing.id.as_str()) {
-            return Err((Failure::Broken, Kind::UpstreamCrossed.into()));
+            return Err((Failure::MaybeSent, Kind::UpstreamCrossed.into()));
         }
         let status = answer.status().as_u16();
         let body = Limited::new(answer.into_body(), BODY_BYTES).collect().await;
-        let body = body.map_err(|_| (Failure::Broken, Kind::UpstreamBroken.into()))?;
+        let body = body.map_err(|_| (Failure::MaybeSent, Kind::UpstreamBroken.into()))?;
         kept.give(&self.pool, self.handle.clock.now());
         Ok(Answered {
             runner: start.name.clone(),
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -227,7 +227,7 @@
         };
         let (answer, kept) = sent.map(Exchange::split).map_err(|failure| match failure {
             Failure::NotSent => Kind::NoRunner,
-            Failure::Broken => Kind::UpstreamBroken,
+            Failure::MaybeSent => Kind::UpstreamBroken,
         })?;
         if leaves(&answer) {
             self.handle.tell(Event::RunnerLeaving(start.name.clone()));
--- a/crates/entry/src/proxy/client.rs
+++ b/crates/entry/src/proxy/client.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::time::{Instant, timeout};
 
-use crate::upstream::connection::{self, Connection, Sent};
+use crate::upstream::connection::{self, Connection, SendResult};
 
 /// Longest time to connect.
 const CONNECT: Duration = Duration::from_millis(400);
@@ -110,9 +110,9 @@
         }
         *left = true;
         match line.send(Request::from_parts(parts, Full::new(body))).await {
-            Sent::Answer(response) => Ok((line, response)),
-            Sent::Never => Err(Outcome::NotSent),
-            Sent::Maybe => Err(Outcome::Lost { received: 0 }),
+            SendResult::Response(response) => Ok((line, response)),
+            SendResult::NotSent => Err(Outcome::NotSent),
+            SendResult::MaybeSent => Err(Outcome::Lost { received: 0 }),
         }
     }
 
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -156,7 +156,7 @@
             tokio::select! {
                 biased;
                 sent = exchange => sent,
-                () = self.path_lost(job, &slot) => Err(Failure::Broken),
+                () = self.path_lost(job, &slot) => Err(Failure::MaybeSent),
             }
         };
         let sent = match job.left(now) {
@@ -169,7 +169,7 @@
                 tries.runs.revert_send();
                 Err(Halt::Failed(Fault::Unreachable))
             }
-            Ok(Err(Failure::Broken)) => {
+            Ok(Err(Failure::MaybeSent)) => {
                 slot.sign(Attempt::Broken);
                 tracing::info!(
                     event = "runner-broke-off",
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -23,7 +23,7 @@
 pub mod connection;
 pub mod pool;
 
-use connection::{Connection, Sent};
+use connection::{Connection, SendResult};
 use pool::Pool;
 
 /// Longest wait for a connection.
@@ -35,14 +35,14 @@
     /// No byte went out.
     NotSent,
     /// Bytes may have gone out.
-    Broken,
+    MaybeSent,
 }
 
 impl From<Failure> for Fault {
     fn from(failure: Failure) -> Self {
         match failure {
             Failure::NotSent => Fault::Unreachable,
-            Failure::Broken => Fault::MayHaveRun,
+            Failure::MaybeSent => Fault::MayHaveRun,
         }
     }
 }
@@ -132,13 +132,13 @@
     request: Request<Full<Bytes>>,
 ) -> Result<Exchange, Failure> {
     match line.send(request).await {
-        Sent::Answer(response) => Ok(Exchange {
+        SendResult::Response(response) => Ok(Exchange {
             line,
             address,
             response,
         }),
-        Sent::Never => Err(Failure::NotSent),
-        Sent::Maybe => Err(Failure::Broken),
+        SendResult::NotSent => Err(Failure::NotSent),
+        SendResult::MaybeSent => Err(Failure::MaybeSent),
     }
 }
 
--- a/crates/entry/src/upstream/connection.rs
+++ b/crates/entry/src/upstream/connection.rs
@@ -38,13 +38,13 @@
 
 /// What came of a send.
 #[derive(Debug)]
-pub enum Sent {
+pub enum SendResult {
     /// An answer.
-    Answer(Response<Incoming>),
+    Response(Response<Incoming>),
     /// No byte of the request has left.
-    Never,
+    NotSent,
     /// It may have arrived.
-    Maybe,
+    MaybeSent,
 }
 
 impl Connection {
@@ -76,12 +76,12 @@
     }
 
     /// Sends a request and waits for the answer's head.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Sent {
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> SendResult {
         match self.sender.try_send_request(request).await {
-            Ok(response) => Sent::Answer(response),
+            Ok(response) => SendResult::Response(response),
             Err(mut err) => match err.take_message() {
-                Some(_) => Sent::Never,
-                None => Sent::Maybe,
+                Some(_) => SendResult::NotSent,
+                None => SendResult::MaybeSent,
             },
         }
     }
