--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -419,7 +419,7 @@
         let status = answer.status().as_u16();
         let body = Limited::new(answer.into_body(), BODY_BYTES).collect().await;
         let body = body.map_err(|_| (Failure::MaybeSent, Kind::UpstreamBroken.into()))?;
-        kept.give(&self.pool, self.handle.clock.now());
+        kept.release(&self.pool, self.handle.clock.now());
         Ok(Answered {
             runner: start.name.clone(),
             status,
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -25,7 +25,7 @@
 use crate::metrics::Class;
 use crate::upstream::attempts::{self, Attempts, Stop};
 use crate::upstream::pool::Pool;
-use crate::upstream::{self, Exchange, Failure, Kept, Outgoing, leaves};
+use crate::upstream::{self, Exchange, Failure, Outgoing, ResponseConnection, leaves};
 
 /// Runners tried for one request.
 const TRIES: u32 = 3;
@@ -243,9 +243,9 @@
     }
 
     /// Gives the connection back if nothing follows the stream's end.
-    async fn keep(&self, mut body: Incoming, kept: Kept) {
+    async fn keep(&self, mut body: Incoming, kept: ResponseConnection) {
         if let Ok(None) = tokio::time::timeout(TAIL, body.frame()).await {
-            kept.give(&self.pool, self.handle.clock.now());
+            kept.release(&self.pool, self.handle.clock.now());
         }
     }
 
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -29,7 +29,7 @@
 use crate::upstream::attempts::Stop;
 use crate::upstream::connection::{self, Connection};
 use crate::upstream::pool::{self, Pool};
-use crate::upstream::{self, Exchange, Failure, Kept};
+use crate::upstream::{self, Exchange, Failure, ResponseConnection};
 
 /// Most bytes of a plain answer, which is held until it is whole.
 const ANSWER_BYTES: usize = 16 * 1024 * 1024;
@@ -45,7 +45,7 @@
     /// Place on the runner.
     pub slot: Slot,
     /// Connection, to be given back once the answer was read whole.
-    pub kept: Kept,
+    pub kept: ResponseConnection,
     /// Head.
     pub parts: response::Parts,
     /// Body.
@@ -329,8 +329,8 @@
     }
 
     /// Gives a connection back whose answer was read to its end.
-    pub fn give(&self, slot: &Slot, kept: Kept) {
-        kept.give(&self.pool, self.shared.now());
+    pub fn give(&self, slot: &Slot, kept: ResponseConnection) {
+        kept.release(&self.pool, self.shared.now());
         self.tell_idle(slot);
     }
 
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -69,7 +69,7 @@
 
 /// A connection whose answer was read apart from it.
 #[derive(Debug)]
-pub struct Kept {
+pub struct ResponseConnection {
     line: Connection,
     address: SocketAddr,
     closes: bool,
@@ -78,9 +78,9 @@
 
 impl Exchange {
     /// The answer, and the connection to give back once it was read whole.
-    pub fn split(self) -> (Response<Incoming>, Kept) {
+    pub fn split(self) -> (Response<Incoming>, ResponseConnection) {
         let headers = self.response.headers();
-        let kept = Kept {
+        let kept = ResponseConnection {
             closes: connection::has_connection_close(headers),
             kept: connection::keep_alive_timeout(headers),
             line: self.line,
@@ -90,9 +90,9 @@
     }
 }
 
-impl Kept {
+impl ResponseConnection {
     /// Gives the connection back; its answer was read to its end.
-    pub fn give(self, pool: &Pool, now: Moment) {
+    pub fn release(self, pool: &Pool, now: Moment) {
         if !self.closes {
             pool.give(now, self.address, self.line, self.kept);
         }
