--- a/crates/entry/src/proxy/discovery.rs
+++ b/crates/entry/src/proxy/discovery.rs
@@ -63,7 +63,7 @@
         let void = self.shared.state().update_runners(now, as_of, listed.collect());
         self.tell_pace(now);
         for address in void {
-            self.runners.forget(address);
+            self.runners.remove(address);
         }
         changed
     }
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -201,7 +201,7 @@
                 Liveness::Silent if self.answers(slot).await => {}
                 Liveness::Silent => {
                     slot.sign(Attempt::PathLost);
-                    self.pool.forget(slot.address);
+                    self.pool.remove(slot.address);
                     break;
                 }
                 Liveness::PathLost => break,
@@ -213,9 +213,9 @@
     /// Whether the runner takes a new connection, or refuses it; one that does is there.
     async fn answers(&self, slot: &Slot) -> bool {
         for _ in 0..MISSED {
-            match Connection::connect(slot.address, pool::CONNECT).await {
+            match Connection::connect(slot.address, pool::CONNECT_TIMEOUT).await {
                 Ok(line) => {
-                    self.pool.give(self.shared.now(), slot.address, line, None);
+                    self.pool.release(self.shared.now(), slot.address, line, None);
                     return true;
                 }
                 Err(err) if connection::is_connect_timeout(&err) => {}
@@ -227,8 +227,8 @@
 
     async fn connect(&self, job: &Job, slot: &Slot) -> Result<Connection, Halt> {
         let now = self.shared.now();
-        let limit = job.left(now).unwrap_or(pool::CONNECT);
-        let taken = self.pool.take(now, slot.address, job.once(), limit).await;
+        let limit = job.left(now).unwrap_or(pool::CONNECT_TIMEOUT);
+        let taken = self.pool.acquire(now, slot.address, job.once(), limit).await;
         taken.map_err(|err| {
             tracing::info!(event = "runner-unreachable", request = job.head.id, runner = slot.id, reason = %format!("{err:#}"));
             slot.sign(Attempt::Unreachable);
@@ -336,7 +336,7 @@
 
     /// Lets placement know whether a new connection would be needed.
     fn tell_idle(&self, slot: &Slot) {
-        let idle = self.pool.next(slot.address);
+        let idle = self.pool.peek(slot.address);
         self.shared.state().fleet.set_idle(slot.key, idle);
     }
 
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -94,7 +94,7 @@
     /// Gives the connection back; its answer was read to its end.
     pub fn release(self, pool: &Pool, now: Moment) {
         if !self.closes {
-            pool.give(now, self.address, self.line, self.kept);
+            pool.release(now, self.address, self.line, self.kept);
         }
     }
 }
@@ -115,7 +115,7 @@
     let address: SocketAddr = start.address.parse().map_err(|_| Failure::NotSent)?;
     let connected = match alone {
         true => Connection::connect(address, CONNECT).await,
-        false => pool.take(now, address, false, CONNECT).await,
+        false => pool.acquire(now, address, false, CONNECT).await,
     };
     let line = connected.map_err(|_| Failure::NotSent)?;
     exchange(line, address, request).await
--- a/crates/entry/src/upstream/pool.rs
+++ b/crates/entry/src/upstream/pool.rs
@@ -17,7 +17,7 @@
 
 /// Longest time to establish a connection: 1 to 3 ms are usual, a lost packet
 /// takes a second, and another runner answers sooner than that.
-pub const CONNECT: Duration = Duration::from_millis(200);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Idle time of the runner where it does not say it.
 const KEPT: Duration = Duration::from_secs(3);
 /// Most idle connections to one runner.
@@ -41,7 +41,7 @@
     /// # Errors
     ///
     /// When the runner cannot be reached; then no byte of a request has left.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         now: Moment,
         address: SocketAddr,
@@ -53,11 +53,11 @@
                 return Ok(line);
             }
         }
-        Connection::connect(address, limit.min(CONNECT)).await
+        Connection::connect(address, limit.min(CONNECT_TIMEOUT)).await
     }
 
     /// Gives back a connection whose answer was read to its end.
-    pub fn give(&self, now: Moment, address: SocketAddr, line: Connection, kept: Option<Duration>) {
+    pub fn release(&self, now: Moment, address: SocketAddr, line: Connection, kept: Option<Duration>) {
         let mut all = self.lock();
         let at = match all.binary_search_by_key(&address, |(have, _)| *have) {
             Ok(at) => at,
@@ -78,14 +78,14 @@
     }
 
     /// The connection to a runner that would be used next.
-    pub fn next(&self, address: SocketAddr) -> Option<Idle> {
+    pub fn peek(&self, address: SocketAddr) -> Option<Idle> {
         let all = self.lock();
         let at = all.binary_search_by_key(&address, |(have, _)| *have).ok()?;
         all[at].1.last().map(|waiting| waiting.idle)
     }
 
     /// Closes the idle connections to a runner that is no longer the same.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn remove(&self, address: SocketAddr) {
         self.lock().retain(|(have, _)| *have != address);
     }
 
