--- a/crates/entry/src/front/call/plain.rs
+++ b/crates/entry/src/front/call/plain.rs
@@ -9,7 +9,7 @@
 
 use super::{Answered, Caller, Job};
 use crate::upstream::Failure;
-use crate::upstream::attempts::{Attempts, Stop};
+use crate::upstream::attempts::{AttemptError, Attempts};
 
 /// Runners tried for a call that may be repeated, or that was refused.
 const TRIES: u32 = 4;
@@ -58,7 +58,7 @@
         Ok(start)
     }
 
-    async fn attempt(&mut self, start: Assignment) -> Result<Answered, Stop<Refusal>> {
+    async fn attempt(&mut self, start: Assignment) -> Result<Answered, AttemptError<Refusal>> {
         self.tries.record_send();
         let answered = self.caller.run(self.job, &start, self.rule.at_most_once).await;
         answered.map_err(|(failure, refusal)| {
@@ -67,7 +67,7 @@
                 self.tries.revert_send();
                 self.last.retry_after = Some(NO_RUNNER);
             }
-            Stop::Failed(failure.into())
+            AttemptError::Failed(failure.into())
         })
     }
 
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -23,7 +23,7 @@
 use crate::handle::Handle;
 use crate::in_flight::InFlightGuard;
 use crate::metrics::Class;
-use crate::upstream::attempts::{self, Attempts, Stop};
+use crate::upstream::attempts::{self, AttemptError, Attempts};
 use crate::upstream::pool::Pool;
 use crate::upstream::{self, Exchange, Failure, Outgoing, ResponseConnection, leaves};
 
@@ -106,12 +106,12 @@
         Ok(start)
     }
 
-    async fn attempt(&mut self, start: Assignment) -> Result<(), Stop<End>> {
+    async fn attempt(&mut self, start: Assignment) -> Result<(), AttemptError<End>> {
         self.tries.record_send();
         let refusal = match self.job.attempt(&start, self.state, self.pieces).await {
             Ok(()) => return Ok(()),
             Err(End::Refused(refusal)) if refusal.kind != Kind::KeyWithdrawn => refusal,
-            Err(end) => return Err(Stop::Over(end)),
+            Err(end) => return Err(AttemptError::Final(end)),
         };
         let fault = match refusal.kind {
             Kind::NoRunner => {
@@ -121,7 +121,7 @@
             _ => Fault::MayHaveRun,
         };
         self.last = refusal;
-        Err(Stop::Failed(fault))
+        Err(AttemptError::Failed(fault))
     }
 
     fn fail(&mut self, fault: Fault) -> Option<End> {
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -26,7 +26,7 @@
 use super::job::{Job, Tries};
 use super::reply::come_back;
 use super::slot::Slot;
-use crate::upstream::attempts::Stop;
+use crate::upstream::attempts::AttemptError;
 use crate::upstream::connection::{self, Connection};
 use crate::upstream::pool::{self, Pool};
 use crate::upstream::{self, Exchange, Failure, ResponseConnection};
@@ -53,7 +53,7 @@
 }
 
 /// Why an attempt at a runner brought no answer.
-pub type Halt = Stop<Refusal>;
+pub type Halt = AttemptError<Refusal>;
 
 /// Passes requests on.
 #[derive(Debug)]
@@ -181,7 +181,7 @@
             Err(_) => {
                 slot.sign(Attempt::Broken);
                 tries.runs.record_timeout();
-                Err(Halt::Over(self.over(job, tries)))
+                Err(Halt::Final(self.over(job, tries)))
             }
         }
     }
@@ -239,11 +239,11 @@
     /// Whether the request may still leave for this runner.
     fn look(&self, now: Moment, job: &Job, slot: &Slot, tries: &Tries) -> Result<(), Halt> {
         if job.is_over(now) {
-            return Err(Halt::Over(self.over(job, tries)));
+            return Err(Halt::Final(self.over(job, tries)));
         }
         let allowed = self.shared.state().may_send(now, &job.admission, &job.ask());
         if let Err(refusal) = allowed {
-            return Err(Halt::Over(match tries.runs.may_have_run() {
+            return Err(Halt::Final(match tries.runs.may_have_run() {
                 true => self.failed(job),
                 false => self.timed(job, refusal),
             }));
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -102,7 +102,7 @@
                 segment.abandon(self.job);
                 Err(Halt::Failed(Fault::MayHaveRun))
             }
-            Progress::Over => Err(Halt::Over(Kind::UpstreamTimeout.into())),
+            Progress::Over => Err(Halt::Final(Kind::UpstreamTimeout.into())),
         }
     }
 
--- a/crates/entry/src/upstream/attempts.rs
+++ b/crates/entry/src/upstream/attempts.rs
@@ -8,11 +8,11 @@
 
 /// Why an attempt brought no answer.
 #[derive(Clone, Debug)]
-pub enum Stop<E> {
+pub enum AttemptError<E> {
     /// It failed at this runner; another one may follow.
     Failed(Fault),
     /// The request is over.
-    Over(E),
+    Final(E),
 }
 
 /// One request on its way.
@@ -31,7 +31,7 @@
     fn attempt(
         &mut self,
         place: Self::Place,
-    ) -> impl Future<Output = Result<Self::Answer, Stop<Self::End>>> + Send;
+    ) -> impl Future<Output = Result<Self::Answer, AttemptError<Self::End>>> + Send;
 
     /// Takes note of a failed attempt; how the request ends, if no other may follow.
     fn fail(&mut self, fault: Fault) -> Option<Self::End>;
@@ -47,8 +47,8 @@
         let place = attempts.place().await?;
         let fault = match attempts.attempt(place).await {
             Ok(answer) => return Ok(answer),
-            Err(Stop::Over(end)) => return Err(end),
-            Err(Stop::Failed(fault)) => fault,
+            Err(AttemptError::Final(end)) => return Err(end),
+            Err(AttemptError::Failed(fault)) => fault,
         };
         if let Some(end) = attempts.fail(fault) {
             return Err(end);
