--- a/crates/entry/src/front/call/plain.rs
+++ b/crates/entry/src/front/call/plain.rs
@@ -47,11 +47,11 @@
 }
 
 impl Attempts for Plain<'_> {
-    type Place = Assignment;
+    type Permit = Assignment;
     type Answer = Answered;
-    type End = Refusal;
+    type Error = Refusal;
 
-    async fn place(&mut self) -> Result<Assignment, Refusal> {
+    async fn acquire(&mut self) -> Result<Assignment, Refusal> {
         let start = self.caller.seek(self.job, self.tries.tried()).await;
         let start = start.map_err(|refusal| self.tries.adjust_refusal(refusal))?;
         self.tries.record_choice(start.runner);
@@ -71,7 +71,7 @@
         })
     }
 
-    fn fail(&mut self, fault: Fault) -> Option<Refusal> {
+    fn record_failure(&mut self, fault: Fault) -> Option<Refusal> {
         let bar = self.tries.record_failure(&self.rule, fault, false, || true)?;
         tracing::info!(
             event = "not-repeated",
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -88,11 +88,11 @@
 }
 
 impl Attempts for Chat<'_> {
-    type Place = Assignment;
+    type Permit = Assignment;
     type Answer = ();
-    type End = End;
+    type Error = End;
 
-    async fn place(&mut self) -> Result<Assignment, End> {
+    async fn acquire(&mut self) -> Result<Assignment, End> {
         let start = self.job.seek(self.state, self.pieces, self.tries.tried()).await;
         let start = start.map_err(|end| match end {
             End::CallerGone => End::CallerGone,
@@ -124,7 +124,7 @@
         Err(AttemptError::Failed(fault))
     }
 
-    fn fail(&mut self, fault: Fault) -> Option<End> {
+    fn record_failure(&mut self, fault: Fault) -> Option<End> {
         let bar = self.tries.record_failure(&Self::RULE, fault, false, || true)?;
         tracing::info!(event = "not-repeated", id = self.job.id, reason = bar.name());
         Some(End::Refused(self.last.clone()))
--- a/crates/entry/src/proxy/buffered.rs
+++ b/crates/entry/src/proxy/buffered.rs
@@ -20,11 +20,11 @@
 }
 
 impl Attempts for Buffered<'_> {
-    type Place = Slot;
+    type Permit = Slot;
     type Answer = Response<Body>;
-    type End = Refusal;
+    type Error = Refusal;
 
-    async fn place(&mut self) -> Result<Slot, Refusal> {
+    async fn acquire(&mut self) -> Result<Slot, Refusal> {
         self.forwarder.place(self.job, self.tries)
     }
 
@@ -42,7 +42,7 @@
         Ok(answer)
     }
 
-    fn fail(&mut self, fault: Fault) -> Option<Refusal> {
+    fn record_failure(&mut self, fault: Fault) -> Option<Refusal> {
         self.forwarder.fail(self.job, self.tries, fault)
     }
 }
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -73,11 +73,11 @@
 }
 
 impl Attempts for Begin<'_> {
-    type Place = Slot;
+    type Permit = Slot;
     type Answer = Begun;
-    type End = Refusal;
+    type Error = Refusal;
 
-    async fn place(&mut self) -> Result<Slot, Refusal> {
+    async fn acquire(&mut self) -> Result<Slot, Refusal> {
         self.forwarder.place(self.job, self.tries)
     }
 
@@ -106,7 +106,7 @@
         }
     }
 
-    fn fail(&mut self, fault: Fault) -> Option<Refusal> {
+    fn record_failure(&mut self, fault: Fault) -> Option<Refusal> {
         self.forwarder.fail(self.job, self.tries, fault)
     }
 }
@@ -120,11 +120,11 @@
 }
 
 impl Attempts for Resume<'_> {
-    type Place = Slot;
+    type Permit = Slot;
     type Answer = Segment;
-    type End = Refusal;
+    type Error = Refusal;
 
-    async fn place(&mut self) -> Result<Slot, Refusal> {
+    async fn acquire(&mut self) -> Result<Slot, Refusal> {
         self.forwarder.place(self.job, self.tries)
     }
 
@@ -137,7 +137,7 @@
         }
     }
 
-    fn fail(&mut self, fault: Fault) -> Option<Refusal> {
+    fn record_failure(&mut self, fault: Fault) -> Option<Refusal> {
         self.forwarder.fail(self.job, self.tries, fault)
     }
 }
--- a/crates/entry/src/upstream/attempts.rs
+++ b/crates/entry/src/upstream/attempts.rs
@@ -18,23 +18,23 @@
 /// One request on its way.
 pub trait Attempts {
     /// A place at a runner; dropping it gives it back.
-    type Place: Send;
+    type Permit: Send;
     /// What the caller gets.
     type Answer: Send;
     /// What the caller gets instead.
-    type End: Send;
+    type Error: Send;
 
     /// A place at a runner that was not tried yet.
-    fn place(&mut self) -> impl Future<Output = Result<Self::Place, Self::End>> + Send;
+    fn acquire(&mut self) -> impl Future<Output = Result<Self::Permit, Self::Error>> + Send;
 
     /// One attempt there.
     fn attempt(
         &mut self,
-        place: Self::Place,
-    ) -> impl Future<Output = Result<Self::Answer, AttemptError<Self::End>>> + Send;
+        permit: Self::Permit,
+    ) -> impl Future<Output = Result<Self::Answer, AttemptError<Self::Error>>> + Send;
 
     /// Takes note of a failed attempt; how the request ends, if no other may follow.
-    fn fail(&mut self, fault: Fault) -> Option<Self::End>;
+    fn record_failure(&mut self, fault: Fault) -> Option<Self::Error>;
 }
 
 /// Tries runners until one answers or no other may follow.
@@ -42,15 +42,15 @@
 /// # Errors
 ///
 /// What the caller gets instead of an answer.
-pub async fn run<A: Attempts>(attempts: &mut A) -> Result<A::Answer, A::End> {
+pub async fn run<A: Attempts>(attempts: &mut A) -> Result<A::Answer, A::Error> {
     loop {
-        let place = attempts.place().await?;
-        let fault = match attempts.attempt(place).await {
+        let permit = attempts.acquire().await?;
+        let fault = match attempts.attempt(permit).await {
             Ok(answer) => return Ok(answer),
             Err(AttemptError::Final(end)) => return Err(end),
             Err(AttemptError::Failed(fault)) => fault,
         };
-        if let Some(end) = attempts.fail(fault) {
+        if let Some(end) = attempts.record_failure(fault) {
             return Err(end);
         }
     }
