--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -33,7 +33,7 @@
     match request.uri().path() {
         "/metrics" => {
             handle.metrics.in_flight.set(handle.in_flight() as i64);
-            answer(200, "text/plain; version=0.0.4", handle.metrics.text())
+            answer(200, "text/plain; version=0.0.4", handle.metrics.render())
         }
         "/healthz" => match status(handle) {
             Some(_) => answer(200, "text/plain", "ok\n".into()),
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -117,7 +117,7 @@
             Err(refusal) => refusal.kind.name(),
         };
         let metrics = &self.handle.metrics;
-        metrics.request(&class, outcome);
+        metrics.count_request(&class, outcome);
         metrics
             .first
             .get_or_create(&Class { class: class.clone() })
--- a/crates/entry/src/front/chat.rs
+++ b/crates/entry/src/front/chat.rs
@@ -80,7 +80,8 @@
         let model =
             model.ok_or_else(|| Refusal::new(Kind::BadRequest).detail("model: a name is required"))?;
         let route = view.route(&caller, &class, Some(model));
-        let route = route.inspect_err(|refusal| self.handle.metrics.request(&class, refusal.kind.name()))?;
+        let route =
+            route.inspect_err(|refusal| self.handle.metrics.count_request(&class, refusal.kind.name()))?;
         if route.mode != Mode::Generate {
             return Err(Refusal::new(Kind::UnknownClass).detail("not a class of generation"));
         }
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -331,7 +331,7 @@
             Err(End::CallerGone) => "caller-gone",
             Err(End::Refused(refusal)) => refusal.kind.name(),
         };
-        self.handle.metrics.request(&self.route.class, name);
+        self.handle.metrics.count_request(&self.route.class, name);
         if state.usage.tokens > 0 || whole {
             self.handle.tell(Event::RecordUsage(Record {
                 customer: self.customer.clone(),
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -195,7 +195,7 @@
     }
 
     /// Counts a request.
-    pub fn request(&self, class: &str, outcome: &str) {
+    pub fn count_request(&self, class: &str, outcome: &str) {
         let labels = Outcome {
             class: class.to_string(),
             outcome: outcome.to_string(),
@@ -204,7 +204,7 @@
     }
 
     /// Records the time to a first token or whole plain answer.
-    pub fn first_after(&self, class: &str, waited: Duration) {
+    pub fn observe_first_answer(&self, class: &str, waited: Duration) {
         let labels = Class {
             class: class.to_string(),
         };
@@ -212,19 +212,19 @@
     }
 
     /// Records what a call to the platform or to a peer brought, and how long it took.
-    pub fn answered(&self, call: &'static str, bytes: usize, took: Duration) {
+    pub fn observe_call(&self, call: &'static str, bytes: usize, took: Duration) {
         let labels = Called { call };
         self.answer_bytes.get_or_create(&labels).inc_by(bytes as u64);
         self.call_time.get_or_create(&labels).observe(took.as_secs_f64());
     }
 
     /// Counts a call to the platform.
-    pub fn platform_call(&self, call: &'static str, outcome: &'static str) {
+    pub fn count_platform_call(&self, call: &'static str, outcome: &'static str) {
         self.platform.get_or_create(&Platform { call, outcome }).inc();
     }
 
     /// All metrics as text.
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         let mut text = String::new();
         let _ = encode(&mut text, &self.registry);
         text
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -148,5 +148,5 @@
 }
 
 fn count(handle: &Handle, call: &'static str, outcome: &'static str) {
-    handle.metrics.platform_call(call, outcome);
+    handle.metrics.count_platform_call(call, outcome);
 }
--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -152,10 +152,10 @@
     };
     let route = &job.admission.route.name;
     if !job.is_stream() || result.is_err() {
-        shared.metrics.request(route, outcome);
+        shared.metrics.count_request(route, outcome);
     }
     if !job.is_stream() && result.is_ok() {
-        shared.metrics.first_after(route, now.since(job.arrived));
+        shared.metrics.observe_first_answer(route, now.since(job.arrived));
     }
     let proof_ms = shared
         .state()
@@ -228,6 +228,6 @@
         proof_ms = state.freshness.age(now).map(|age| age.as_millis() as u64),
     );
     drop(state);
-    shared.metrics.request("", refusal.kind.name());
+    shared.metrics.count_request("", refusal.kind.name());
     refusal
 }
--- a/crates/entry/src/proxy/admin.rs
+++ b/crates/entry/src/proxy/admin.rs
@@ -61,7 +61,7 @@
             shared.metrics.trusted.set(i64::from(trusted));
             shared.metrics.in_flight.set(shared.in_flight() as i64);
             shared.metrics.dropped_lines.set(log::dropped() as i64);
-            answer(StatusCode::OK, shared.metrics.text())
+            answer(StatusCode::OK, shared.metrics.render())
         }
         path if path == shared.adapter.ready_path() => readiness(shared),
         _ => answer(StatusCode::NOT_FOUND, "not found\n"),
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -45,7 +45,7 @@
         Outcome::Lost { received } => (unanswered(Answer::Lost), received),
     };
     let took = shared.now().since(asked);
-    shared.metrics.answered(call.name(), bytes, took);
+    shared.metrics.observe_call(call.name(), bytes, took);
     if matches!(page.answer, Answer::Refused | Answer::Lost) {
         tracing::warn!(
             event = "store-call-failed",
@@ -58,6 +58,8 @@
     if !matches!(page.answer, Answer::Refused | Answer::Lost) {
         shared.state().store_contact.renew(asked);
     }
-    shared.metrics.platform_call(call.name(), page.answer.outcome());
+    shared
+        .metrics
+        .count_platform_call(call.name(), page.answer.outcome());
     page
 }
--- a/crates/entry/src/proxy/changes.rs
+++ b/crates/entry/src/proxy/changes.rs
@@ -148,7 +148,7 @@
         Outcome::NotSent => (None, "unreachable", 0),
         Outcome::Lost { received } => (None, "lost", received),
     };
-    shared.metrics.answered(name, bytes, took);
+    shared.metrics.observe_call(name, bytes, took);
     if told.is_none() {
         tracing::warn!(event = "peer-call-failed", call = name, %peer, outcome, bytes, took_ms = took.as_millis() as u64);
     }
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -244,7 +244,7 @@
             Outcome::NotSent => ("refused", None),
             Outcome::Lost { .. } => ("lost", None),
         };
-        self.shared.metrics.platform_call("duty", outcome);
+        self.shared.metrics.count_platform_call("duty", outcome);
         if status == Some(StatusCode::CONFLICT.as_u16()) {
             tracing::warn!(event = "duty-refused", fence = grant.fence);
         }
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -42,7 +42,7 @@
         let shared = &self.forwarder.shared;
         let now = shared.now();
         let route = &self.job.admission.route.name;
-        shared.metrics.request(route, self.outcome);
+        shared.metrics.count_request(route, self.outcome);
         tracing::info!(
             event = "stream-ended",
             request = self.job.head.id,
@@ -186,7 +186,9 @@
         segment.opened.slot.read();
         self.shared.count_start(job.admission.customer.as_deref());
         let waited = self.shared.now().since(job.arrived);
-        self.shared.metrics.first_after(&job.admission.route.name, waited);
+        self.shared
+            .metrics
+            .observe_first_answer(&job.admission.route.name, waited);
     }
 
     fn body(self: Arc<Self>, closing: Closing, segment: Segment, first: Events, mut tries: Tries) -> Body {
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -132,7 +132,7 @@
         let helped = told == Some(true) && fresh;
         self.shared
             .metrics
-            .platform_call("peer", if helped { "ok" } else { "refused" });
+            .count_platform_call("peer", if helped { "ok" } else { "refused" });
         if helped {
             self.settle();
         } else {
