--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -32,7 +32,7 @@
 fn respond(handle: &Handle, request: &mut Request<Body>) -> Response<Body> {
     match request.uri().path() {
         "/metrics" => {
-            handle.metrics.in_flight.set(handle.in_flight() as i64);
+            handle.metrics.requests_in_flight.set(handle.in_flight() as i64);
             answer(200, "text/plain; version=0.0.4", handle.metrics.render())
         }
         "/healthz" => match status(handle) {
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -80,7 +80,7 @@
         }
         self.handle
             .metrics
-            .control_micros
+            .control_busy_us
             .inc_by(began.elapsed().as_micros() as u64);
     }
 
@@ -99,7 +99,7 @@
             Action::Reply(call, reply) => self.reply(call, *reply),
             Action::View(view) => {
                 tracing::info!(event = "configuration-in-force", version = view.version);
-                self.handle.metrics.version.set(view.version as i64);
+                self.handle.metrics.configuration_version.set(view.version as i64);
                 self.handle.view.store(view);
             }
             Action::Members(cards) => {
@@ -113,7 +113,7 @@
             }
             Action::KeysTrusted(trusted) => {
                 tracing::info!(event = "keys-trusted", trusted);
-                self.handle.metrics.trusted.set(i64::from(trusted));
+                self.handle.metrics.keys_trusted.set(i64::from(trusted));
                 self.handle
                     .trusted
                     .store(trusted, std::sync::atomic::Ordering::SeqCst);
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -119,7 +119,7 @@
         let metrics = &self.handle.metrics;
         metrics.count_request(&class, outcome);
         metrics
-            .first
+            .first_answer
             .get_or_create(&Class { class: class.clone() })
             .observe(began.elapsed().as_secs_f64());
         tracing::info!(
@@ -258,7 +258,7 @@
 
     /// Passes a call on to the one process that may run it.
     async fn pass_on(&self, job: &Job, once: String, owner: Incarnation) -> Result<Response<Body>, Refusal> {
-        self.handle.metrics.forwarded.inc();
+        self.handle.metrics.forwarded_calls.inc();
         let key = owner_key(&job.customer, &once);
         let Some(mut client) = self
             .handle
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -100,7 +100,12 @@
         })?;
         if !self.tries.tried().is_empty() && self.state.usage.tokens > 0 {
             let class = self.job.class();
-            self.job.handle.metrics.resumed.get_or_create(&class).inc();
+            self.job
+                .handle
+                .metrics
+                .resumed_streams
+                .get_or_create(&class)
+                .inc();
         }
         self.tries.record_choice(start.runner);
         Ok(start)
@@ -394,7 +399,7 @@
             };
             job.handle
                 .metrics
-                .first
+                .first_answer
                 .get_or_create(&class)
                 .observe(job.began.elapsed().as_secs_f64());
         }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -57,35 +57,35 @@
     /// Requests by class and outcome.
     pub requests: Family<Outcome, Counter>,
     /// Time to the first token or whole plain answer.
-    pub first: Family<Class, Histogram, fn() -> Histogram>,
+    pub first_answer: Family<Class, Histogram, fn() -> Histogram>,
     /// Tokens that went to callers.
     pub tokens: Family<Class, Counter>,
     /// Streams that another runner had to go on with.
-    pub resumed: Family<Class, Counter>,
+    pub resumed_streams: Family<Class, Counter>,
     /// Calls passed on to their owner.
-    pub forwarded: Counter,
+    pub forwarded_calls: Counter,
     /// Connections refused past the bound.
     pub refused_connections: Counter,
     /// Calls to the platform.
-    pub platform: Family<Platform, Counter>,
+    pub platform_calls: Family<Platform, Counter>,
     /// Bytes of the answers to calls to the platform and to peers.
-    pub answer_bytes: Family<Called, Counter>,
+    pub response_bytes: Family<Called, Counter>,
     /// Time of such calls, answered or given up.
-    pub call_time: Family<Called, Histogram, fn() -> Histogram>,
+    pub call_duration: Family<Called, Histogram, fn() -> Histogram>,
     /// Size of the configuration in force.
-    pub document_bytes: Gauge,
+    pub configuration_bytes: Gauge,
     /// Heartbeat bytes sent.
-    pub beat_bytes: Counter,
+    pub heartbeat_bytes: Counter,
     /// Configuration version in force.
-    pub version: Gauge,
+    pub configuration_version: Gauge,
     /// Whether keys may be trusted.
-    pub trusted: Gauge,
+    pub keys_trusted: Gauge,
     /// Requests in flight.
-    pub in_flight: Gauge,
+    pub requests_in_flight: Gauge,
     /// Log lines dropped because their writer was behind.
-    pub dropped_lines: Gauge,
+    pub log_lines_dropped: Gauge,
     /// Processor time of the control thread.
-    pub control_micros: Counter,
+    pub control_busy_us: Counter,
     registry: Arc<Registry>,
 }
 
@@ -93,21 +93,21 @@
     fn default() -> Self {
         let mut metrics = Self {
             requests: Family::default(),
-            first: Family::new_with_constructor(seconds),
+            first_answer: Family::new_with_constructor(seconds),
             tokens: Family::default(),
-            resumed: Family::default(),
-            forwarded: Counter::default(),
+            resumed_streams: Family::default(),
+            forwarded_calls: Counter::default(),
             refused_connections: Counter::default(),
-            platform: Family::default(),
-            answer_bytes: Family::default(),
-            call_time: Family::new_with_constructor(seconds),
-            document_bytes: Gauge::default(),
-            beat_bytes: Counter::default(),
-            version: Gauge::default(),
-            trusted: Gauge::default(),
-            in_flight: Gauge::default(),
-            dropped_lines: Gauge::default(),
-            control_micros: Counter::default(),
+            platform_calls: Family::default(),
+            response_bytes: Family::default(),
+            call_duration: Family::new_with_constructor(seconds),
+            configuration_bytes: Gauge::default(),
+            heartbeat_bytes: Counter::default(),
+            configuration_version: Gauge::default(),
+            keys_trusted: Gauge::default(),
+            requests_in_flight: Gauge::default(),
+            log_lines_dropped: Gauge::default(),
+            control_busy_us: Counter::default(),
             registry: Arc::default(),
         };
         let mut registry = Registry::with_prefix("radishstair");
@@ -124,7 +124,7 @@
             "first_answer",
             "Time to the first token or the whole plain answer",
             Unit::Seconds,
-            self.first.clone(),
+            self.first_answer.clone(),
         );
         registry.register(
             "tokens",
@@ -134,63 +134,71 @@
         registry.register(
             "resumed_streams",
             "Streams that went on at another runner",
-            self.resumed.clone(),
+            self.resumed_streams.clone(),
         );
         registry.register(
             "forwarded_calls",
             "Calls passed on to their owner",
-            self.forwarded.clone(),
+            self.forwarded_calls.clone(),
         );
         registry.register(
             "refused_connections",
             "Connections refused past the bound",
             self.refused_connections.clone(),
         );
-        registry.register("platform_calls", "Calls to the platform", self.platform.clone());
+        registry.register(
+            "platform_calls",
+            "Calls to the platform",
+            self.platform_calls.clone(),
+        );
         registry.register_with_unit(
             "platform_answer",
             "Bytes of answers of the platform and of peers",
             Unit::Bytes,
-            self.answer_bytes.clone(),
+            self.response_bytes.clone(),
         );
         registry.register_with_unit(
             "platform_call",
             "Time of calls to the platform and to peers, answered or given up",
             Unit::Seconds,
-            self.call_time.clone(),
+            self.call_duration.clone(),
         );
         registry.register_with_unit(
             "configuration",
             "Size of the configuration in force",
             Unit::Bytes,
-            self.document_bytes.clone(),
+            self.configuration_bytes.clone(),
         );
         registry.register(
             "log_lines_dropped",
             "Log lines dropped because their writer was behind",
-            self.dropped_lines.clone(),
+            self.log_lines_dropped.clone(),
         );
         registry.register_with_unit(
             "heartbeat",
             "Heartbeats sent",
             Unit::Bytes,
-            self.beat_bytes.clone(),
+            self.heartbeat_bytes.clone(),
         );
         registry.register(
             "configuration_version",
             "Configuration in force",
-            self.version.clone(),
+            self.configuration_version.clone(),
         );
         registry.register(
             "keys_trusted",
             "1 while keys may be trusted",
-            self.trusted.clone(),
+            self.keys_trusted.clone(),
+        );
+        registry.register(
+            "requests_in_flight",
+            "Requests in flight",
+            self.requests_in_flight.clone(),
         );
-        registry.register("requests_in_flight", "Requests in flight", self.in_flight.clone());
         registry.register(
             "control_busy_microseconds",
             "Time that the control thread was busy",
-            self.control_micros.clone(),
+            self.control_busy_us.clone(),
         );
     }
 
@@ -208,19 +216,25 @@
         let labels = Class {
             class: class.to_string(),
         };
-        self.first.get_or_create(&labels).observe(waited.as_secs_f64());
+        self.first_answer
+            .get_or_create(&labels)
+            .observe(waited.as_secs_f64());
     }
 
     /// Records what a call to the platform or to a peer brought, and how long it took.
     pub fn observe_call(&self, call: &'static str, bytes: usize, took: Duration) {
         let labels = Called { call };
-        self.answer_bytes.get_or_create(&labels).inc_by(bytes as u64);
-        self.call_time.get_or_create(&labels).observe(took.as_secs_f64());
+        self.response_bytes.get_or_create(&labels).inc_by(bytes as u64);
+        self.call_duration
+            .get_or_create(&labels)
+            .observe(took.as_secs_f64());
     }
 
     /// Counts a call to the platform.
     pub fn count_platform_call(&self, call: &'static str, outcome: &'static str) {
-        self.platform.get_or_create(&Platform { call, outcome }).inc();
+        self.platform_calls
+            .get_or_create(&Platform { call, outcome })
+            .inc();
     }
 
     /// All metrics as text.
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -49,7 +49,7 @@
                 if Arc::strong_count(&in_air) > 2 + BEATS_IN_AIR {
                     continue;
                 }
-                handle.metrics.beat_bytes.inc_by(beat.encoded_len() as u64);
+                handle.metrics.heartbeat_bytes.inc_by(beat.encoded_len() as u64);
                 let mut client = links.over(channel);
                 tokio::spawn(async move {
                     let _in_air = in_air;
--- a/crates/entry/src/proxy/admin.rs
+++ b/crates/entry/src/proxy/admin.rs
@@ -58,9 +58,9 @@
     match request.uri().path() {
         METRICS => {
             let trusted = shared.state().is_fresh(shared.now());
-            shared.metrics.trusted.set(i64::from(trusted));
-            shared.metrics.in_flight.set(shared.in_flight() as i64);
-            shared.metrics.dropped_lines.set(log::dropped() as i64);
+            shared.metrics.keys_trusted.set(i64::from(trusted));
+            shared.metrics.requests_in_flight.set(shared.in_flight() as i64);
+            shared.metrics.log_lines_dropped.set(log::dropped() as i64);
             answer(StatusCode::OK, shared.metrics.render())
         }
         path if path == shared.adapter.ready_path() => readiness(shared),
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -181,8 +181,8 @@
     if !shared.state().configure(table) {
         return;
     }
-    shared.metrics.version.set(version as i64);
-    shared.metrics.document_bytes.set(entry.value.len() as i64);
+    shared.metrics.configuration_version.set(version as i64);
+    shared.metrics.configuration_bytes.set(entry.value.len() as i64);
     tracing::info!(
         event = "configuration-in-force",
         version,
