--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -94,8 +94,8 @@
         async move { Ok::<_, Infallible>(front.handle(request).await) }
     });
     let limits = serve::Limits {
-        head_time: HEAD,
-        head: HEAD_BYTES,
+        head_timeout: HEAD,
+        max_head_bytes: HEAD_BYTES,
     };
     serve::connection(stream, limits, service, stop).await;
 }
--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -80,8 +80,8 @@
     // The time for a head also runs while a connection is idle, so it must not
     // be shorter than the idle time that callers were told.
     let limits = serve::Limits {
-        head_time: limits.idle_timeout.max(limits.head_timeout),
-        head: limits.head_bytes.max(HEAD_BUFFER),
+        head_timeout: limits.idle_timeout.max(limits.head_timeout),
+        max_head_bytes: limits.head_bytes.max(HEAD_BUFFER),
     };
     serve::connection(stream, limits, service, stop).await;
 }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Longest time for a head to come; it also runs while the connection is idle.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Most bytes of a head.
-    pub head: usize,
+    pub max_head_bytes: usize,
 }
 
 /// Serves requests until the caller or `stop` ends the connection; a request
@@ -28,8 +28,8 @@
 {
     let served = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head_time)
-        .max_buf_size(limits.head)
+        .header_read_timeout(limits.head_timeout)
+        .max_buf_size(limits.max_head_bytes)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(served);
     tokio::select! {
