--- a/crates/entry/src/proxy/admin.rs
+++ b/crates/entry/src/proxy/admin.rs
@@ -60,7 +60,7 @@
             let trusted = shared.state().is_fresh(shared.now());
             shared.metrics.keys_trusted.set(i64::from(trusted));
             shared.metrics.requests_in_flight.set(shared.in_flight() as i64);
-            shared.metrics.log_lines_dropped.set(log::dropped() as i64);
+            shared.metrics.log_lines_dropped.set(log::dropped_lines() as i64);
             answer(StatusCode::OK, shared.metrics.render())
         }
         path if path == shared.adapter.ready_path() => readiness(shared),
--- a/crates/wire/src/log.rs
+++ b/crates/wire/src/log.rs
@@ -7,10 +7,10 @@
 use tracing_subscriber::util::SubscriberInitExt;
 
 /// Variable that filters events, such as `info` or `radishstair_entry=debug`.
-pub const FILTER: &str = "RADISHSTAIR_LOG";
+pub const FILTER_VARIABLE: &str = "RADISHSTAIR_LOG";
 
 /// Starts logging; events below `info` need the filter.
-pub fn start() {
+pub fn init() {
     let lines = tracing_logfmt::builder().layer().with_writer(std::io::stderr);
     // A second start in one process (tests) keeps the first.
     let _ = tracing_subscriber::registry()
@@ -20,20 +20,20 @@
 }
 
 fn filter() -> tracing_subscriber::EnvFilter {
-    tracing_subscriber::EnvFilter::try_from_env(FILTER)
+    tracing_subscriber::EnvFilter::try_from_env(FILTER_VARIABLE)
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"))
 }
 
 /// Lines that wait for the writer before further ones are dropped: a second
 /// of a host's lines at its highest rate.
-const WAITING: usize = 2_048;
+const MAX_QUEUED_LINES: usize = 2_048;
 
 /// Starts logging through a thread of its own and a bounded queue. Lines past
 /// the bound are dropped and counted, so that a slow reader of the log never
 /// delays a request. Dropping the guard writes what waits.
-pub fn start_bounded() -> Guard {
+pub fn init_bounded() -> Guard {
     let (writer, worker) = tracing_appender::non_blocking::NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .lossy(true)
         .thread_name("log")
         .finish(std::io::stdout());
@@ -54,6 +54,6 @@
 static DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
 
 /// Lines dropped so far by the bounded log.
-pub fn dropped() -> usize {
+pub fn dropped_lines() -> usize {
     DROPPED.get().map_or(0, ErrorCounter::dropped_lines)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -36,7 +36,7 @@
         eprintln!("{name}: no settings file; see {name} --help");
         return ExitCode::FAILURE;
     };
-    radishstair_wire::log::start();
+    radishstair_wire::log::init();
     let settings = radishstair_wire::settings::load(path);
     let result = settings.and_then(|settings| {
         check(&settings)?;
