--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -69,7 +69,7 @@
     traffic.spawn(front::serve(front, listener, settings.connections, stopped));
     tracing::info!(event = "serving", address = %settings.listen);
 
-    radishstair_wire::settings::wait_for_stop()?;
+    radishstair_wire::settings::wait_for_stop_signal()?;
     wind_down(settings, &handle, &stop, &exit);
     traffic.shutdown_timeout(Duration::from_secs(1));
     tracing::info!(event = "stopped");
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -107,5 +107,5 @@
             std::process::exit(1);
         }
     });
-    radishstair_wire::settings::wait_for_stop()
+    radishstair_wire::settings::wait_for_stop_signal()
 }
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -33,7 +33,7 @@
 /// # Errors
 ///
 /// When the handlers cannot be set.
-pub fn wait_for_stop() -> Result<()> {
+pub fn wait_for_stop_signal() -> Result<()> {
     use signal_hook::consts::{SIGINT, SIGTERM};
     let mut signals =
         signal_hook::iterator::Signals::new([SIGTERM, SIGINT]).context("setting signal handlers")?;
--- a/src/bin/standin-platform.rs
+++ b/src/bin/standin-platform.rs
@@ -10,7 +10,7 @@
         |_| Ok(()),
         |settings| {
             platform::start(settings)?;
-            radishstair_wire::settings::wait_for_stop()
+            radishstair_wire::settings::wait_for_stop_signal()
         },
     )
 }
