--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -261,7 +261,7 @@
         .as_deref()
         .and_then(|token| HeaderValue::from_str(token).ok())
     {
-        answer.headers_mut().insert(http::COME_BACK, token);
+        answer.headers_mut().insert(http::RESERVATION_TOKEN, token);
     }
     if refusal.repeat == Repeat::Never || refusal.kind == Kind::SlowRequest {
         answer
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -133,7 +133,7 @@
 
     async fn admit(&self, view: &View, request: Request<Incoming>) -> Result<Job, Refusal> {
         let path = request.uri().path().to_string();
-        let token = header(&request, http::COME_BACK);
+        let token = header(&request, http::RESERVATION_TOKEN);
         let class = view.class_for_path(&path).map(|class| class.name.clone());
         let class = class.ok_or_else(|| Refusal::new(Kind::NotFound).detail(&path))?;
         let caller = authenticate(&self.handle, view, &request)?;
--- a/crates/entry/src/front/chat.rs
+++ b/crates/entry/src/front/chat.rs
@@ -68,7 +68,7 @@
         let view = self.handle.view.load_full();
         let caller = authenticate(&self.handle, &view, &request)?;
         let wanted = header(&request, http::CLASS);
-        let token = header(&request, http::COME_BACK);
+        let token = header(&request, http::RESERVATION_TOKEN);
         let body: Value = serde_json::from_slice(&read(request).await?)
             .map_err(|err| Refusal::new(Kind::BadRequest).detail(err.to_string()))?;
         let prompt = prompt(&body)?;
--- a/crates/load/src/http.rs
+++ b/crates/load/src/http.rs
@@ -145,7 +145,7 @@
             request = request.header("authorization", format!("Bearer {}", self.key));
         }
         if let Some(token) = &self.token {
-            request = request.header(http::COME_BACK, token);
+            request = request.header(http::RESERVATION_TOKEN, token);
         }
         if let Some(once) = once {
             request = request.header("idempotency-key", once);
@@ -159,7 +159,7 @@
             status: response.status().as_u16(),
             runner: header("x-runner").unwrap_or_default(),
             next_key: header("next-idempotency-key"),
-            come_back: header(http::COME_BACK),
+            come_back: header(http::RESERVATION_TOKEN),
             ..Answer::default()
         };
         let events = header("content-type").is_some_and(|kind| kind == "text/event-stream");
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -11,6 +11,6 @@
 /// Runner that served a call, for callers and tests.
 pub const RUNNER: &str = "x-runner";
 /// Token of a promised time to come back, in refusals and then in requests.
-pub const COME_BACK: &str = "x-come-back";
+pub const RESERVATION_TOKEN: &str = "x-come-back";
 /// Request class that a caller wants, where the path does not give it.
 pub const CLASS: &str = "x-class";
