--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -131,7 +131,7 @@
 pub fn watch_list(handle: &Arc<Handle>, client: &Client) {
     let mut revision = 0;
     loop {
-        match client.hosts(revision) {
+        match client.runners(revision) {
             Ok(hosts) => {
                 revision = hosts.revision;
                 if let Some(runners) = hosts.runners {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -18,7 +18,7 @@
 use radishstair_core::record;
 use radishstair_core::runner::Listing;
 use radishstair_core::units::DurationText;
-use radishstair_wire::platform::{Get, Hosts, Item, Lease, Report};
+use radishstair_wire::platform::{Get, Item, Lease, Report, RunnerList};
 use serde_with::serde_as;
 
 /// Largest value, in bytes.
@@ -305,11 +305,11 @@
         let state = self.lock();
         let visible = state.list.iter().rev().find(|(when, ..)| *when <= now);
         let hosts = match visible {
-            Some((_, revision, runners)) => Hosts {
+            Some((_, revision, runners)) => RunnerList {
                 revision: *revision,
                 runners: (*revision != after).then(|| runners.clone()),
             },
-            None => Hosts {
+            None => RunnerList {
                 revision: 0,
                 runners: None,
             },
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -104,7 +104,7 @@
 }
 record! {
     /// Answer to `GET /hosts?after=REVISION`.
-    pub struct Hosts {
+    pub struct RunnerList {
         /// Revision of the list.
         pub revision: u64,
         /// All runners; absent when nothing changed since `after`.
@@ -201,7 +201,7 @@
     }
 
     /// The host list, if it changed since a revision.
-    pub fn hosts(&self, after: u64) -> Result<Hosts> {
+    pub fn runners(&self, after: u64) -> Result<RunnerList> {
         let url = format!("{}/hosts?after={after}", self.base);
         let mut answer = self.agent.get(&url).call().context("reading the host list")?;
         anyhow::ensure!(
