--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use radishstair_wire::platform::{Found, Grant, Item, Range, Remove, Swap, Written};
+use radishstair_wire::platform::{Grant, Item, Items, Range, Remove, Swap, Written};
 
 use super::{Platform, Reply, State, VALUE_BYTES, Value};
 
@@ -54,7 +54,7 @@
         (200, serde_json::json!(found(keys, key)))
     }
 
-    pub(super) fn range(&self, range: &Range, stale: bool) -> Found {
+    pub(super) fn range(&self, range: &Range, stale: bool) -> Items {
         let state = self.lock();
         scan(
             state.stale.as_ref().filter(|_| stale).unwrap_or(&state.keys),
@@ -119,7 +119,7 @@
     }
 }
 
-fn scan(keys: &BTreeMap<String, Value>, range: &Range) -> Found {
+fn scan(keys: &BTreeMap<String, Value>, range: &Range) -> Items {
     let from = range.prefix.clone().max(range.after.clone());
     let items = keys
         .range(from..)
@@ -128,11 +128,11 @@
         .take(range.limit as usize)
         .map(|(key, value)| item(key, value))
         .collect();
-    Found { items }
+    Items { items }
 }
 
-fn found(keys: &BTreeMap<String, Value>, key: &str) -> Found {
-    Found {
+fn found(keys: &BTreeMap<String, Value>, key: &str) -> Items {
+    Items {
         items: keys.get(key).map(|value| item(key, value)).into_iter().collect(),
     }
 }
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -83,7 +83,7 @@
 }
 record! {
     /// Answer to reads.
-    pub struct Found {
+    pub struct Items {
         /// Keys in order.
         pub items: Vec<Item>,
     }
@@ -286,7 +286,7 @@
             Ok(written) => Answer::Written(written.version),
             Err(_) => Answer::Lost,
         },
-        Raw::Body(409, body) => match serde_json::from_slice::<Found>(&body) {
+        Raw::Body(409, body) => match serde_json::from_slice::<Items>(&body) {
             Ok(found) => Answer::Conflict(found.items.into_iter().next().map_or_else(|| absent(key), entry)),
             Err(_) => Answer::Lost,
         },
@@ -306,7 +306,7 @@
 
 fn read_answer(raw: Raw) -> Answer {
     match raw {
-        Raw::Body(200, body) => match serde_json::from_slice::<Found>(&body) {
+        Raw::Body(200, body) => match serde_json::from_slice::<Items>(&body) {
             Ok(found) => Answer::Found(found.items.into_iter().map(entry).collect()),
             Err(_) => Answer::Lost,
         },
