--- a/crates/ctl/src/commit.rs
+++ b/crates/ctl/src/commit.rs
@@ -127,7 +127,7 @@
         value,
     };
     for _ in 0..TRIES {
-        match client.store(&call, None) {
+        match client.call_store(&call, None) {
             Answer::Written(_) => return Ok(None),
             Answer::Conflict(stands) => {
                 let stands: Entry =
@@ -147,7 +147,7 @@
 
 fn read(client: &Client, call: &Call) -> Result<Vec<store::Entry>> {
     for _ in 0..TRIES {
-        if let Answer::Found(entries) = client.store(call, None) {
+        if let Answer::Found(entries) = client.call_store(call, None) {
             return Ok(entries);
         }
         std::thread::sleep(PAUSE);
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -48,7 +48,7 @@
         let mut held = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if held.is_none_or(|(_, since)| since.elapsed() >= SHARE) {
             *held = client
-                .grant(claim::LEASE_TTL + SHARE)
+                .grant_lease(claim::LEASE_TTL + SHARE)
                 .map(|id| (id, Instant::now()));
         }
         held.map(|(id, _)| id)
@@ -60,7 +60,7 @@
     for job in jobs {
         let event = match job {
             Job::Store(token, call) => {
-                let answer = client.store(&call, leases.of(client, &call));
+                let answer = client.call_store(&call, leases.of(client, &call));
                 count(handle, call.name(), answer.outcome());
                 Event::StoreAnswer(token, answer)
             }
@@ -91,7 +91,7 @@
         );
         return false;
     }
-    let accepted = client.report(&report);
+    let accepted = client.send_report(&report);
     count(handle, "report", if accepted { "ok" } else { "lost" });
     tracing::info!(
         event = "usage-reported",
@@ -114,7 +114,7 @@
         );
         return false;
     }
-    let accepted = client.order(order);
+    let accepted = client.send_order(order);
     count(handle, "order", if accepted { "ok" } else { "lost" });
     tracing::info!(
         event = "ordered",
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -15,9 +15,9 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 /// Longest time that a watch waits at the service.
-pub const WATCH: Duration = Duration::from_secs(10);
+pub const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest wait for any other answer.
-pub const CALL: Duration = Duration::from_secs(2);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 record! {
     /// Body of `POST /kv/swap`.
@@ -128,7 +128,7 @@
 }
 
 /// How an answer came out, short of a typed body.
-enum Raw {
+enum RawResponse {
     Body(u16, Vec<u8>),
     NotSent,
     Lost,
@@ -147,7 +147,7 @@
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .timeout_connect(Some(Duration::from_millis(500)))
-            .timeout_global(Some(CALL))
+            .timeout_global(Some(CALL_TIMEOUT))
             .proxy(None)
             .build();
         Self {
@@ -157,7 +157,7 @@
     }
 
     /// Makes one call to the key-value service.
-    pub fn store(&self, call: &Call, lease: Option<u64>) -> Answer {
+    pub fn call_store(&self, call: &Call, lease: Option<u64>) -> Answer {
         match call {
             Call::CompareAndSwap { key, expect, value } => {
                 let body = Swap {
@@ -166,36 +166,38 @@
                     value: value.clone(),
                     lease,
                 };
-                write_answer(key, self.post("/kv/swap", &body, CALL))
+                write_answer(key, self.post("/kv/swap", &body, CALL_TIMEOUT))
             }
             Call::Remove { key, expect } => {
                 let body = Remove {
                     key: key.clone(),
                     expect: *expect,
                 };
-                write_answer(key, self.post("/kv/remove", &body, CALL))
+                write_answer(key, self.post("/kv/remove", &body, CALL_TIMEOUT))
             }
             // The platform's own answers are never old, and always whole.
             Call::Get { key } | Call::GetStale { key } | Call::GetIfChanged { key, .. } => {
-                read_answer(self.post("/kv/get", &Get { key: key.clone() }, CALL))
+                read_answer(self.post("/kv/get", &Get { key: key.clone() }, CALL_TIMEOUT))
             }
             Call::Range { prefix, after, limit } => {
-                read_answer(self.post("/kv/range", &range(prefix, after, *limit, 0), CALL))
+                read_answer(self.post("/kv/range", &range(prefix, after, *limit, 0), CALL_TIMEOUT))
             }
             Call::Watch { prefix, after } => {
-                let body = range(prefix, after, 1, WATCH.as_millis() as u64);
-                read_answer(self.post("/kv/watch", &body, WATCH + CALL))
+                let body = range(prefix, after, 1, WATCH_TIMEOUT.as_millis() as u64);
+                read_answer(self.post("/kv/watch", &body, WATCH_TIMEOUT + CALL_TIMEOUT))
             }
         }
     }
 
     /// A new lease.
-    pub fn grant(&self, ttl: Duration) -> Option<u64> {
+    pub fn grant_lease(&self, ttl: Duration) -> Option<u64> {
         let body = Grant {
             ttl_ms: ttl.as_millis() as u64,
         };
-        match self.post("/lease/grant", &body, CALL) {
-            Raw::Body(200, body) => serde_json::from_slice::<Written>(&body).ok().map(|id| id.version),
+        match self.post("/lease/grant", &body, CALL_TIMEOUT) {
+            RawResponse::Body(200, body) => {
+                serde_json::from_slice::<Written>(&body).ok().map(|id| id.version)
+            }
             _ => None,
         }
     }
@@ -214,30 +216,36 @@
     }
 
     /// Sends an order; true if it was accepted.
-    pub fn order(&self, order: &radishstair_core::order::Order) -> bool {
-        matches!(self.post("/orders", order, CALL), Raw::Body(200, _))
+    pub fn send_order(&self, order: &radishstair_core::order::Order) -> bool {
+        matches!(
+            self.post("/orders", order, CALL_TIMEOUT),
+            RawResponse::Body(200, _)
+        )
     }
 
     /// Sends a report; true if it was accepted.
-    pub fn report(&self, report: &Report) -> bool {
-        matches!(self.post("/usage", report, CALL), Raw::Body(200, _))
+    pub fn send_report(&self, report: &Report) -> bool {
+        matches!(
+            self.post("/usage", report, CALL_TIMEOUT),
+            RawResponse::Body(200, _)
+        )
     }
 
     /// Any other call, with typed bodies.
-    pub fn call<B: Serialize, A: DeserializeOwned>(&self, path: &str, body: &B) -> Result<A> {
-        match self.post(path, body, CALL) {
-            Raw::Body(200, body) => {
+    pub fn post_json<B: Serialize, A: DeserializeOwned>(&self, path: &str, body: &B) -> Result<A> {
+        match self.post(path, body, CALL_TIMEOUT) {
+            RawResponse::Body(200, body) => {
                 serde_json::from_slice(&body).with_context(|| format!("reading the answer of {path}"))
             }
-            Raw::Body(status, _) => anyhow::bail!("{path} answered {status}"),
-            Raw::NotSent => anyhow::bail!("{path}: cannot connect"),
-            Raw::Lost => anyhow::bail!("{path}: no answer"),
+            RawResponse::Body(status, _) => anyhow::bail!("{path} answered {status}"),
+            RawResponse::NotSent => anyhow::bail!("{path}: cannot connect"),
+            RawResponse::Lost => anyhow::bail!("{path}: no answer"),
         }
     }
 
-    fn post<B: Serialize>(&self, path: &str, body: &B, limit: Duration) -> Raw {
+    fn post<B: Serialize>(&self, path: &str, body: &B, limit: Duration) -> RawResponse {
         let Ok(text) = serde_json::to_vec(body) else {
-            return Raw::NotSent;
+            return RawResponse::NotSent;
         };
         let request = self
             .agent
@@ -254,11 +262,13 @@
                     .with_config()
                     .limit(8 * 1024 * 1024)
                     .read_to_vec();
-                body.map_or(Raw::Lost, |body| Raw::Body(status, body))
+                body.map_or(RawResponse::Lost, |body| RawResponse::Body(status, body))
+            }
+            Err(ureq::Error::Io(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => {
+                RawResponse::NotSent
             }
-            Err(ureq::Error::Io(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => Raw::NotSent,
-            Err(ureq::Error::Timeout(ureq::Timeout::Connect)) => Raw::NotSent,
-            Err(_) => Raw::Lost,
+            Err(ureq::Error::Timeout(ureq::Timeout::Connect)) => RawResponse::NotSent,
+            Err(_) => RawResponse::Lost,
         }
     }
 }
@@ -280,19 +290,19 @@
     }
 }
 
-fn write_answer(key: &str, raw: Raw) -> Answer {
+fn write_answer(key: &str, raw: RawResponse) -> Answer {
     match raw {
-        Raw::Body(200, body) => match serde_json::from_slice::<Written>(&body) {
+        RawResponse::Body(200, body) => match serde_json::from_slice::<Written>(&body) {
             Ok(written) => Answer::Written(written.version),
             Err(_) => Answer::Lost,
         },
-        Raw::Body(409, body) => match serde_json::from_slice::<Items>(&body) {
+        RawResponse::Body(409, body) => match serde_json::from_slice::<Items>(&body) {
             Ok(found) => Answer::Conflict(found.items.into_iter().next().map_or_else(|| absent(key), entry)),
             Err(_) => Answer::Lost,
         },
         // The service spells these out before it touches anything.
-        Raw::Body(400 | 413 | 429, _) | Raw::NotSent => Answer::Refused,
-        Raw::Body(..) | Raw::Lost => Answer::Lost,
+        RawResponse::Body(400 | 413 | 429, _) | RawResponse::NotSent => Answer::Refused,
+        RawResponse::Body(..) | RawResponse::Lost => Answer::Lost,
     }
 }
 
@@ -304,13 +314,13 @@
     }
 }
 
-fn read_answer(raw: Raw) -> Answer {
+fn read_answer(raw: RawResponse) -> Answer {
     match raw {
-        Raw::Body(200, body) => match serde_json::from_slice::<Items>(&body) {
+        RawResponse::Body(200, body) => match serde_json::from_slice::<Items>(&body) {
             Ok(found) => Answer::Found(found.items.into_iter().map(entry).collect()),
             Err(_) => Answer::Lost,
         },
-        Raw::Body(400 | 413 | 429, _) | Raw::NotSent => Answer::Refused,
-        Raw::Body(..) | Raw::Lost => Answer::Lost,
+        RawResponse::Body(400 | 413 | 429, _) | RawResponse::NotSent => Answer::Refused,
+        RawResponse::Body(..) | RawResponse::Lost => Answer::Lost,
     }
 }
