--- a/tests/suite/docs.rs
+++ b/tests/suite/docs.rs
@@ -9,7 +9,7 @@
 use radishstair_standin::model;
 use serde_json::Value;
 
-use crate::process::{TOKEN, post, site};
+use crate::process::{TOKEN, cluster, post};
 
 fn page(name: &str) -> String {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -30,25 +30,25 @@
 #[test]
 fn the_callers_page_holds() {
     let page = page("interfaces/callers.md");
-    let site = site().start();
-    let caller = site.caller();
-    let chat = caller.chat(site.entry(0), "chat", &example(&page, "chat"));
+    let cluster = cluster().start();
+    let caller = cluster.caller();
+    let chat = caller.chat(cluster.entry(0), "chat", &example(&page, "chat"));
     assert!(chat.done && chat.tokens == 12, "{chat:?}");
     let balance = caller.call(
-        site.entry(1),
+        cluster.entry(1),
         "/ledger/balances",
         &example(&page, "balance"),
         None,
     );
     assert_eq!(balance.status, 200);
-    let tickets = caller.call(site.entry(2), "/v1/tickets", &example(&page, "tickets"), None);
+    let tickets = caller.call(cluster.entry(2), "/v1/tickets", &example(&page, "tickets"), None);
     let ticket = tickets.body["tickets"][1]
         .as_str()
         .expect("two tickets")
         .to_string();
     let posting = example(&page, "posting");
-    let first = caller.call(site.entry(3), "/ledger/postings", &posting, Some(&ticket));
-    let again = caller.call(site.entry(0), "/ledger/postings", &posting, Some(&ticket));
+    let first = caller.call(cluster.entry(3), "/ledger/postings", &posting, Some(&ticket));
+    let again = caller.call(cluster.entry(0), "/ledger/postings", &posting, Some(&ticket));
     assert_eq!((first.status, &first.body), (200, &again.body));
 }
 
@@ -56,8 +56,8 @@
 #[test]
 fn the_platforms_page_holds() {
     let page = page("interfaces/platform.md");
-    let site = site().start();
-    let platform = site.addresses.platform[0];
+    let cluster = cluster().start();
+    let platform = cluster.addresses.platform[0];
     let swap = example(&page, "swap");
     assert!(post(platform, "/kv/swap", &swap)["version"].as_u64() > Some(0));
     let again = ureq::post(format!("http://{platform}/kv/swap")).send(swap.to_string());
@@ -78,9 +78,9 @@
 #[test]
 fn the_upstreams_page_holds() {
     let page = page("interfaces/upstreams.md");
-    let site = site().start();
+    let cluster = cluster().start();
     let caller = Caller::new("");
-    let engine = site.addresses.engines[0];
+    let engine = cluster.addresses.engines[0];
     let rest = caller.chat(engine, "", &example(&page, "resume"));
     let whole = model::answer(digest(b"go on len=8"), 8);
     let first: String = (0..3)
@@ -89,7 +89,7 @@
     assert!(rest.done && rest.tokens == 5, "{rest:?}");
     assert_eq!(format!("{first}{}", rest.text), whole);
     let call = example(&page, "call");
-    let answer = caller.call(site.addresses.plain[0], "/ledger/balances", &call, None);
+    let answer = caller.call(cluster.addresses.plain[0], "/ledger/balances", &call, None);
     assert_eq!((answer.status, &answer.body["echo"]), (200, &call));
 }
 
@@ -97,8 +97,8 @@
 #[test]
 fn the_peers_page_holds() {
     assert!(page("interfaces/peers.md").contains("`Pull { have: 0 }`"));
-    let site = site().start();
-    let address = site.peer_address(0);
+    let cluster = cluster().start();
+    let address = cluster.peer_address(0);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/tests/suite/duties_live.rs
+++ b/tests/suite/duties_live.rs
@@ -10,12 +10,12 @@
 use radishstair_standin::model;
 use serde_json::json;
 
-use crate::process::{Site, site};
+use crate::process::{Cluster, cluster};
 
 /// Which host holds a duty.
-fn holder(site: &Site, duty: &str) -> Option<usize> {
+fn holder(cluster: &Cluster, duty: &str) -> Option<usize> {
     (0..4).find(|at| {
-        let duties = site.status(*at).map_or(Vec::new(), |status| status.duties);
+        let duties = cluster.status(*at).map_or(Vec::new(), |status| status.duties);
         duties.iter().any(|(have, _)| have == duty)
     })
 }
@@ -37,19 +37,21 @@
 
 fn freeze_the_holder(fenced: &[&str]) {
     let checked = fenced.iter().map(ToString::to_string).collect();
-    let site = site().plan(|plan| plan.fenced = checked).start();
-    site.wait("somebody is in charge", |site| holder(site, "orders").is_some());
-    let first = holder(&site, "orders").expect("a holder");
-    site.freeze(first);
-    site.wait("another takes over", |site| {
+    let cluster = cluster().plan(|plan| plan.fenced = checked).start();
+    cluster.wait("somebody is in charge", |cluster| {
+        holder(cluster, "orders").is_some()
+    });
+    let first = holder(&cluster, "orders").expect("a holder");
+    cluster.freeze(first);
+    cluster.wait("another takes over", |cluster| {
         let others = (0..4).filter(|at| *at != first);
-        let duties = |at: usize| site.status(at).map_or(Vec::new(), |status| status.duties);
+        let duties = |at: usize| cluster.status(at).map_or(Vec::new(), |status| status.duties);
         others
             .into_iter()
             .any(|at| duties(at).iter().any(|(duty, _)| duty == "orders"))
     });
-    site.signal(first, Signal::SIGCONT);
-    site.change(|document| {
+    cluster.signal(first, Signal::SIGCONT);
+    cluster.change(|document| {
         let mut pool = document.pools.get("engines").expect("the pool").clone();
         pool.least = 3;
         vec![Op {
@@ -58,39 +60,42 @@
             value: serde_json::to_value(pool).ok(),
         }]
     });
-    let orders = |site: &Site| {
-        site.platform_log()["orders"]
+    let orders = |cluster: &Cluster| {
+        cluster.platform_log()["orders"]
             .as_array()
             .cloned()
             .unwrap_or_default()
     };
-    site.wait("the new target is ordered", |site| {
-        orders(site).iter().any(|order| order[0]["count"] == 3)
+    cluster.wait("the new target is ordered", |cluster| {
+        orders(cluster).iter().any(|order| order[0]["count"] == 3)
     });
     std::thread::sleep(Duration::from_secs(3));
-    let fences: Vec<u64> = orders(&site)
+    let fences: Vec<u64> = orders(&cluster)
         .iter()
         .filter_map(|order| order[0]["fence"].as_u64())
         .collect();
     assert!(fences.is_sorted(), "{fences:?}");
     let accepted = |order: &serde_json::Value| order[1] == true;
-    assert!(orders(&site).iter().all(accepted), "an order was refused as old");
+    assert!(
+        orders(&cluster).iter().all(accepted),
+        "an order was refused as old"
+    );
     assert!(
         fences.last() > fences.first(),
         "no order came from the successor: {fences:?}"
     );
 }
 
-fn reports(site: &Site) -> Vec<serde_json::Value> {
-    site.platform_log()["reports"]
+fn reports(cluster: &Cluster) -> Vec<serde_json::Value> {
+    cluster.platform_log()["reports"]
         .as_array()
         .cloned()
         .unwrap_or_default()
 }
 
 /// Calls of a customer by the reports; a window that came twice counts once.
-fn reported(site: &Site, customer: &str) -> u64 {
-    let mut windows = reports(site);
+fn reported(cluster: &Cluster, customer: &str) -> u64 {
+    let mut windows = reports(cluster);
     windows.sort_by_key(|report| report["number"].as_u64());
     windows.dedup_by_key(|report| report["number"].as_u64());
     let lines = windows
@@ -104,30 +109,32 @@
 /// was sealed with the same figures, and what others counted exactly once.
 #[test]
 fn a_killed_reporter_is_followed_by_the_same_figures() {
-    let mut site = site().start();
-    site.wait("somebody reports", |site| holder(site, "usage").is_some());
-    let first = holder(&site, "usage").expect("a holder");
+    let mut cluster = cluster().start();
+    cluster.wait("somebody reports", |cluster| holder(cluster, "usage").is_some());
+    let first = holder(&cluster, "usage").expect("a holder");
     let others: Vec<usize> = (0..4).filter(|at| *at != first).collect();
-    let caller = site.caller();
+    let caller = cluster.caller();
     let mut sent = 0;
     for round in 0..30 {
         let entry = others[round % others.len()];
         sent += u64::from(
             caller
                 .chat(
-                    site.entry(entry),
+                    cluster.entry(entry),
                     "chat",
-                    &site.chat(&format!("count {round}"), 3),
+                    &cluster.chat(&format!("count {round}"), 3),
                 )
                 .done,
         );
         if round == 15 {
-            site.restart(first);
+            cluster.restart(first);
         }
     }
-    site.wait("everything is reported", |site| reported(site, "coop") >= sent);
-    assert_eq!(reported(&site, "coop"), sent);
-    let reports = reports(&site);
+    cluster.wait("everything is reported", |cluster| {
+        reported(cluster, "coop") >= sent
+    });
+    assert_eq!(reported(&cluster, "coop"), sent);
+    let reports = reports(&cluster);
     for report in &reports {
         let same = |other: &&serde_json::Value| other["window"] == report["window"];
         assert!(
@@ -169,20 +176,20 @@
 /// until it knows the configuration; those callers come back when they were told to.
 #[test]
 fn concurrent_callers_get_their_own_answers() {
-    let mut site = site().start();
-    site.fault(
-        &site.addresses.engines,
+    let mut cluster = cluster().start();
+    cluster.fault(
+        &cluster.addresses.engines,
         &json!({ "cut_at": 4, "cuts": 6, "cross": 4 }),
     );
     let history: Vec<(&str, String, u32, Answer)> = std::thread::scope(|scope| {
-        let site = &mut site;
-        let addresses = site.addresses.entries.clone();
+        let cluster = &mut cluster;
+        let addresses = cluster.addresses.entries.clone();
         let tasks: Vec<_> = (0..60_u32)
             .map(|at| {
                 let key = if at % 3 == 0 { "rsk-other" } else { "rsk-coop" };
                 let entry = addresses[at as usize % addresses.len()];
                 let tokens = 5 + at % 20;
-                let body = site.chat(&format!("mine {key} {at}"), tokens);
+                let body = cluster.chat(&format!("mine {key} {at}"), tokens);
                 scope.spawn(move || {
                     std::thread::sleep(Duration::from_millis(u64::from(at) * 15));
                     let prompt = body["messages"][0]["content"]
@@ -195,7 +202,7 @@
             })
             .collect();
         std::thread::sleep(Duration::from_millis(400));
-        site.restart(3);
+        cluster.restart(3);
         tasks
             .into_iter()
             .map(|task| task.join().expect("a caller ends"))
@@ -238,11 +245,11 @@
     let (coop, other) = (of("rsk-coop"), of("rsk-other"));
     // What the killed host had counted in its last seconds may be lost.
     let lost = 15;
-    site.wait("usage is reported", |site| {
-        reported(site, "coop") + lost >= coop && reported(site, "other") + lost >= other
+    cluster.wait("usage is reported", |cluster| {
+        reported(cluster, "coop") + lost >= coop && reported(cluster, "other") + lost >= other
     });
     assert!(
-        reported(&site, "coop") <= coop && reported(&site, "other") <= other,
+        reported(&cluster, "coop") <= coop && reported(&cluster, "other") <= other,
         "counted under the wrong customer"
     );
 }
--- a/tests/suite/input.rs
+++ b/tests/suite/input.rs
@@ -8,11 +8,11 @@
 use radishstair_load::http::Caller;
 use serde_json::json;
 
-use crate::process::{Site, site};
+use crate::process::{Cluster, cluster};
 
 /// Sends bytes as they are and reads until the host closes.
-fn raw(site: &Site, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(site.entry(0)).expect("the port is open");
+fn raw(cluster: &Cluster, bytes: &[u8]) -> String {
+    let mut stream = TcpStream::connect(cluster.entry(0)).expect("the port is open");
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("a timeout");
@@ -32,21 +32,21 @@
 /// refused by kind, and none of them reaches a runner.
 #[test]
 fn malformed_requests_are_refused() {
-    let site = site().start();
+    let cluster = cluster().start();
     let large = "x".repeat(2 * 1024 * 1024);
     let big_body = raw(
-        &site,
+        &cluster,
         format!("{}{large}", head("/ledger/balances", large.len())).as_bytes(),
     );
     assert!(big_body.contains("too-large"), "{big_body}");
     let big_head = raw(
-        &site,
+        &cluster,
         format!("POST / HTTP/1.1\r\nx: {}\r\n\r\n", &large[..64 * 1024]).as_bytes(),
     );
     assert!(big_head.starts_with("HTTP/1.1 431"), "{big_head}");
-    let garbage = raw(&site, b"not http at all\r\n\r\n");
+    let garbage = raw(&cluster, b"not http at all\r\n\r\n");
     assert!(garbage.starts_with("HTTP/1.1 400"), "{garbage}");
-    let caller = site.caller();
+    let caller = cluster.caller();
     for (path, body, kind) in [
         ("/v1/chat/completions", "[1, 2", Kind::BadRequest),
         ("/v1/chat/completions", r#"{"model": "m"}"#, Kind::BadRequest),
@@ -65,7 +65,7 @@
         ("/ledger/balances", "{", Kind::BadRequest),
         ("/nowhere", "{}", Kind::NotFound),
     ] {
-        let answer = caller.raw(site.entry(0), path, body);
+        let answer = caller.raw(cluster.entry(0), path, body);
         assert_eq!(
             (answer.kind(), answer.ran()),
             (kind.name(), "not-run"),
@@ -74,27 +74,27 @@
         assert_eq!(answer.status, kind.status());
     }
     for key in ["", "with space", "rst1-forged", &"k".repeat(200)] {
-        let answer = site.post(&caller, 0, 1, key);
+        let answer = cluster.post(&caller, 0, 1, key);
         assert_eq!(answer.kind(), "bad-idempotency-key", "`{key}`: {answer:?}");
     }
-    assert!(site.ledger_runs().is_empty(), "something ran");
+    assert!(cluster.ledger_runs().is_empty(), "something ran");
 }
 
 /// A caller sends half of its body and waits. It is refused after the limit,
 /// and meanwhile others are served.
 #[test]
 fn a_slow_body_is_refused_after_its_limit() {
-    let site = site().start();
+    let cluster = cluster().start();
     let slow = std::thread::scope(|scope| {
         let slow = scope.spawn(|| {
             raw(
-                &site,
+                &cluster,
                 format!("{}{{\"half\":", head("/ledger/balances", 100)).as_bytes(),
             )
         });
-        let lookup = site
+        let lookup = cluster
             .caller()
-            .call(site.entry(0), "/ledger/balances", &json!({}), None);
+            .call(cluster.entry(0), "/ledger/balances", &json!({}), None);
         assert_eq!(lookup.status, 200);
         slow.join().expect("an answer")
     });
@@ -105,27 +105,27 @@
 /// host forgets them: none is in flight and others are served.
 #[test]
 fn half_closed_connections_are_forgotten() {
-    let site = site().start();
+    let cluster = cluster().start();
     for part in [
         "POST /ledger/bal",
         "POST /ledger/balances HTTP/1.1\r\nhost: x\r\n",
         &head("/ledger/balances", 100),
     ] {
         for _ in 0..8 {
-            let mut stream = TcpStream::connect(site.entry(0)).expect("the port is open");
+            let mut stream = TcpStream::connect(cluster.entry(0)).expect("the port is open");
             stream.write_all(part.as_bytes()).expect("sent");
             stream.shutdown(std::net::Shutdown::Write).expect("half closed");
             let mut answer = Vec::new();
             let _ = stream.read_to_end(&mut answer);
         }
     }
-    site.wait("nothing is in flight", |site| {
-        site.metric(0, "radishstair_requests_in_flight") == Some(0.0)
+    cluster.wait("nothing is in flight", |cluster| {
+        cluster.metric(0, "radishstair_requests_in_flight") == Some(0.0)
     });
-    assert!(site.ledger_runs().is_empty(), "something ran");
-    let lookup = site
+    assert!(cluster.ledger_runs().is_empty(), "something ran");
+    let lookup = cluster
         .caller()
-        .call(site.entry(0), "/ledger/balances", &json!({}), None);
+        .call(cluster.entry(0), "/ledger/balances", &json!({}), None);
     assert_eq!(lookup.status, 200);
 }
 
@@ -133,38 +133,39 @@
 /// nothing about whether it was used.
 #[test]
 fn a_ticket_serves_its_own_customer_only() {
-    let site = site().start();
-    let ticket = site
+    let cluster = cluster().start();
+    let ticket = cluster
         .caller()
-        .tickets(site.entry(1), 1)
+        .tickets(cluster.entry(1), 1)
         .expect("a ticket")
         .remove(0);
     for entry in 0..4 {
-        let answer = site.post(&Caller::new("rsk-other"), entry, 5, &ticket);
+        let answer = cluster.post(&Caller::new("rsk-other"), entry, 5, &ticket);
         assert_eq!(answer.kind(), "bad-idempotency-key", "{answer:?}");
     }
-    assert_eq!(site.post(&site.caller(), 0, 5, &ticket).status, 200);
-    let reused = site.post(&site.caller(), 0, 6, &ticket);
+    assert_eq!(cluster.post(&cluster.caller(), 0, 5, &ticket).status, 200);
+    let reused = cluster.post(&cluster.caller(), 0, 6, &ticket);
     assert_eq!(reused.kind(), "idempotency-key-reused");
-    assert_eq!((site.runs(5), site.runs(6)), (1, 0));
+    assert_eq!((cluster.runs(5), cluster.runs(6)), (1, 0));
 }
 
 /// Past the bound on connections a caller is refused at once instead of
 /// hanging, and is served again when others have gone.
 #[test]
 fn connections_past_the_bound_are_refused() {
-    let site = site().limit_connections(16).start();
+    let cluster = cluster().limit_connections(16).start();
     let idle: Vec<TcpStream> = (0..16)
-        .map(|_| TcpStream::connect(site.entry(0)).expect("the port is open"))
+        .map(|_| TcpStream::connect(cluster.entry(0)).expect("the port is open"))
         .collect();
-    site.wait("the bound is reached", |site| {
-        let answer = raw(site, b"");
+    cluster.wait("the bound is reached", |cluster| {
+        let answer = raw(cluster, b"");
         answer.contains("too-many-connections") && answer.contains("retry-after: 1")
     });
     drop(idle);
-    site.wait("served again", |site| {
-        site.caller()
-            .call(site.entry(0), "/ledger/balances", &json!({}), None)
+    cluster.wait("served again", |cluster| {
+        cluster
+            .caller()
+            .call(cluster.entry(0), "/ledger/balances", &json!({}), None)
             .status
             == 200
     });
--- a/tests/suite/live.rs
+++ b/tests/suite/live.rs
@@ -9,7 +9,7 @@
 use radishstair_standin::model;
 use serde_json::json;
 
-use crate::process::{get, site};
+use crate::process::{cluster, get};
 
 /// A caller that gives up soon.
 fn hasty() -> Caller {
@@ -22,13 +22,13 @@
 /// wake both copies get the one run's answer.
 #[test]
 fn a_frozen_host_wakes_with_a_posting_in_its_buffer() {
-    let site = site().start();
-    let caller = site.caller();
-    let ticket = caller.tickets(site.entry(0), 1).expect("a ticket").remove(0);
-    site.freeze(0);
-    let unheard = site.post(&hasty(), 0, 1, &ticket);
+    let cluster = cluster().start();
+    let caller = cluster.caller();
+    let ticket = caller.tickets(cluster.entry(0), 1).expect("a ticket").remove(0);
+    cluster.freeze(0);
+    let unheard = cluster.post(&hasty(), 0, 1, &ticket);
     assert_eq!(unheard.status, 0, "a frozen host gives no answer");
-    let elsewhere = site.post(
+    let elsewhere = cluster.post(
         &Caller::with_limit("rsk-coop", Duration::from_secs(3)),
         3,
         1,
@@ -38,10 +38,10 @@
         elsewhere.status == 0 || elsewhere.ran() == "unknown",
         "{elsewhere:?}"
     );
-    site.signal(0, Signal::SIGCONT);
-    let settled = site.post(&caller, 2, 1, &ticket);
+    cluster.signal(0, Signal::SIGCONT);
+    let settled = cluster.post(&caller, 2, 1, &ticket);
     assert_eq!(settled.status, 200, "{settled:?}");
-    assert_eq!(site.runs(1), 1);
+    assert_eq!(cluster.runs(1), 1);
 }
 
 /// The claim of a caller's own key takes effect and the answer is lost. The
@@ -49,16 +49,16 @@
 /// repetitions through every host get the same answer.
 #[test]
 fn a_claim_whose_answer_was_lost_is_settled() {
-    let site = site().start();
-    let caller = site.caller();
-    site.platform(&json!({ "mode": "lossy", "path": "/kv/swap", "text": "claim/", "calls": 1 }));
-    let first = site.post(&caller, 0, 7, "own-key-7");
+    let cluster = cluster().start();
+    let caller = cluster.caller();
+    cluster.platform(&json!({ "mode": "lossy", "path": "/kv/swap", "text": "claim/", "calls": 1 }));
+    let first = cluster.post(&caller, 0, 7, "own-key-7");
     assert_eq!(first.status, 200, "{first:?}");
     for entry in 0..4 {
-        let again = site.post(&caller, entry, 7, "own-key-7");
+        let again = cluster.post(&caller, entry, 7, "own-key-7");
         assert_eq!(again.body["entry"], first.body["entry"]);
     }
-    assert_eq!(site.runs(7), 1);
+    assert_eq!(cluster.runs(7), 1);
 }
 
 /// The claimant runs a posting and is killed before it answers. Its memory is
@@ -66,56 +66,56 @@
 /// "not run", and nothing runs again.
 #[test]
 fn a_claimant_that_restarts_leaves_unknown() {
-    let mut site = site().start();
-    site.fault(&site.addresses.plain, &json!({ "delay_ms": 3_000 }));
-    let unheard = site.post(&hasty(), 1, 8, "own-key-8");
+    let mut cluster = cluster().start();
+    cluster.fault(&cluster.addresses.plain, &json!({ "delay_ms": 3_000 }));
+    let unheard = cluster.post(&hasty(), 1, 8, "own-key-8");
     assert_eq!(unheard.status, 0);
-    site.wait("it runs", |site| site.runs(8) == 1);
-    site.restart(1);
-    site.wait("the new process serves", |site| site.serves(1));
+    cluster.wait("it runs", |cluster| cluster.runs(8) == 1);
+    cluster.restart(1);
+    cluster.wait("the new process serves", |cluster| cluster.serves(1));
     for entry in 0..4 {
-        let again = site.post(&site.caller(), entry, 8, "own-key-8");
+        let again = cluster.post(&cluster.caller(), entry, 8, "own-key-8");
         assert_eq!(again.ran(), "unknown", "{again:?}");
     }
-    assert_eq!(site.runs(8), 1);
+    assert_eq!(cluster.runs(8), 1);
 }
 
 /// A ledger service runs a posting and breaks off before it answers. The
 /// caller is told "unknown, never repeat" and a repetition runs nothing.
 #[test]
 fn a_broken_answer_is_unknown_for_ever() {
-    let site = site().start();
-    let caller = site.caller();
-    let ticket = caller.tickets(site.entry(2), 1).expect("a ticket").remove(0);
-    site.fault(&site.addresses.plain, &json!({ "cut_after": 1 }));
+    let cluster = cluster().start();
+    let caller = cluster.caller();
+    let ticket = caller.tickets(cluster.entry(2), 1).expect("a ticket").remove(0);
+    cluster.fault(&cluster.addresses.plain, &json!({ "cut_after": 1 }));
     for entry in [2, 0, 1] {
-        let answer = site.post(&caller, entry, 9, &ticket);
+        let answer = cluster.post(&caller, entry, 9, &ticket);
         assert_eq!(
             (answer.ran(), answer.repeat()),
             ("unknown", "never"),
             "{answer:?}"
         );
     }
-    assert_eq!(site.runs(9), 1);
+    assert_eq!(cluster.runs(9), 1);
 }
 
 /// No ledger service can be reached: the caller is told "not run" with a new
 /// key, and the old key stays closed when the service is back.
 #[test]
 fn a_refused_posting_closes_its_key() {
-    let site = site()
+    let cluster = cluster()
         .configuration(|document| document["pools"][0]["labels"] = json!({ "kind": "moved-away" }))
         .start();
-    let caller = site.caller();
-    let ticket = caller.tickets(site.entry(0), 1).expect("a ticket").remove(0);
+    let caller = cluster.caller();
+    let ticket = caller.tickets(cluster.entry(0), 1).expect("a ticket").remove(0);
     // The route is missing, so the owner was never asked: still open.
-    let unrouted = site.post(&caller, 0, 10, &ticket);
+    let unrouted = cluster.post(&caller, 0, 10, &ticket);
     assert_eq!(
         (unrouted.ran(), unrouted.repeat()),
         ("unknown", "same-key"),
         "{unrouted:?}"
     );
-    site.change(|document| {
+    cluster.change(|document| {
         let mut pool = document.pools.get("ledger").expect("the pool").clone();
         pool.labels.insert("kind".into(), "ledger".into());
         vec![Op {
@@ -124,10 +124,10 @@
             value: serde_json::to_value(pool).ok(),
         }]
     });
-    site.wait("the route is back", |site| {
-        site.post(&site.caller(), 0, 10, &ticket).status == 200
+    cluster.wait("the route is back", |cluster| {
+        cluster.post(&cluster.caller(), 0, 10, &ticket).status == 200
     });
-    assert_eq!(site.runs(10), 1);
+    assert_eq!(cluster.runs(10), 1);
 }
 
 /// The platform is down for all. Chats, lookups and postings by ticket go on;
@@ -135,34 +135,39 @@
 /// "unknown, same key", and it runs once when the platform is back.
 #[test]
 fn service_goes_on_without_the_platform() {
-    let site = site().start();
-    let caller = site.caller();
-    site.platform(&json!({ "mode": "down" }));
-    let chat = caller.chat(site.entry(1), "chat", &site.chat("outage", 12));
+    let cluster = cluster().start();
+    let caller = cluster.caller();
+    cluster.platform(&json!({ "mode": "down" }));
+    let chat = caller.chat(cluster.entry(1), "chat", &cluster.chat("outage", 12));
     assert!(chat.done, "{chat:?}");
-    let lookup = caller.call(site.entry(2), "/ledger/balances", &json!({ "account": 1 }), None);
+    let lookup = caller.call(
+        cluster.entry(2),
+        "/ledger/balances",
+        &json!({ "account": 1 }),
+        None,
+    );
     assert_eq!(lookup.status, 200);
-    let ticket = caller.tickets(site.entry(3), 1).expect("a ticket").remove(0);
-    assert_eq!(site.post(&caller, 0, 20, &ticket).status, 200);
-    let own = site.post(&caller, 0, 21, "own-key-21");
+    let ticket = caller.tickets(cluster.entry(3), 1).expect("a ticket").remove(0);
+    assert_eq!(cluster.post(&caller, 0, 20, &ticket).status, 200);
+    let own = cluster.post(&caller, 0, 21, "own-key-21");
     assert_eq!((own.ran(), own.repeat()), ("unknown", "same-key"), "{own:?}");
-    site.platform(&json!({ "mode": "up" }));
-    site.wait("the claim succeeds", |site| {
-        site.post(&site.caller(), 3, 21, "own-key-21").status == 200
+    cluster.platform(&json!({ "mode": "up" }));
+    cluster.wait("the claim succeeds", |cluster| {
+        cluster.post(&cluster.caller(), 3, 21, "own-key-21").status == 200
     });
-    assert_eq!((site.runs(20), site.runs(21)), (1, 1));
+    assert_eq!((cluster.runs(20), cluster.runs(21)), (1, 1));
 }
 
 /// An engine breaks off in the middle of a stream. Another one goes on from
 /// the tokens that the caller has, and the caller reads the whole answer.
 #[test]
 fn a_broken_stream_goes_on_elsewhere() {
-    let site = site().start();
-    site.fault(&site.addresses.engines, &json!({ "cut_at": 5, "cuts": 1 }));
-    let body = site.chat("resume me", 40);
+    let cluster = cluster().start();
+    cluster.fault(&cluster.addresses.engines, &json!({ "cut_at": 5, "cuts": 1 }));
+    let body = cluster.chat("resume me", 40);
     let prompt = body["messages"][0]["content"].as_str().expect("a prompt");
     let whole = model::answer(digest(prompt.as_bytes()), 40);
-    let answer = site.caller().chat(site.entry(0), "chat", &body);
+    let answer = cluster.caller().chat(cluster.entry(0), "chat", &body);
     assert!(answer.done, "{answer:?}");
     assert_eq!(answer.text, whole);
 }
@@ -171,11 +176,11 @@
 /// error and without its proper end, so that it cannot be taken for whole.
 #[test]
 fn a_cut_stream_never_looks_whole() {
-    let site = site().start();
-    site.fault(&site.addresses.engines, &json!({ "cut_at": 3, "cuts": 100 }));
-    let answer = site
+    let cluster = cluster().start();
+    cluster.fault(&cluster.addresses.engines, &json!({ "cut_at": 3, "cuts": 100 }));
+    let answer = cluster
         .caller()
-        .chat(site.entry(0), "chat", &site.chat("cut me", 40));
+        .chat(cluster.entry(0), "chat", &cluster.chat("cut me", 40));
     assert_eq!(answer.status, 200);
     assert!(!answer.done, "{answer:?}");
     assert!(!answer.kind().is_empty(), "{answer:?}");
@@ -185,11 +190,11 @@
 /// the caller must not be told that its request has not run, as both engines ran it.
 #[test]
 fn a_refusal_after_a_run_does_not_say_not_run() {
-    let site = site().start();
-    site.fault(&site.addresses.engines, &json!({ "cross": 100 }));
-    let answer = site
+    let cluster = cluster().start();
+    cluster.fault(&cluster.addresses.engines, &json!({ "cross": 100 }));
+    let answer = cluster
         .caller()
-        .chat(site.entry(0), "chat", &site.chat("lost twice", 10));
+        .chat(cluster.entry(0), "chat", &cluster.chat("lost twice", 10));
     assert_ne!(answer.status, 200, "{answer:?}");
     assert_eq!(answer.ran(), "unknown", "{answer:?}");
 }
@@ -198,26 +203,26 @@
 /// own answer from another runner, or a refusal, never the stranger's.
 #[test]
 fn crossed_answers_do_not_reach_a_caller() {
-    let site = site().start();
-    site.fault(&site.addresses.engines[..1], &json!({ "cross": 1 }));
-    let body = site.chat("crossed", 10);
+    let cluster = cluster().start();
+    cluster.fault(&cluster.addresses.engines[..1], &json!({ "cross": 1 }));
+    let body = cluster.chat("crossed", 10);
     let prompt = body["messages"][0]["content"].as_str().expect("a prompt");
     let whole = model::answer(digest(prompt.as_bytes()), 10);
     for entry in 0..4 {
-        let answer = site.caller().chat(site.entry(entry), "chat", &body);
+        let answer = cluster.caller().chat(cluster.entry(entry), "chat", &body);
         assert_eq!(
             (answer.done, answer.text.as_str()),
             (true, whole.as_str()),
             "{answer:?}"
         );
     }
-    site.fault(&site.addresses.plain, &json!({ "cross": 1 }));
-    let ticket = site
+    cluster.fault(&cluster.addresses.plain, &json!({ "cross": 1 }));
+    let ticket = cluster
         .caller()
-        .tickets(site.entry(0), 1)
+        .tickets(cluster.entry(0), 1)
         .expect("a ticket")
         .remove(0);
-    let answer = site.post(&site.caller(), 0, 30, &ticket);
+    let answer = cluster.post(&cluster.caller(), 0, 30, &ticket);
     assert_eq!(
         (answer.kind(), answer.ran()),
         ("upstream-crossed", "unknown"),
@@ -230,22 +235,26 @@
 /// other customer's key still works.
 #[test]
 fn a_withdrawn_key_stops_within_seconds() {
-    let site = site().start();
-    let caller = site.caller();
+    let cluster = cluster().start();
+    let caller = cluster.caller();
     let answer = std::thread::scope(|scope| {
-        let stream = scope.spawn(|| caller.chat(site.entry(0), "chat", &site.chat("long", 512)));
+        let stream = scope.spawn(|| caller.chat(cluster.entry(0), "chat", &cluster.chat("long", 512)));
         std::thread::sleep(Duration::from_millis(500));
-        site.withdraw("coop-key");
+        cluster.withdraw("coop-key");
         stream.join().expect("the stream ends")
     });
     // The whole answer has 512 tokens.
     assert!(!answer.done && (10..512).contains(&answer.tokens), "{answer:?}");
     assert_eq!(answer.kind(), "key-withdrawn");
-    site.wait("every host refuses the key", |site| {
-        (0..4)
-            .all(|entry| caller.chat(site.entry(entry), "chat", &site.chat("x", 2)).kind() == "key-withdrawn")
+    cluster.wait("every host refuses the key", |cluster| {
+        (0..4).all(|entry| {
+            caller
+                .chat(cluster.entry(entry), "chat", &cluster.chat("x", 2))
+                .kind()
+                == "key-withdrawn"
+        })
     });
-    let other = Caller::new("rsk-other").chat(site.entry(0), "chat", &site.chat("x", 2));
+    let other = Caller::new("rsk-other").chat(cluster.entry(0), "chat", &cluster.chat("x", 2));
     assert!(other.done, "{other:?}");
 }
 
@@ -253,13 +262,14 @@
 /// pass through peers, and the cut zone refuses the key within seconds.
 #[test]
 fn a_withdrawal_reaches_a_zone_cut_from_the_platform() {
-    let site = site().start();
-    site.platform(&json!({ "mode": "down", "port": 1 }));
-    site.withdraw("coop-key");
-    site.wait("the cut zone refuses the key", |site| {
+    let cluster = cluster().start();
+    cluster.platform(&json!({ "mode": "down", "port": 1 }));
+    cluster.withdraw("coop-key");
+    cluster.wait("the cut zone refuses the key", |cluster| {
         (2..4).all(|entry| {
-            site.caller()
-                .chat(site.entry(entry), "chat", &site.chat("x", 2))
+            cluster
+                .caller()
+                .chat(cluster.entry(entry), "chat", &cluster.chat("x", 2))
                 .kind()
                 == "key-withdrawn"
         })
@@ -271,31 +281,36 @@
 /// process exits by itself.
 #[test]
 fn a_graceful_stop_cuts_no_request() {
-    let mut site = site().start();
-    let caller = site.caller();
-    site.fault(&site.addresses.plain, &json!({ "delay_ms": 1_500 }));
-    let tickets = caller.tickets(site.entry(0), 8).expect("tickets");
+    let mut cluster = cluster().start();
+    let caller = cluster.caller();
+    cluster.fault(&cluster.addresses.plain, &json!({ "delay_ms": 1_500 }));
+    let tickets = caller.tickets(cluster.entry(0), 8).expect("tickets");
     std::thread::scope(|scope| {
-        let site = &site;
+        let cluster = &cluster;
         let streams: Vec<_> = (0..6)
             .map(|at| {
                 let caller = caller.clone();
-                scope
-                    .spawn(move || caller.chat(site.entry(0), "chat", &site.chat(&format!("stop {at}"), 300)))
+                scope.spawn(move || {
+                    caller.chat(
+                        cluster.entry(0),
+                        "chat",
+                        &cluster.chat(&format!("stop {at}"), 300),
+                    )
+                })
             })
             .collect();
         let postings: Vec<_> = (0..8)
             .map(|at| {
                 let (caller, ticket) = (caller.clone(), tickets[at].clone());
-                scope.spawn(move || site.post(&caller, 0, 100 + at as u64, &ticket))
+                scope.spawn(move || cluster.post(&caller, 0, 100 + at as u64, &ticket))
             })
             .collect();
         std::thread::sleep(Duration::from_millis(400));
-        site.signal(0, Signal::SIGTERM);
+        cluster.signal(0, Signal::SIGTERM);
         let mut late = Vec::new();
         let until = Instant::now() + Duration::from_millis(700);
         while Instant::now() < until {
-            late.push(caller.chat(site.entry(0), "chat", &site.chat("late", 3)));
+            late.push(caller.chat(cluster.entry(0), "chat", &cluster.chat("late", 3)));
         }
         assert!(late.iter().all(|answer| answer.done), "{late:?}");
         for stream in streams {
@@ -312,52 +327,52 @@
             assert_eq!(answer.status, 200, "{answer:?}");
         }
     });
-    assert_eq!(site.exit_code(0), Some(0));
+    assert_eq!(cluster.exit_code(0), Some(0));
     // What the stopped host left behind: its used tickets ran, others did not.
-    let used = site.post(&caller, 1, 100, &tickets[0]);
+    let used = cluster.post(&caller, 1, 100, &tickets[0]);
     assert_eq!((used.kind(), used.ran()), ("owner-lost", "unknown"), "{used:?}");
-    assert!((100..108).all(|number| site.runs(number) == 1));
+    assert!((100..108).all(|number| cluster.runs(number) == 1));
 }
 
 /// A host that stopped properly had issued a ticket that nobody used: its
 /// peers can say "not run" for certain.
 #[test]
 fn an_unused_ticket_of_a_stopped_host_is_not_run() {
-    let mut site = site().start();
-    let caller = site.caller();
-    let ticket = caller.tickets(site.entry(0), 1).expect("a ticket").remove(0);
-    site.signal(0, Signal::SIGTERM);
-    assert_eq!(site.exit_code(0), Some(0));
-    let answer = site.post(&caller, 2, 40, &ticket);
+    let mut cluster = cluster().start();
+    let caller = cluster.caller();
+    let ticket = caller.tickets(cluster.entry(0), 1).expect("a ticket").remove(0);
+    cluster.signal(0, Signal::SIGTERM);
+    assert_eq!(cluster.exit_code(0), Some(0));
+    let answer = cluster.post(&caller, 2, 40, &ticket);
     assert_eq!(
         (answer.ran(), answer.repeat()),
         ("not-run", "new-key"),
         "{answer:?}"
     );
     let next = answer.next_key.expect("a fresh ticket comes along");
-    assert_eq!(site.post(&caller, 3, 40, &next).status, 200);
-    assert_eq!(site.runs(40), 1);
+    assert_eq!(cluster.post(&caller, 3, 40, &next).status, 200);
+    assert_eq!(cluster.runs(40), 1);
 }
 
 /// An engine gives notice that it leaves while the list still shows it live.
 /// After a few seconds no host sends it anything new.
 #[test]
 fn a_leaving_runner_gets_no_new_work() {
-    let site = site().plan(|plan| plan.engines[0].each = 2).start();
-    let leaving = site.addresses.engines[0];
-    site.fault(&[leaving], &json!({ "leaving": true }));
+    let cluster = cluster().plan(|plan| plan.engines[0].each = 2).start();
+    let leaving = cluster.addresses.engines[0];
+    cluster.fault(&[leaving], &json!({ "leaving": true }));
     let burst = |words: &str| {
         for at in 0..40 {
-            let answer = site.caller().chat(
-                site.entry(at % 4),
+            let answer = cluster.caller().chat(
+                cluster.entry(at % 4),
                 "chat",
-                &site.chat(&format!("{words} {at}"), 2),
+                &cluster.chat(&format!("{words} {at}"), 2),
             );
             assert!(answer.done, "{answer:?}");
         }
     };
     let begun = || get(leaving, "/control/log")["begun"].as_u64().expect("a count");
-    site.wait("one host has seen the notice", |_| {
+    cluster.wait("one host has seen the notice", |_| {
         burst("first");
         begun() > 0
     });
@@ -370,23 +385,27 @@
 /// No upstream ever sees a caller's key, and no log holds one.
 #[test]
 fn keys_stay_with_the_router() {
-    let site = site().start();
-    let caller = site.caller();
-    assert!(caller.chat(site.entry(0), "chat", &site.chat("secret", 3)).done);
-    let ticket = caller.tickets(site.entry(0), 1).expect("a ticket").remove(0);
-    assert_eq!(site.post(&caller, 1, 50, &ticket).status, 200);
-    assert!(site.ledger_runs().iter().all(|run| run["saw_key"] == false));
-    for engine in &site.addresses.engines {
+    let cluster = cluster().start();
+    let caller = cluster.caller();
+    assert!(
+        caller
+            .chat(cluster.entry(0), "chat", &cluster.chat("secret", 3))
+            .done
+    );
+    let ticket = caller.tickets(cluster.entry(0), 1).expect("a ticket").remove(0);
+    assert_eq!(cluster.post(&caller, 1, 50, &ticket).status, 200);
+    assert!(cluster.ledger_runs().iter().all(|run| run["saw_key"] == false));
+    for engine in &cluster.addresses.engines {
         assert_eq!(get(*engine, "/control/log")["saw_key"], false);
     }
-    assert!(!site.logs().contains("rsk-coop"), "a key stands in a log");
+    assert!(!cluster.logs().contains("rsk-coop"), "a key stands in a log");
 }
 
 /// A stranger on the peers' port gets nothing.
 #[test]
 fn the_peers_port_refuses_strangers() {
-    let site = site().start();
-    let peer = site.peer_address(0);
+    let cluster = cluster().start();
+    let peer = cluster.peer_address(0);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -411,20 +430,24 @@
 /// served when it does so, through another host.
 #[test]
 fn a_refused_caller_comes_back_as_promised() {
-    let site = site()
+    let cluster = cluster()
         .plan(|plan| {
             plan.zones = vec!["zone-a".into()];
             plan.engines[0].slots = 2;
         })
         .configuration(|document| document["tiers"][1]["target"] = json!("2s"))
         .start();
-    let caller = site.caller();
+    let caller = cluster.caller();
     let (refused, entry) = std::thread::scope(|scope| {
-        let site = &site;
+        let cluster = &cluster;
         for at in 0..56 {
             let caller = caller.clone();
             scope.spawn(move || {
-                caller.chat(site.entry(at % 2), "chat", &site.chat(&format!("fill {at}"), 25))
+                caller.chat(
+                    cluster.entry(at % 2),
+                    "chat",
+                    &cluster.chat(&format!("fill {at}"), 25),
+                )
             });
         }
         // A few starts must have been seen before a wait is foretold. A probe
@@ -437,7 +460,7 @@
         while found.is_none() && Instant::now() < until {
             let (caller, sender) = (caller.clone(), sender.clone());
             scope.spawn(move || {
-                let answer = caller.chat(site.entry(0), "chat", &site.chat("one more", 5));
+                let answer = caller.chat(cluster.entry(0), "chat", &cluster.chat("one more", 5));
                 if answer.come_back.is_some() {
                     // Only the first one is waited for.
                     let _ = sender.send(answer);
@@ -454,6 +477,6 @@
     let token = refused.come_back.as_deref().expect("a token");
     let back = caller
         .come_back(token)
-        .chat(site.entry(entry), "chat", &site.chat("back again", 5));
+        .chat(cluster.entry(entry), "chat", &cluster.chat("back again", 5));
     assert!(back.done, "{back:?}");
 }
--- a/tests/suite/live_broken.rs
+++ b/tests/suite/live_broken.rs
@@ -8,16 +8,16 @@
 use radishstair_standin::model;
 use serde_json::json;
 
-use crate::process::{get, site};
+use crate::process::{cluster, get};
 
 /// Without the router an engine that breaks off leaves its caller with a part:
 /// the comparison with what the prompt must give sees it.
 #[test]
 fn broken_answers_without_the_router() {
-    let site = site().start();
-    let engine = site.addresses.engines[0];
-    site.fault(&[engine], &json!({ "cut_at": 5, "cuts": 1 }));
-    let answer = site.caller().chat(engine, "chat", &site.chat("cut me", 40));
+    let cluster = cluster().start();
+    let engine = cluster.addresses.engines[0];
+    cluster.fault(&[engine], &json!({ "cut_at": 5, "cuts": 1 }));
+    let answer = cluster.caller().chat(engine, "chat", &cluster.chat("cut me", 40));
     assert_ne!(answer.text, model::answer(digest(b"cut me len=40"), 40));
 }
 
@@ -25,9 +25,9 @@
 /// record of it, which the test of keys reads, says so.
 #[test]
 fn broken_keys_without_the_router() {
-    let site = site().start();
-    let engine = site.addresses.engines[0];
-    Caller::new("rsk-coop").chat(engine, "chat", &site.chat("key", 3));
+    let cluster = cluster().start();
+    let engine = cluster.addresses.engines[0];
+    Caller::new("rsk-coop").chat(engine, "chat", &cluster.chat("key", 3));
     assert_eq!(get(engine, "/control/log")["saw_key"], true);
 }
 
@@ -35,19 +35,24 @@
 /// callers' answers show it.
 #[test]
 fn broken_stop_by_a_kill() {
-    let site = site().start();
-    let caller = site.caller();
+    let cluster = cluster().start();
+    let caller = cluster.caller();
     let answers = std::thread::scope(|scope| {
-        let site = &site;
+        let cluster = &cluster;
         let streams: Vec<_> = (0..4)
             .map(|at| {
                 let caller = caller.clone();
-                scope
-                    .spawn(move || caller.chat(site.entry(0), "chat", &site.chat(&format!("kill {at}"), 300)))
+                scope.spawn(move || {
+                    caller.chat(
+                        cluster.entry(0),
+                        "chat",
+                        &cluster.chat(&format!("kill {at}"), 300),
+                    )
+                })
             })
             .collect();
         std::thread::sleep(Duration::from_millis(400));
-        site.signal(0, Signal::SIGKILL);
+        cluster.signal(0, Signal::SIGKILL);
         let join = |stream: std::thread::ScopedJoinHandle<'_, _>| stream.join().expect("the stream ends");
         streams
             .into_iter()
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -18,15 +18,15 @@
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 
-/// Shared by the entry hosts of every site.
+/// Shared by the entry hosts of every cluster.
 pub const TOKEN: &str = "token-of-the-suite";
 /// Longest wait for something that must come.
 const PATIENCE: Duration = Duration::from_secs(30);
-/// Ports of one site.
+/// Ports of one cluster.
 const BLOCK: u16 = 60;
 
 /// A started deployment; everything is killed when it goes out of scope.
-pub struct Site {
+pub struct Cluster {
     /// Where everything is.
     pub addresses: Addresses,
     entries: Vec<Child>,
@@ -35,7 +35,7 @@
     folder: PathBuf,
 }
 
-/// Describes a site in a few lines.
+/// Describes a cluster in a few lines.
 pub struct Builder {
     plan: Plan,
     configuration: Value,
@@ -43,7 +43,7 @@
 }
 
 /// Two zones of two entry hosts, an engine and a ledger service each.
-pub fn site() -> Builder {
+pub fn cluster() -> Builder {
     let configuration = json!({
         "settings": { "usage_window": "2s", "usage_grace": "1s" },
         "tiers": [
@@ -114,7 +114,7 @@
     }
 
     /// Starts everything and waits until it serves.
-    pub fn start(mut self) -> Site {
+    pub fn start(mut self) -> Cluster {
         self.plan.base_port = free_ports();
         let (mut processes, addresses) = lay_out(&self.plan, TOKEN);
         if let Some(bound) = self.connections {
@@ -129,25 +129,25 @@
             self.plan.base_port
         ));
         std::fs::create_dir_all(&folder).expect("a folder for settings");
-        let mut site = Site {
+        let mut cluster = Cluster {
             addresses,
             entries: Vec::new(),
             others: Vec::new(),
             processes,
             folder,
         };
-        for at in 0..site.processes.len() {
-            let child = site.spawn(at);
-            match site.processes[at].program.as_str() {
-                "radishstair-entry" => site.entries.push(child),
-                _ => site.others.push(child),
+        for at in 0..cluster.processes.len() {
+            let child = cluster.spawn(at);
+            match cluster.processes[at].program.as_str() {
+                "radishstair-entry" => cluster.entries.push(child),
+                _ => cluster.others.push(child),
             }
         }
-        site.apply(&self.configuration);
-        site.wait("every host serves", |site| {
-            (0..site.entries.len()).all(|at| site.serves(at))
+        cluster.apply(&self.configuration);
+        cluster.wait("every host serves", |cluster| {
+            (0..cluster.entries.len()).all(|at| cluster.serves(at))
         });
-        site
+        cluster
     }
 }
 
@@ -174,7 +174,7 @@
     }
 }
 
-impl Site {
+impl Cluster {
     fn spawn(&self, at: usize) -> Child {
         let process = &self.processes[at];
         let path = self.folder.join(format!("{}.json", process.name));
@@ -374,7 +374,7 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for Cluster {
     fn drop(&mut self) {
         for child in self.entries.iter_mut().chain(&mut self.others) {
             let _ = child.kill();
