--- a/tests/suite/docs.rs
+++ b/tests/suite/docs.rs
@@ -9,7 +9,7 @@
 use radishstair_standin::model;
 use serde_json::Value;
 
-use crate::process::{TOKEN, cluster, post};
+use crate::process::{PEER_TOKEN, cluster, post};
 
 fn page(name: &str) -> String {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -32,23 +32,38 @@
     let page = page("interfaces/callers.md");
     let cluster = cluster().start();
     let caller = cluster.caller();
-    let chat = caller.chat(cluster.entry(0), "chat", &example(&page, "chat"));
+    let chat = caller.chat(cluster.entry_address(0), "chat", &example(&page, "chat"));
     assert!(chat.done && chat.tokens == 12, "{chat:?}");
     let balance = caller.call(
-        cluster.entry(1),
+        cluster.entry_address(1),
         "/ledger/balances",
         &example(&page, "balance"),
         None,
     );
     assert_eq!(balance.status, 200);
-    let tickets = caller.call(cluster.entry(2), "/v1/tickets", &example(&page, "tickets"), None);
+    let tickets = caller.call(
+        cluster.entry_address(2),
+        "/v1/tickets",
+        &example(&page, "tickets"),
+        None,
+    );
     let ticket = tickets.body["tickets"][1]
         .as_str()
         .expect("two tickets")
         .to_string();
     let posting = example(&page, "posting");
-    let first = caller.call(cluster.entry(3), "/ledger/postings", &posting, Some(&ticket));
-    let again = caller.call(cluster.entry(0), "/ledger/postings", &posting, Some(&ticket));
+    let first = caller.call(
+        cluster.entry_address(3),
+        "/ledger/postings",
+        &posting,
+        Some(&ticket),
+    );
+    let again = caller.call(
+        cluster.entry_address(0),
+        "/ledger/postings",
+        &posting,
+        Some(&ticket),
+    );
     assert_eq!((first.status, &first.body), (200, &again.body));
 }
 
@@ -104,7 +119,7 @@
         .build()
         .expect("a runtime");
     let pulled = runtime.block_on(async {
-        let links = Links::new(Token::new(TOKEN).expect("a token"));
+        let links = Links::new(Token::new(PEER_TOKEN).expect("a token"));
         let mut client = links.client(&address).expect("an address");
         client
             .pull(Pull { version: 0 })
--- a/tests/suite/duties_live.rs
+++ b/tests/suite/duties_live.rs
@@ -38,20 +38,20 @@
 fn freeze_the_holder(fenced: &[&str]) {
     let checked = fenced.iter().map(ToString::to_string).collect();
     let cluster = cluster().plan(|plan| plan.fenced = checked).start();
-    cluster.wait("somebody is in charge", |cluster| {
+    cluster.wait_until("somebody is in charge", |cluster| {
         holder(cluster, "orders").is_some()
     });
     let first = holder(&cluster, "orders").expect("a holder");
     cluster.freeze(first);
-    cluster.wait("another takes over", |cluster| {
+    cluster.wait_until("another takes over", |cluster| {
         let others = (0..4).filter(|at| *at != first);
         let duties = |at: usize| cluster.status(at).map_or(Vec::new(), |status| status.duties);
         others
             .into_iter()
             .any(|at| duties(at).iter().any(|(duty, _)| duty == "orders"))
     });
-    cluster.signal(first, Signal::SIGCONT);
-    cluster.change(|document| {
+    cluster.send_signal(first, Signal::SIGCONT);
+    cluster.change_configuration(|document| {
         let mut pool = document.pools.get("engines").expect("the pool").clone();
         pool.least = 3;
         vec![Op {
@@ -66,7 +66,7 @@
             .cloned()
             .unwrap_or_default()
     };
-    cluster.wait("the new target is ordered", |cluster| {
+    cluster.wait_until("the new target is ordered", |cluster| {
         orders(cluster).iter().any(|order| order[0]["count"] == 3)
     });
     std::thread::sleep(Duration::from_secs(3));
@@ -110,7 +110,7 @@
 #[test]
 fn a_killed_reporter_is_followed_by_the_same_figures() {
     let mut cluster = cluster().start();
-    cluster.wait("somebody reports", |cluster| holder(cluster, "usage").is_some());
+    cluster.wait_until("somebody reports", |cluster| holder(cluster, "usage").is_some());
     let first = holder(&cluster, "usage").expect("a holder");
     let others: Vec<usize> = (0..4).filter(|at| *at != first).collect();
     let caller = cluster.caller();
@@ -120,9 +120,9 @@
         sent += u64::from(
             caller
                 .chat(
-                    cluster.entry(entry),
+                    cluster.entry_address(entry),
                     "chat",
-                    &cluster.chat(&format!("count {round}"), 3),
+                    &cluster.chat_body(&format!("count {round}"), 3),
                 )
                 .done,
         );
@@ -130,7 +130,7 @@
             cluster.restart(first);
         }
     }
-    cluster.wait("everything is reported", |cluster| {
+    cluster.wait_until("everything is reported", |cluster| {
         reported(cluster, "coop") >= sent
     });
     assert_eq!(reported(&cluster, "coop"), sent);
@@ -177,7 +177,7 @@
 #[test]
 fn concurrent_callers_get_their_own_answers() {
     let mut cluster = cluster().start();
-    cluster.fault(
+    cluster.inject_fault(
         &cluster.addresses.engines,
         &json!({ "cut_at": 4, "cuts": 6, "cross": 4 }),
     );
@@ -189,7 +189,7 @@
                 let key = if at % 3 == 0 { "rsk-other" } else { "rsk-coop" };
                 let entry = addresses[at as usize % addresses.len()];
                 let tokens = 5 + at % 20;
-                let body = cluster.chat(&format!("mine {key} {at}"), tokens);
+                let body = cluster.chat_body(&format!("mine {key} {at}"), tokens);
                 scope.spawn(move || {
                     std::thread::sleep(Duration::from_millis(u64::from(at) * 15));
                     let prompt = body["messages"][0]["content"]
@@ -245,7 +245,7 @@
     let (coop, other) = (of("rsk-coop"), of("rsk-other"));
     // What the killed host had counted in its last seconds may be lost.
     let lost = 15;
-    cluster.wait("usage is reported", |cluster| {
+    cluster.wait_until("usage is reported", |cluster| {
         reported(cluster, "coop") + lost >= coop && reported(cluster, "other") + lost >= other
     });
     assert!(
--- a/tests/suite/input.rs
+++ b/tests/suite/input.rs
@@ -12,7 +12,7 @@
 
 /// Sends bytes as they are and reads until the host closes.
 fn raw(cluster: &Cluster, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(cluster.entry(0)).expect("the port is open");
+    let mut stream = TcpStream::connect(cluster.entry_address(0)).expect("the port is open");
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("a timeout");
@@ -65,7 +65,7 @@
         ("/ledger/balances", "{", Kind::BadRequest),
         ("/nowhere", "{}", Kind::NotFound),
     ] {
-        let answer = caller.raw(cluster.entry(0), path, body);
+        let answer = caller.raw(cluster.entry_address(0), path, body);
         assert_eq!(
             (answer.kind(), answer.ran()),
             (kind.name(), "not-run"),
@@ -74,7 +74,7 @@
         assert_eq!(answer.status, kind.status());
     }
     for key in ["", "with space", "rst1-forged", &"k".repeat(200)] {
-        let answer = cluster.post(&caller, 0, 1, key);
+        let answer = cluster.send_posting(&caller, 0, 1, key);
         assert_eq!(answer.kind(), "bad-idempotency-key", "`{key}`: {answer:?}");
     }
     assert!(cluster.ledger_runs().is_empty(), "something ran");
@@ -94,7 +94,7 @@
         });
         let lookup = cluster
             .caller()
-            .call(cluster.entry(0), "/ledger/balances", &json!({}), None);
+            .call(cluster.entry_address(0), "/ledger/balances", &json!({}), None);
         assert_eq!(lookup.status, 200);
         slow.join().expect("an answer")
     });
@@ -112,20 +112,20 @@
         &head("/ledger/balances", 100),
     ] {
         for _ in 0..8 {
-            let mut stream = TcpStream::connect(cluster.entry(0)).expect("the port is open");
+            let mut stream = TcpStream::connect(cluster.entry_address(0)).expect("the port is open");
             stream.write_all(part.as_bytes()).expect("sent");
             stream.shutdown(std::net::Shutdown::Write).expect("half closed");
             let mut answer = Vec::new();
             let _ = stream.read_to_end(&mut answer);
         }
     }
-    cluster.wait("nothing is in flight", |cluster| {
+    cluster.wait_until("nothing is in flight", |cluster| {
         cluster.metric(0, "radishstair_requests_in_flight") == Some(0.0)
     });
     assert!(cluster.ledger_runs().is_empty(), "something ran");
     let lookup = cluster
         .caller()
-        .call(cluster.entry(0), "/ledger/balances", &json!({}), None);
+        .call(cluster.entry_address(0), "/ledger/balances", &json!({}), None);
     assert_eq!(lookup.status, 200);
 }
 
@@ -136,17 +136,17 @@
     let cluster = cluster().start();
     let ticket = cluster
         .caller()
-        .tickets(cluster.entry(1), 1)
+        .tickets(cluster.entry_address(1), 1)
         .expect("a ticket")
         .remove(0);
     for entry in 0..4 {
-        let answer = cluster.post(&Caller::new("rsk-other"), entry, 5, &ticket);
+        let answer = cluster.send_posting(&Caller::new("rsk-other"), entry, 5, &ticket);
         assert_eq!(answer.kind(), "bad-idempotency-key", "{answer:?}");
     }
-    assert_eq!(cluster.post(&cluster.caller(), 0, 5, &ticket).status, 200);
-    let reused = cluster.post(&cluster.caller(), 0, 6, &ticket);
+    assert_eq!(cluster.send_posting(&cluster.caller(), 0, 5, &ticket).status, 200);
+    let reused = cluster.send_posting(&cluster.caller(), 0, 6, &ticket);
     assert_eq!(reused.kind(), "idempotency-key-reused");
-    assert_eq!((cluster.runs(5), cluster.runs(6)), (1, 0));
+    assert_eq!((cluster.run_count(5), cluster.run_count(6)), (1, 0));
 }
 
 /// Past the bound on connections a caller is refused at once instead of
@@ -155,17 +155,17 @@
 fn connections_past_the_bound_are_refused() {
     let cluster = cluster().limit_connections(16).start();
     let idle: Vec<TcpStream> = (0..16)
-        .map(|_| TcpStream::connect(cluster.entry(0)).expect("the port is open"))
+        .map(|_| TcpStream::connect(cluster.entry_address(0)).expect("the port is open"))
         .collect();
-    cluster.wait("the bound is reached", |cluster| {
+    cluster.wait_until("the bound is reached", |cluster| {
         let answer = raw(cluster, b"");
         answer.contains("too-many-connections") && answer.contains("retry-after: 1")
     });
     drop(idle);
-    cluster.wait("served again", |cluster| {
+    cluster.wait_until("served again", |cluster| {
         cluster
             .caller()
-            .call(cluster.entry(0), "/ledger/balances", &json!({}), None)
+            .call(cluster.entry_address(0), "/ledger/balances", &json!({}), None)
             .status
             == 200
     });
--- a/tests/suite/live.rs
+++ b/tests/suite/live.rs
@@ -24,11 +24,14 @@
 fn a_frozen_host_wakes_with_a_posting_in_its_buffer() {
     let cluster = cluster().start();
     let caller = cluster.caller();
-    let ticket = caller.tickets(cluster.entry(0), 1).expect("a ticket").remove(0);
+    let ticket = caller
+        .tickets(cluster.entry_address(0), 1)
+        .expect("a ticket")
+        .remove(0);
     cluster.freeze(0);
-    let unheard = cluster.post(&hasty(), 0, 1, &ticket);
+    let unheard = cluster.send_posting(&hasty(), 0, 1, &ticket);
     assert_eq!(unheard.status, 0, "a frozen host gives no answer");
-    let elsewhere = cluster.post(
+    let elsewhere = cluster.send_posting(
         &Caller::with_limit("rsk-coop", Duration::from_secs(3)),
         3,
         1,
@@ -38,10 +41,10 @@
         elsewhere.status == 0 || elsewhere.ran() == "unknown",
         "{elsewhere:?}"
     );
-    cluster.signal(0, Signal::SIGCONT);
-    let settled = cluster.post(&caller, 2, 1, &ticket);
+    cluster.send_signal(0, Signal::SIGCONT);
+    let settled = cluster.send_posting(&caller, 2, 1, &ticket);
     assert_eq!(settled.status, 200, "{settled:?}");
-    assert_eq!(cluster.runs(1), 1);
+    assert_eq!(cluster.run_count(1), 1);
 }
 
 /// The claim of a caller's own key takes effect and the answer is lost. The
@@ -51,14 +54,15 @@
 fn a_claim_whose_answer_was_lost_is_settled() {
     let cluster = cluster().start();
     let caller = cluster.caller();
-    cluster.platform(&json!({ "mode": "lossy", "path": "/kv/swap", "text": "claim/", "calls": 1 }));
-    let first = cluster.post(&caller, 0, 7, "own-key-7");
+    cluster
+        .inject_platform_fault(&json!({ "mode": "lossy", "path": "/kv/swap", "text": "claim/", "calls": 1 }));
+    let first = cluster.send_posting(&caller, 0, 7, "own-key-7");
     assert_eq!(first.status, 200, "{first:?}");
     for entry in 0..4 {
-        let again = cluster.post(&caller, entry, 7, "own-key-7");
+        let again = cluster.send_posting(&caller, entry, 7, "own-key-7");
         assert_eq!(again.body["entry"], first.body["entry"]);
     }
-    assert_eq!(cluster.runs(7), 1);
+    assert_eq!(cluster.run_count(7), 1);
 }
 
 /// The claimant runs a posting and is killed before it answers. Its memory is
@@ -67,17 +71,17 @@
 #[test]
 fn a_claimant_that_restarts_leaves_unknown() {
     let mut cluster = cluster().start();
-    cluster.fault(&cluster.addresses.plain, &json!({ "delay_ms": 3_000 }));
-    let unheard = cluster.post(&hasty(), 1, 8, "own-key-8");
+    cluster.inject_fault(&cluster.addresses.plain, &json!({ "delay_ms": 3_000 }));
+    let unheard = cluster.send_posting(&hasty(), 1, 8, "own-key-8");
     assert_eq!(unheard.status, 0);
-    cluster.wait("it runs", |cluster| cluster.runs(8) == 1);
+    cluster.wait_until("it runs", |cluster| cluster.run_count(8) == 1);
     cluster.restart(1);
-    cluster.wait("the new process serves", |cluster| cluster.serves(1));
+    cluster.wait_until("the new process serves", |cluster| cluster.is_ready(1));
     for entry in 0..4 {
-        let again = cluster.post(&cluster.caller(), entry, 8, "own-key-8");
+        let again = cluster.send_posting(&cluster.caller(), entry, 8, "own-key-8");
         assert_eq!(again.ran(), "unknown", "{again:?}");
     }
-    assert_eq!(cluster.runs(8), 1);
+    assert_eq!(cluster.run_count(8), 1);
 }
 
 /// A ledger service runs a posting and breaks off before it answers. The
@@ -86,17 +90,20 @@
 fn a_broken_answer_is_unknown_for_ever() {
     let cluster = cluster().start();
     let caller = cluster.caller();
-    let ticket = caller.tickets(cluster.entry(2), 1).expect("a ticket").remove(0);
-    cluster.fault(&cluster.addresses.plain, &json!({ "cut_after": 1 }));
+    let ticket = caller
+        .tickets(cluster.entry_address(2), 1)
+        .expect("a ticket")
+        .remove(0);
+    cluster.inject_fault(&cluster.addresses.plain, &json!({ "cut_after": 1 }));
     for entry in [2, 0, 1] {
-        let answer = cluster.post(&caller, entry, 9, &ticket);
+        let answer = cluster.send_posting(&caller, entry, 9, &ticket);
         assert_eq!(
             (answer.ran(), answer.repeat()),
             ("unknown", "never"),
             "{answer:?}"
         );
     }
-    assert_eq!(cluster.runs(9), 1);
+    assert_eq!(cluster.run_count(9), 1);
 }
 
 /// No ledger service can be reached: the caller is told "not run" with a new
@@ -107,15 +114,18 @@
         .configuration(|document| document["pools"][0]["labels"] = json!({ "kind": "moved-away" }))
         .start();
     let caller = cluster.caller();
-    let ticket = caller.tickets(cluster.entry(0), 1).expect("a ticket").remove(0);
+    let ticket = caller
+        .tickets(cluster.entry_address(0), 1)
+        .expect("a ticket")
+        .remove(0);
     // The route is missing, so the owner was never asked: still open.
-    let unrouted = cluster.post(&caller, 0, 10, &ticket);
+    let unrouted = cluster.send_posting(&caller, 0, 10, &ticket);
     assert_eq!(
         (unrouted.ran(), unrouted.repeat()),
         ("unknown", "same-key"),
         "{unrouted:?}"
     );
-    cluster.change(|document| {
+    cluster.change_configuration(|document| {
         let mut pool = document.pools.get("ledger").expect("the pool").clone();
         pool.labels.insert("kind".into(), "ledger".into());
         vec![Op {
@@ -124,10 +134,10 @@
             value: serde_json::to_value(pool).ok(),
         }]
     });
-    cluster.wait("the route is back", |cluster| {
-        cluster.post(&cluster.caller(), 0, 10, &ticket).status == 200
+    cluster.wait_until("the route is back", |cluster| {
+        cluster.send_posting(&cluster.caller(), 0, 10, &ticket).status == 200
     });
-    assert_eq!(cluster.runs(10), 1);
+    assert_eq!(cluster.run_count(10), 1);
 }
 
 /// The platform is down for all. Chats, lookups and postings by ticket go on;
@@ -137,25 +147,31 @@
 fn service_goes_on_without_the_platform() {
     let cluster = cluster().start();
     let caller = cluster.caller();
-    cluster.platform(&json!({ "mode": "down" }));
-    let chat = caller.chat(cluster.entry(1), "chat", &cluster.chat("outage", 12));
+    cluster.inject_platform_fault(&json!({ "mode": "down" }));
+    let chat = caller.chat(cluster.entry_address(1), "chat", &cluster.chat_body("outage", 12));
     assert!(chat.done, "{chat:?}");
     let lookup = caller.call(
-        cluster.entry(2),
+        cluster.entry_address(2),
         "/ledger/balances",
         &json!({ "account": 1 }),
         None,
     );
     assert_eq!(lookup.status, 200);
-    let ticket = caller.tickets(cluster.entry(3), 1).expect("a ticket").remove(0);
-    assert_eq!(cluster.post(&caller, 0, 20, &ticket).status, 200);
-    let own = cluster.post(&caller, 0, 21, "own-key-21");
+    let ticket = caller
+        .tickets(cluster.entry_address(3), 1)
+        .expect("a ticket")
+        .remove(0);
+    assert_eq!(cluster.send_posting(&caller, 0, 20, &ticket).status, 200);
+    let own = cluster.send_posting(&caller, 0, 21, "own-key-21");
     assert_eq!((own.ran(), own.repeat()), ("unknown", "same-key"), "{own:?}");
-    cluster.platform(&json!({ "mode": "up" }));
-    cluster.wait("the claim succeeds", |cluster| {
-        cluster.post(&cluster.caller(), 3, 21, "own-key-21").status == 200
+    cluster.inject_platform_fault(&json!({ "mode": "up" }));
+    cluster.wait_until("the claim succeeds", |cluster| {
+        cluster
+            .send_posting(&cluster.caller(), 3, 21, "own-key-21")
+            .status
+            == 200
     });
-    assert_eq!((cluster.runs(20), cluster.runs(21)), (1, 1));
+    assert_eq!((cluster.run_count(20), cluster.run_count(21)), (1, 1));
 }
 
 /// An engine breaks off in the middle of a stream. Another one goes on from
@@ -163,11 +179,11 @@
 #[test]
 fn a_broken_stream_goes_on_elsewhere() {
     let cluster = cluster().start();
-    cluster.fault(&cluster.addresses.engines, &json!({ "cut_at": 5, "cuts": 1 }));
-    let body = cluster.chat("resume me", 40);
+    cluster.inject_fault(&cluster.addresses.engines, &json!({ "cut_at": 5, "cuts": 1 }));
+    let body = cluster.chat_body("resume me", 40);
     let prompt = body["messages"][0]["content"].as_str().expect("a prompt");
     let whole = model::answer(digest(prompt.as_bytes()), 40);
-    let answer = cluster.caller().chat(cluster.entry(0), "chat", &body);
+    let answer = cluster.caller().chat(cluster.entry_address(0), "chat", &body);
     assert!(answer.done, "{answer:?}");
     assert_eq!(answer.text, whole);
 }
@@ -177,10 +193,10 @@
 #[test]
 fn a_cut_stream_never_looks_whole() {
     let cluster = cluster().start();
-    cluster.fault(&cluster.addresses.engines, &json!({ "cut_at": 3, "cuts": 100 }));
+    cluster.inject_fault(&cluster.addresses.engines, &json!({ "cut_at": 3, "cuts": 100 }));
     let answer = cluster
         .caller()
-        .chat(cluster.entry(0), "chat", &cluster.chat("cut me", 40));
+        .chat(cluster.entry_address(0), "chat", &cluster.chat_body("cut me", 40));
     assert_eq!(answer.status, 200);
     assert!(!answer.done, "{answer:?}");
     assert!(!answer.kind().is_empty(), "{answer:?}");
@@ -191,10 +207,12 @@
 #[test]
 fn a_refusal_after_a_run_does_not_say_not_run() {
     let cluster = cluster().start();
-    cluster.fault(&cluster.addresses.engines, &json!({ "cross": 100 }));
-    let answer = cluster
-        .caller()
-        .chat(cluster.entry(0), "chat", &cluster.chat("lost twice", 10));
+    cluster.inject_fault(&cluster.addresses.engines, &json!({ "cross": 100 }));
+    let answer = cluster.caller().chat(
+        cluster.entry_address(0),
+        "chat",
+        &cluster.chat_body("lost twice", 10),
+    );
     assert_ne!(answer.status, 200, "{answer:?}");
     assert_eq!(answer.ran(), "unknown", "{answer:?}");
 }
@@ -204,25 +222,25 @@
 #[test]
 fn crossed_answers_do_not_reach_a_caller() {
     let cluster = cluster().start();
-    cluster.fault(&cluster.addresses.engines[..1], &json!({ "cross": 1 }));
-    let body = cluster.chat("crossed", 10);
+    cluster.inject_fault(&cluster.addresses.engines[..1], &json!({ "cross": 1 }));
+    let body = cluster.chat_body("crossed", 10);
     let prompt = body["messages"][0]["content"].as_str().expect("a prompt");
     let whole = model::answer(digest(prompt.as_bytes()), 10);
     for entry in 0..4 {
-        let answer = cluster.caller().chat(cluster.entry(entry), "chat", &body);
+        let answer = cluster.caller().chat(cluster.entry_address(entry), "chat", &body);
         assert_eq!(
             (answer.done, answer.text.as_str()),
             (true, whole.as_str()),
             "{answer:?}"
         );
     }
-    cluster.fault(&cluster.addresses.plain, &json!({ "cross": 1 }));
+    cluster.inject_fault(&cluster.addresses.plain, &json!({ "cross": 1 }));
     let ticket = cluster
         .caller()
-        .tickets(cluster.entry(0), 1)
+        .tickets(cluster.entry_address(0), 1)
         .expect("a ticket")
         .remove(0);
-    let answer = cluster.post(&cluster.caller(), 0, 30, &ticket);
+    let answer = cluster.send_posting(&cluster.caller(), 0, 30, &ticket);
     assert_eq!(
         (answer.kind(), answer.ran()),
         ("upstream-crossed", "unknown"),
@@ -238,23 +256,24 @@
     let cluster = cluster().start();
     let caller = cluster.caller();
     let answer = std::thread::scope(|scope| {
-        let stream = scope.spawn(|| caller.chat(cluster.entry(0), "chat", &cluster.chat("long", 512)));
+        let stream =
+            scope.spawn(|| caller.chat(cluster.entry_address(0), "chat", &cluster.chat_body("long", 512)));
         std::thread::sleep(Duration::from_millis(500));
-        cluster.withdraw("coop-key");
+        cluster.withdraw_key("coop-key");
         stream.join().expect("the stream ends")
     });
     // The whole answer has 512 tokens.
     assert!(!answer.done && (10..512).contains(&answer.tokens), "{answer:?}");
     assert_eq!(answer.kind(), "key-withdrawn");
-    cluster.wait("every host refuses the key", |cluster| {
+    cluster.wait_until("every host refuses the key", |cluster| {
         (0..4).all(|entry| {
             caller
-                .chat(cluster.entry(entry), "chat", &cluster.chat("x", 2))
+                .chat(cluster.entry_address(entry), "chat", &cluster.chat_body("x", 2))
                 .kind()
                 == "key-withdrawn"
         })
     });
-    let other = Caller::new("rsk-other").chat(cluster.entry(0), "chat", &cluster.chat("x", 2));
+    let other = Caller::new("rsk-other").chat(cluster.entry_address(0), "chat", &cluster.chat_body("x", 2));
     assert!(other.done, "{other:?}");
 }
 
@@ -263,13 +282,13 @@
 #[test]
 fn a_withdrawal_reaches_a_zone_cut_from_the_platform() {
     let cluster = cluster().start();
-    cluster.platform(&json!({ "mode": "down", "port": 1 }));
-    cluster.withdraw("coop-key");
-    cluster.wait("the cut zone refuses the key", |cluster| {
+    cluster.inject_platform_fault(&json!({ "mode": "down", "port": 1 }));
+    cluster.withdraw_key("coop-key");
+    cluster.wait_until("the cut zone refuses the key", |cluster| {
         (2..4).all(|entry| {
             cluster
                 .caller()
-                .chat(cluster.entry(entry), "chat", &cluster.chat("x", 2))
+                .chat(cluster.entry_address(entry), "chat", &cluster.chat_body("x", 2))
                 .kind()
                 == "key-withdrawn"
         })
@@ -283,8 +302,8 @@
 fn a_graceful_stop_cuts_no_request() {
     let mut cluster = cluster().start();
     let caller = cluster.caller();
-    cluster.fault(&cluster.addresses.plain, &json!({ "delay_ms": 1_500 }));
-    let tickets = caller.tickets(cluster.entry(0), 8).expect("tickets");
+    cluster.inject_fault(&cluster.addresses.plain, &json!({ "delay_ms": 1_500 }));
+    let tickets = caller.tickets(cluster.entry_address(0), 8).expect("tickets");
     std::thread::scope(|scope| {
         let cluster = &cluster;
         let streams: Vec<_> = (0..6)
@@ -292,9 +311,9 @@
                 let caller = caller.clone();
                 scope.spawn(move || {
                     caller.chat(
-                        cluster.entry(0),
+                        cluster.entry_address(0),
                         "chat",
-                        &cluster.chat(&format!("stop {at}"), 300),
+                        &cluster.chat_body(&format!("stop {at}"), 300),
                     )
                 })
             })
@@ -302,15 +321,15 @@
         let postings: Vec<_> = (0..8)
             .map(|at| {
                 let (caller, ticket) = (caller.clone(), tickets[at].clone());
-                scope.spawn(move || cluster.post(&caller, 0, 100 + at as u64, &ticket))
+                scope.spawn(move || cluster.send_posting(&caller, 0, 100 + at as u64, &ticket))
             })
             .collect();
         std::thread::sleep(Duration::from_millis(400));
-        cluster.signal(0, Signal::SIGTERM);
+        cluster.send_signal(0, Signal::SIGTERM);
         let mut late = Vec::new();
         let until = Instant::now() + Duration::from_millis(700);
         while Instant::now() < until {
-            late.push(caller.chat(cluster.entry(0), "chat", &cluster.chat("late", 3)));
+            late.push(caller.chat(cluster.entry_address(0), "chat", &cluster.chat_body("late", 3)));
         }
         assert!(late.iter().all(|answer| answer.done), "{late:?}");
         for stream in streams {
@@ -329,9 +348,9 @@
     });
     assert_eq!(cluster.exit_code(0), Some(0));
     // What the stopped host left behind: its used tickets ran, others did not.
-    let used = cluster.post(&caller, 1, 100, &tickets[0]);
+    let used = cluster.send_posting(&caller, 1, 100, &tickets[0]);
     assert_eq!((used.kind(), used.ran()), ("owner-lost", "unknown"), "{used:?}");
-    assert!((100..108).all(|number| cluster.runs(number) == 1));
+    assert!((100..108).all(|number| cluster.run_count(number) == 1));
 }
 
 /// A host that stopped properly had issued a ticket that nobody used: its
@@ -340,18 +359,21 @@
 fn an_unused_ticket_of_a_stopped_host_is_not_run() {
     let mut cluster = cluster().start();
     let caller = cluster.caller();
-    let ticket = caller.tickets(cluster.entry(0), 1).expect("a ticket").remove(0);
-    cluster.signal(0, Signal::SIGTERM);
+    let ticket = caller
+        .tickets(cluster.entry_address(0), 1)
+        .expect("a ticket")
+        .remove(0);
+    cluster.send_signal(0, Signal::SIGTERM);
     assert_eq!(cluster.exit_code(0), Some(0));
-    let answer = cluster.post(&caller, 2, 40, &ticket);
+    let answer = cluster.send_posting(&caller, 2, 40, &ticket);
     assert_eq!(
         (answer.ran(), answer.repeat()),
         ("not-run", "new-key"),
         "{answer:?}"
     );
     let next = answer.next_key.expect("a fresh ticket comes along");
-    assert_eq!(cluster.post(&caller, 3, 40, &next).status, 200);
-    assert_eq!(cluster.runs(40), 1);
+    assert_eq!(cluster.send_posting(&caller, 3, 40, &next).status, 200);
+    assert_eq!(cluster.run_count(40), 1);
 }
 
 /// An engine gives notice that it leaves while the list still shows it live.
@@ -360,19 +382,19 @@
 fn a_leaving_runner_gets_no_new_work() {
     let cluster = cluster().plan(|plan| plan.engines[0].each = 2).start();
     let leaving = cluster.addresses.engines[0];
-    cluster.fault(&[leaving], &json!({ "leaving": true }));
+    cluster.inject_fault(&[leaving], &json!({ "leaving": true }));
     let burst = |words: &str| {
         for at in 0..40 {
             let answer = cluster.caller().chat(
-                cluster.entry(at % 4),
+                cluster.entry_address(at % 4),
                 "chat",
-                &cluster.chat(&format!("{words} {at}"), 2),
+                &cluster.chat_body(&format!("{words} {at}"), 2),
             );
             assert!(answer.done, "{answer:?}");
         }
     };
     let begun = || get(leaving, "/control/log")["begun"].as_u64().expect("a count");
-    cluster.wait("one host has seen the notice", |_| {
+    cluster.wait_until("one host has seen the notice", |_| {
         burst("first");
         begun() > 0
     });
@@ -389,11 +411,14 @@
     let caller = cluster.caller();
     assert!(
         caller
-            .chat(cluster.entry(0), "chat", &cluster.chat("secret", 3))
+            .chat(cluster.entry_address(0), "chat", &cluster.chat_body("secret", 3))
             .done
     );
-    let ticket = caller.tickets(cluster.entry(0), 1).expect("a ticket").remove(0);
-    assert_eq!(cluster.post(&caller, 1, 50, &ticket).status, 200);
+    let ticket = caller
+        .tickets(cluster.entry_address(0), 1)
+        .expect("a ticket")
+        .remove(0);
+    assert_eq!(cluster.send_posting(&caller, 1, 50, &ticket).status, 200);
     assert!(cluster.ledger_runs().iter().all(|run| run["saw_key"] == false));
     for engine in &cluster.addresses.engines {
         assert_eq!(get(*engine, "/control/log")["saw_key"], false);
@@ -444,9 +469,9 @@
             let caller = caller.clone();
             scope.spawn(move || {
                 caller.chat(
-                    cluster.entry(at % 2),
+                    cluster.entry_address(at % 2),
                     "chat",
-                    &cluster.chat(&format!("fill {at}"), 25),
+                    &cluster.chat_body(&format!("fill {at}"), 25),
                 )
             });
         }
@@ -460,7 +485,11 @@
         while found.is_none() && Instant::now() < until {
             let (caller, sender) = (caller.clone(), sender.clone());
             scope.spawn(move || {
-                let answer = caller.chat(cluster.entry(0), "chat", &cluster.chat("one more", 5));
+                let answer = caller.chat(
+                    cluster.entry_address(0),
+                    "chat",
+                    &cluster.chat_body("one more", 5),
+                );
                 if answer.come_back.is_some() {
                     // Only the first one is waited for.
                     let _ = sender.send(answer);
@@ -475,8 +504,10 @@
     let left = Duration::from_millis(after).saturating_sub(refused.total);
     std::thread::sleep(left);
     let token = refused.come_back.as_deref().expect("a token");
-    let back = caller
-        .come_back(token)
-        .chat(cluster.entry(entry), "chat", &cluster.chat("back again", 5));
+    let back = caller.come_back(token).chat(
+        cluster.entry_address(entry),
+        "chat",
+        &cluster.chat_body("back again", 5),
+    );
     assert!(back.done, "{back:?}");
 }
--- a/tests/suite/live_broken.rs
+++ b/tests/suite/live_broken.rs
@@ -16,8 +16,10 @@
 fn broken_answers_without_the_router() {
     let cluster = cluster().start();
     let engine = cluster.addresses.engines[0];
-    cluster.fault(&[engine], &json!({ "cut_at": 5, "cuts": 1 }));
-    let answer = cluster.caller().chat(engine, "chat", &cluster.chat("cut me", 40));
+    cluster.inject_fault(&[engine], &json!({ "cut_at": 5, "cuts": 1 }));
+    let answer = cluster
+        .caller()
+        .chat(engine, "chat", &cluster.chat_body("cut me", 40));
     assert_ne!(answer.text, model::answer(digest(b"cut me len=40"), 40));
 }
 
@@ -27,7 +29,7 @@
 fn broken_keys_without_the_router() {
     let cluster = cluster().start();
     let engine = cluster.addresses.engines[0];
-    Caller::new("rsk-coop").chat(engine, "chat", &cluster.chat("key", 3));
+    Caller::new("rsk-coop").chat(engine, "chat", &cluster.chat_body("key", 3));
     assert_eq!(get(engine, "/control/log")["saw_key"], true);
 }
 
@@ -44,15 +46,15 @@
                 let caller = caller.clone();
                 scope.spawn(move || {
                     caller.chat(
-                        cluster.entry(0),
+                        cluster.entry_address(0),
                         "chat",
-                        &cluster.chat(&format!("kill {at}"), 300),
+                        &cluster.chat_body(&format!("kill {at}"), 300),
                     )
                 })
             })
             .collect();
         std::thread::sleep(Duration::from_millis(400));
-        cluster.signal(0, Signal::SIGKILL);
+        cluster.send_signal(0, Signal::SIGKILL);
         let join = |stream: std::thread::ScopedJoinHandle<'_, _>| stream.join().expect("the stream ends");
         streams
             .into_iter()
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -19,11 +19,11 @@
 use sha2::{Digest, Sha256};
 
 /// Shared by the entry hosts of every cluster.
-pub const TOKEN: &str = "token-of-the-suite";
+pub const PEER_TOKEN: &str = "token-of-the-suite";
 /// Longest wait for something that must come.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Ports of one cluster.
-const BLOCK: u16 = 60;
+const PORTS_PER_CLUSTER: u16 = 60;
 
 /// A started deployment; everything is killed when it goes out of scope.
 pub struct Cluster {
@@ -116,7 +116,7 @@
     /// Starts everything and waits until it serves.
     pub fn start(mut self) -> Cluster {
         self.plan.base_port = free_ports();
-        let (mut processes, addresses) = lay_out(&self.plan, TOKEN);
+        let (mut processes, addresses) = lay_out(&self.plan, PEER_TOKEN);
         if let Some(bound) = self.connections {
             let entries = processes
                 .iter_mut()
@@ -143,9 +143,9 @@
                 _ => cluster.others.push(child),
             }
         }
-        cluster.apply(&self.configuration);
-        cluster.wait("every host serves", |cluster| {
-            (0..cluster.entries.len()).all(|at| cluster.serves(at))
+        cluster.apply_configuration(&self.configuration);
+        cluster.wait_until("every host serves", |cluster| {
+            (0..cluster.entries.len()).all(|at| cluster.is_ready(at))
         });
         cluster
     }
@@ -157,9 +157,9 @@
     let mut next = NEXT.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     loop {
         let base = *next;
-        *next += BLOCK;
+        *next += PORTS_PER_CLUSTER;
         assert!(base < 32_000, "no free ports");
-        if (base..base + BLOCK).all(|port| TcpListener::bind(("127.0.0.1", port)).is_ok()) {
+        if (base..base + PORTS_PER_CLUSTER).all(|port| TcpListener::bind(("127.0.0.1", port)).is_ok()) {
             return base;
         }
     }
@@ -194,13 +194,13 @@
     }
 
     /// Makes the stored configuration like a document.
-    pub fn apply(&self, document: &Value) {
+    pub fn apply_configuration(&self, document: &Value) {
         let wanted = check::parse(&document.to_string()).expect("the configuration is right");
-        self.change(|current| change::diff(current, &wanted));
+        self.change_configuration(|current| change::diff(current, &wanted));
     }
 
     /// Makes a change as an operator does; gives back its version.
-    pub fn change(&self, make: impl Fn(&Document) -> Vec<Op>) -> u64 {
+    pub fn change_configuration(&self, make: impl Fn(&Document) -> Vec<Op>) -> u64 {
         let client = Client::new(&self.addresses.platform[0].to_string());
         let entry = commit(&client, "suite", "test", true, |document| Ok(make(document)));
         entry
@@ -210,8 +210,8 @@
     }
 
     /// Withdraws a key.
-    pub fn withdraw(&self, name: &str) -> u64 {
-        self.change(|document| {
+    pub fn withdraw_key(&self, name: &str) -> u64 {
+        self.change_configuration(|document| {
             let mut key = document.keys.get(name).expect("the key is there").clone();
             key.withdrawn = true;
             vec![Op {
@@ -228,32 +228,32 @@
     }
 
     /// An entry host's address for callers.
-    pub fn entry(&self, at: usize) -> SocketAddr {
+    pub fn entry_address(&self, at: usize) -> SocketAddr {
         self.addresses.entries[at]
     }
 
     /// A posting that can be told from others.
-    pub fn posting(&self, number: u64) -> Value {
+    pub fn posting_body(&self, number: u64) -> Value {
         json!({ "account": "3.1.01-7", "cents": 4_129, "number": number })
     }
 
     /// Sends a posting.
-    pub fn post(&self, caller: &Caller, entry: usize, number: u64, once: &str) -> Answer {
+    pub fn send_posting(&self, caller: &Caller, entry: usize, number: u64, once: &str) -> Answer {
         caller.call(
-            self.entry(entry),
+            self.entry_address(entry),
             "/ledger/postings",
-            &self.posting(number),
+            &self.posting_body(number),
             Some(once),
         )
     }
 
     /// A chat with a fixed answer length.
-    pub fn chat(&self, words: &str, tokens: u32) -> Value {
+    pub fn chat_body(&self, words: &str, tokens: u32) -> Value {
         json!({ "model": "m", "stream": true, "messages": [{ "role": "user", "content": format!("{words} len={tokens}") }] })
     }
 
     /// How often the ledger services ran a posting.
-    pub fn runs(&self, number: u64) -> usize {
+    pub fn run_count(&self, number: u64) -> usize {
         self.ledger_runs()
             .iter()
             .filter(|run| run["body"]["number"] == number)
@@ -272,15 +272,15 @@
     }
 
     /// Has all stand-ins of a kind fail in a way.
-    pub fn fault(&self, addresses: &[SocketAddr], fault: &Value) {
+    pub fn inject_fault(&self, addresses: &[SocketAddr], fault: &Value) {
         for address in addresses {
             post(*address, "/control/fault", fault);
         }
     }
 
     /// Has the platform fail in a way.
-    pub fn platform(&self, fault: &Value) {
-        self.fault(&self.addresses.platform[..1], fault);
+    pub fn inject_platform_fault(&self, fault: &Value) {
+        self.inject_fault(&self.addresses.platform[..1], fault);
     }
 
     /// What the platform was asked.
@@ -306,15 +306,15 @@
     }
 
     /// Whether an entry host serves callers.
-    pub fn serves(&self, at: usize) -> bool {
+    pub fn is_ready(&self, at: usize) -> bool {
         let peers = self.addresses.entries.len();
         let full = |status: &Status| status.trusted && status.runners.0 > 0 && status.hosts == peers;
         self.status(at).as_ref().is_some_and(full)
     }
 
     /// Waits until something holds.
-    pub fn wait(&self, what: &str, holds: impl Fn(&Self) -> bool) {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_until(&self, what: &str, holds: impl Fn(&Self) -> bool) {
+        let until = Instant::now() + WAIT_TIMEOUT;
         while !holds(self) {
             assert!(
                 Instant::now() < until,
@@ -343,7 +343,7 @@
     }
 
     /// Sends a signal to an entry host.
-    pub fn signal(&self, at: usize, signal: Signal) {
+    pub fn send_signal(&self, at: usize, signal: Signal) {
         let pid = Pid::from_raw(self.entries[at].id() as i32);
         kill(pid, signal).expect("the process is there");
     }
@@ -351,9 +351,9 @@
     /// Stops an entry host, and waits until none of its threads runs any more: one that
     /// waits for a processor lets the others run on until it gets one.
     pub fn freeze(&self, at: usize) {
-        self.signal(at, Signal::SIGSTOP);
+        self.send_signal(at, Signal::SIGSTOP);
         let tasks = format!("/proc/{}/task", self.entries[at].id());
-        self.wait("all threads stand still", |_| {
+        self.wait_until("all threads stand still", |_| {
             let tasks = std::fs::read_dir(&tasks).expect("it is there").flatten();
             let states = tasks.map(|task| std::fs::read_to_string(task.path().join("stat")));
             states.flatten().all(|stat| stat.contains(") T "))
