--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -26,7 +26,7 @@
 use super::{BODY_BYTES, Body, authenticate, header, issue, read, refused};
 use crate::handle::Handle;
 use crate::metrics::Class;
-use crate::peers::links::Links;
+use crate::peers::dialer::Dialer;
 use crate::upstream::attempts;
 use crate::upstream::pool::Pool;
 use crate::upstream::{self, Exchange, Failure, Outgoing, leaves};
@@ -56,7 +56,7 @@
     /// Connections for calls that may be repeated.
     pub pool: Arc<Pool>,
     /// Connections to the owners of calls.
-    pub links: Links,
+    pub dialer: Dialer,
 }
 
 /// One call, admitted.
@@ -263,7 +263,7 @@
         let Some(mut client) = self
             .handle
             .address_of(owner)
-            .and_then(|address| self.links.client(&address))
+            .and_then(|address| self.dialer.client(&address))
         else {
             return Err(self.away(owner, key).await);
         };
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -14,15 +14,15 @@
 
 use crate::handle::Handle;
 
-pub mod links;
+pub mod dialer;
 pub mod serve;
 
-pub use links::{Links, Token};
+pub use dialer::{Dialer, Token};
 
 /// Longest wait for an answer to a control message.
 const ANSWER: Duration = Duration::from_secs(2);
 /// Heartbeats in the air to one peer; more are dropped, as newer ones follow.
-const BEATS_IN_AIR: usize = 2;
+const MAX_HEARTBEATS_IN_FLIGHT: usize = 2;
 
 /// A message to a peer's address.
 #[derive(Debug)]
@@ -36,28 +36,28 @@
 }
 
 /// Sends messages until the line is closed.
-pub async fn send(handle: Arc<Handle>, links: Arc<Links>, mut messages: mpsc::UnboundedReceiver<Message>) {
+pub async fn send(handle: Arc<Handle>, dialer: Arc<Dialer>, mut messages: mpsc::UnboundedReceiver<Message>) {
     while let Some(message) = messages.recv().await {
         let handle = handle.clone();
-        let links = links.clone();
+        let dialer = dialer.clone();
         match message {
             Message::Heartbeat(address, beat) => {
-                let Some((channel, in_air)) = links.channel(&address) else {
+                let Some((channel, in_flight)) = dialer.channel(&address) else {
                     continue;
                 };
                 // A frozen peer must not pile up messages here.
-                if Arc::strong_count(&in_air) > 2 + BEATS_IN_AIR {
+                if Arc::strong_count(&in_flight) > 2 + MAX_HEARTBEATS_IN_FLIGHT {
                     continue;
                 }
                 handle.metrics.heartbeat_bytes.inc_by(beat.encoded_len() as u64);
-                let mut client = links.over(channel);
+                let mut client = dialer.client_on(channel);
                 tokio::spawn(async move {
-                    let _in_air = in_air;
+                    let _in_air = in_flight;
                     answer(client.heartbeat(*beat)).await;
                 });
             }
             Message::Pull(address, pull) => {
-                let Some(mut client) = links.client(&address) else {
+                let Some(mut client) = dialer.client(&address) else {
                     continue;
                 };
                 tokio::spawn(async move {
@@ -67,7 +67,7 @@
                 });
             }
             Message::Collect(address, ask) => {
-                let Some(mut client) = links.client(&address) else {
+                let Some(mut client) = dialer.client(&address) else {
                     continue;
                 };
                 tokio::spawn(async move {
--- a/crates/entry/src/peers/links.rs
+++ b/crates/entry/src/peers/dialer.rs
@@ -43,7 +43,7 @@
 
 /// Connections to peers, made when first needed.
 #[derive(Debug)]
-pub struct Links {
+pub struct Dialer {
     token: Token,
     channels: Mutex<Vec<(String, Channel, Arc<()>)>>,
 }
@@ -51,7 +51,7 @@
 /// A client of one peer.
 pub type Client = PeerClient<InterceptedService<Channel, Token>>;
 
-impl Links {
+impl Dialer {
     /// No connection yet.
     pub fn new(token: Token) -> Self {
         Self {
@@ -62,10 +62,10 @@
 
     /// A client of the peer at an address; connects when used.
     pub fn client(&self, address: &str) -> Option<Client> {
-        self.channel(address).map(|(channel, _)| self.over(channel))
+        self.channel(address).map(|(channel, _)| self.client_on(channel))
     }
 
-    pub(super) fn over(&self, channel: Channel) -> Client {
+    pub(super) fn client_on(&self, channel: Channel) -> Client {
         PeerClient::with_interceptor(channel, self.token.clone())
             .max_decoding_message_size(MAX_MESSAGE_BYTES)
             .max_encoding_message_size(MAX_MESSAGE_BYTES)
@@ -84,9 +84,9 @@
                     .connect_timeout(CONNECT)
                     .tcp_nodelay(true)
                     .connect_lazy();
-                let in_air = Arc::new(());
-                channels.insert(at, (address.to_string(), channel.clone(), in_air.clone()));
-                Some((channel, in_air))
+                let in_flight = Arc::new(());
+                channels.insert(at, (address.to_string(), channel.clone(), in_flight.clone()));
+                Some((channel, in_flight))
             }
         }
     }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -20,7 +20,7 @@
 use crate::control::{Control, Lines};
 use crate::front::{self, Front, call, chat};
 use crate::handle::Handle;
-use crate::peers::links::{Links, Token};
+use crate::peers::dialer::{Dialer, Token};
 use crate::peers::{self, Message};
 use crate::platform::{self, Leases, WORKERS};
 use crate::settings::Settings;
@@ -50,7 +50,7 @@
     let calls = Arc::new(call::Caller {
         handle: handle.clone(),
         pool: pool.clone(),
-        links: Links::new(token.clone()),
+        dialer: Dialer::new(token.clone()),
     });
     start_peers(settings, &handle, token, outbox, &traffic, calls.clone())?;
     admin::start(handle.clone(), settings.admin_listen)?;
@@ -154,12 +154,12 @@
     calls: Arc<call::Caller>,
 ) -> Result<()> {
     let runtime = runtime(1, "peers")?;
-    let links = Arc::new(Links::new(token));
+    let dialer = Arc::new(Dialer::new(token));
     let (listen, text) = (settings.peer_listen, settings.peer_token.clone());
     let (handle, traffic) = (handle.clone(), traffic.handle().clone());
     let server = peers::serve::run(handle.clone(), listen, text, traffic, calls);
     spawn("peers", move || {
-        runtime.spawn(peers::send(handle, links, outbox));
+        runtime.spawn(peers::send(handle, dialer, outbox));
         if let Err(err) = runtime.block_on(server) {
             tracing::error!(event = "peers-not-served", reason = %format!("{err:#}"));
             std::process::exit(1);
--- a/tests/suite/docs.rs
+++ b/tests/suite/docs.rs
@@ -4,7 +4,7 @@
 use radishstair_core::error::Kind;
 use radishstair_core::id::digest;
 use radishstair_core::peer::Pull;
-use radishstair_entry::peers::{Links, Token};
+use radishstair_entry::peers::{Dialer, Token};
 use radishstair_load::http::Caller;
 use radishstair_standin::model;
 use serde_json::Value;
@@ -119,8 +119,8 @@
         .build()
         .expect("a runtime");
     let pulled = runtime.block_on(async {
-        let links = Links::new(Token::new(PEER_TOKEN).expect("a token"));
-        let mut client = links.client(&address).expect("an address");
+        let dialer = Dialer::new(Token::new(PEER_TOKEN).expect("a token"));
+        let mut client = dialer.client(&address).expect("an address");
         client
             .pull(Pull { version: 0 })
             .await
