--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -64,8 +64,8 @@
 }
 
 fn status(handle: &Handle) -> Option<Status> {
-    let call = handle.call();
-    let reply = handle.ask(call, Event::Status(call));
+    let call = handle.next_call_id();
+    let reply = handle.request(call, Event::Status(call));
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -66,7 +66,7 @@
     }
 
     fn take(&mut self, input: Input) {
-        if let Some((call, sender)) = input.waiter {
+        if let Some((call, sender)) = input.reply_to {
             let at = self.waiters.partition_point(|(have, _)| *have < call);
             self.waiters.insert(at, (call, sender));
         }
@@ -115,7 +115,7 @@
                 tracing::info!(event = "keys-trusted", trusted);
                 self.handle.metrics.keys_trusted.set(i64::from(trusted));
                 self.handle
-                    .trusted
+                    .keys_trusted
                     .store(trusted, std::sync::atomic::Ordering::SeqCst);
             }
             Action::Report(grant, seal) => {
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -119,7 +119,7 @@
 
 impl Front {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
-        let flight = self.handle.flight();
+        let flight = self.handle.track_request();
         let mut answer = self
             .route(request)
             .await
@@ -174,9 +174,9 @@
 ///
 /// When no more can be issued now.
 pub async fn issue(handle: &Handle, customer: String, count: u32) -> Result<Vec<String>, Refusal> {
-    let call = handle.call();
+    let call = handle.next_call_id();
     match handle
-        .ask(
+        .request(
             call,
             Event::IssueTickets {
                 call,
@@ -205,7 +205,7 @@
     let key = header
         .and_then(|text| text.strip_prefix("Bearer "))
         .ok_or(Kind::MissingKey)?;
-    if !handle.trusted.load(std::sync::atomic::Ordering::SeqCst) {
+    if !handle.keys_trusted.load(std::sync::atomic::Ordering::SeqCst) {
         return Err(Refusal::new(Kind::Stale).retry_after(Duration::from_secs(5)));
     }
     view.authenticate(key.trim())
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -100,7 +100,7 @@
                 // Not bound to the caller's connection: the record says from
                 // its first copy on that the call runs, so a task that ended
                 // with its caller would leave it running for ever.
-                let flight = self.handle.flight();
+                let flight = self.handle.track_request();
                 let caller = self.clone();
                 let task = tokio::spawn(async move {
                     let answer = caller.once(job, once).await;
@@ -143,7 +143,7 @@
             .map_err(|err| Refusal::new(Kind::BadRequest).detail(err.to_string()))?;
         let customer = view.document.customers[caller.customer.index()].name.clone();
         Ok(Job {
-            promised: self.handle.is_promised(token.as_deref(), &customer, &class),
+            promised: self.handle.has_reservation(token.as_deref(), &customer, &class),
             customer,
             key: view.document.keys[caller.key].name.clone(),
             version: view.version,
@@ -193,14 +193,14 @@
 
     /// Asks this process's records what to do with a copy.
     async fn begin(&self, job: &Job, once: &str) -> Verdict {
-        let call = self.handle.call();
+        let call = self.handle.next_call_id();
         let event = Event::BeginCall {
             call,
             customer: job.customer.clone(),
             idempotency_key: once.to_string(),
             body_hash: digest(&[job.path.as_bytes(), b"\n", &job.body].concat()),
         };
-        let mut reply = self.handle.ask(call, event);
+        let mut reply = self.handle.request(call, event);
         let reply = match tokio::time::timeout(COPY, &mut reply).await {
             Ok(reply) => reply.ok(),
             Err(_) => {
@@ -253,7 +253,7 @@
     }
 
     fn end(&self, key: Key, end: Completion) {
-        self.handle.tell(Event::EndCall { key, end });
+        self.handle.notify(Event::EndCall { key, end });
     }
 
     /// Passes a call on to the one process that may run it.
@@ -262,7 +262,7 @@
         let key = owner_key(&job.customer, &once);
         let Some(mut client) = self
             .handle
-            .address_of(owner)
+            .peer_address(owner)
             .and_then(|address| self.dialer.client(&address))
         else {
             return Err(self.away(owner, key).await);
@@ -284,10 +284,10 @@
 
     /// What may be said when the owner cannot be asked.
     async fn away(&self, owner: Incarnation, key: Key) -> Refusal {
-        let call = self.handle.call();
+        let call = self.handle.next_call_id();
         match self
             .handle
-            .ask(call, Event::OwnerUnreachable { call, owner, key })
+            .request(call, Event::OwnerUnreachable { call, owner, key })
             .await
         {
             Ok(Reply::Verdict(Verdict::Refuse(refusal))) => match refusal.repeat {
@@ -300,7 +300,7 @@
 
     /// A call that a peer passed on to its owner, this process.
     pub async fn forwarded(&self, forward: Forward) -> Forwarded {
-        let _flight = self.handle.flight();
+        let _flight = self.handle.track_request();
         let answer = match self.admit_forwarded(&forward) {
             Ok(job) => {
                 let verdict = self.begin(&job, &forward.idempotency_key).await;
@@ -318,7 +318,7 @@
     /// new or newer, knows as withdrawn is refused all the same.
     fn admit_forwarded(&self, forward: &Forward) -> Result<Job, Refusal> {
         let view = self.handle.view.load_full();
-        if !self.handle.trusted.load(Ordering::SeqCst) {
+        if !self.handle.keys_trusted.load(Ordering::SeqCst) {
             return Err(Kind::Stale.into());
         }
         if view.version >= forward.version && !view.is_key_valid(&forward.key) {
@@ -346,7 +346,7 @@
     }
 
     async fn seek(&self, job: &Job, avoid: &[runner::Key]) -> Result<Assignment, Refusal> {
-        let call = self.handle.call();
+        let call = self.handle.next_call_id();
         let seek = Submission {
             call,
             tier: job.route.tier.clone(),
@@ -364,7 +364,10 @@
             call,
             done: false,
         };
-        let sign = |refusal| self.handle.sign(refusal, &job.customer, &job.route.class);
+        let sign = |refusal| {
+            self.handle
+                .sign_reservation(refusal, &job.customer, &job.route.class)
+        };
         waiting.wait(seek).await.map_err(sign)
     }
 
@@ -375,7 +378,7 @@
             call: start.call,
             outcome: Outcome::Cancelled { tokens: 0 },
         };
-        let id = format!("call-{}-{}", self.handle.me, start.call.0);
+        let id = format!("call-{}-{}", self.handle.incarnation, start.call.0);
         let outgoing = Outgoing {
             path: job.path.clone(),
             id,
@@ -407,7 +410,7 @@
             Failure::MaybeSent => (failure, Kind::UpstreamBroken.into()),
         })?;
         if leaves(&answer) {
-            self.handle.tell(Event::RunnerLeaving(start.name.clone()));
+            self.handle.notify(Event::RunnerLeaving(start.name.clone()));
         }
         let named = answer
             .headers()
@@ -428,7 +431,7 @@
     }
 
     fn count(&self, job: &Job) {
-        self.handle.tell(Event::RecordUsage(Record {
+        self.handle.notify(Event::RecordUsage(Record {
             customer: job.customer.clone(),
             class: job.route.class.clone(),
             prompt_tokens: 0,
--- a/crates/entry/src/front/call/guard.rs
+++ b/crates/entry/src/front/call/guard.rs
@@ -18,7 +18,7 @@
 
 impl Waiting<'_> {
     pub async fn wait(mut self, seek: Submission) -> Result<Assignment, Refusal> {
-        let reply = self.handle.ask(self.call, Event::Acquire(seek)).await;
+        let reply = self.handle.request(self.call, Event::Acquire(seek)).await;
         self.done = true;
         match reply {
             Ok(Reply::Start(start)) => Ok(start),
@@ -31,7 +31,7 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if !self.done {
-            self.handle.tell(Event::Cancel(self.call));
+            self.handle.notify(Event::Cancel(self.call));
         }
     }
 }
@@ -51,7 +51,7 @@
 
 impl Drop for Running<'_> {
     fn drop(&mut self) {
-        self.handle.tell(Event::Release {
+        self.handle.notify(Event::Release {
             call: self.call,
             outcome: self.outcome.clone(),
         });
--- a/crates/entry/src/front/chat.rs
+++ b/crates/entry/src/front/chat.rs
@@ -86,19 +86,19 @@
             return Err(Refusal::new(Kind::UnknownClass).detail("not a class of generation"));
         }
         let stream = body.get("stream").and_then(Value::as_bool).unwrap_or(false);
-        let call = self.handle.call();
+        let call = self.handle.next_call_id();
         let customer = view.document.customers[caller.customer.index()].name.clone();
         let job = Job {
-            id: format!("chatcmpl-{}-{}", self.handle.me, call.0),
+            id: format!("chatcmpl-{}-{}", self.handle.incarnation, call.0),
             prefix: digest(&prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)]),
-            promised: self.handle.is_promised(token.as_deref(), &customer, &class),
+            promised: self.handle.has_reservation(token.as_deref(), &customer, &class),
             limit: limit(&body),
             customer,
             key: view.document.keys[caller.key].name.clone(),
             handle: self.handle.clone(),
             pool: self.pool.clone(),
             began: Instant::now(),
-            _flight: self.handle.flight(),
+            _flight: self.handle.track_request(),
             body,
             route,
         };
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -167,7 +167,7 @@
         pieces: &Pieces,
         avoid: &[runner::Key],
     ) -> Result<Assignment, End> {
-        let call = self.handle.call();
+        let call = self.handle.next_call_id();
         let seek = Submission {
             call,
             tier: self.route.tier.clone(),
@@ -180,7 +180,7 @@
             avoid: avoid.to_vec(),
             reserved: self.promised,
         };
-        let reply = self.handle.ask(call, Event::Acquire(seek));
+        let reply = self.handle.request(call, Event::Acquire(seek));
         tokio::select! {
             reply = reply => match reply {
                 Ok(Reply::Start(start)) => Ok(start),
@@ -188,7 +188,7 @@
                 _ => Err(Kind::Stopping.into()),
             },
             () = state.caller_gone(pieces) => {
-                self.handle.tell(Event::Cancel(call));
+                self.handle.notify(Event::Cancel(call));
                 Err(End::CallerGone)
             }
         }
@@ -216,7 +216,7 @@
     }
 
     fn release(&self, call: CallId, outcome: Outcome) {
-        self.handle.tell(Event::Release { call, outcome });
+        self.handle.notify(Event::Release { call, outcome });
     }
 
     async fn stream(&self, start: &Assignment, state: &mut Progress, pieces: &Pieces) -> Result<(), End> {
@@ -235,7 +235,7 @@
             Failure::MaybeSent => Kind::UpstreamBroken,
         })?;
         if leaves(&answer) {
-            self.handle.tell(Event::RunnerLeaving(start.name.clone()));
+            self.handle.notify(Event::RunnerLeaving(start.name.clone()));
         }
         if answer.status() != hyper::StatusCode::OK {
             let detail = format!("the runner answered {}", answer.status());
@@ -338,7 +338,7 @@
         };
         self.handle.metrics.count_request(&self.route.class, name);
         if state.usage.tokens > 0 || whole {
-            self.handle.tell(Event::RecordUsage(Record {
+            self.handle.notify(Event::RecordUsage(Record {
                 customer: self.customer.clone(),
                 class: self.route.class.clone(),
                 prompt_tokens: state.usage.prompt,
@@ -362,7 +362,9 @@
             Err(End::CallerGone) => {}
             Err(End::Refused(refusal)) => match state.head.take() {
                 Some(head) => {
-                    let refusal = self.handle.sign(refusal, &self.customer, &self.route.class);
+                    let refusal = self
+                        .handle
+                        .sign_reservation(refusal, &self.customer, &self.route.class);
                     let _ = head.send(Err(refusal));
                 }
                 None => {
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -24,14 +24,14 @@
     /// The event.
     pub event: Event,
     /// The call it makes and where the reply goes.
-    pub waiter: Option<(CallId, oneshot::Sender<Reply>)>,
+    pub reply_to: Option<(CallId, oneshot::Sender<Reply>)>,
 }
 
 /// Shared by all threads of the process.
 #[derive(Debug)]
 pub struct Handle {
     /// This process.
-    pub me: Incarnation,
+    pub incarnation: Incarnation,
     /// Clocks.
     pub clock: Clock,
     /// Configuration in force.
@@ -39,65 +39,79 @@
     /// Peers, gone ones too.
     pub members: ArcSwap<Vec<Member>>,
     /// Whether keys may be trusted.
-    pub trusted: AtomicBool,
+    pub keys_trusted: AtomicBool,
     /// Whether the process is to stop.
     pub stopping: AtomicBool,
     /// Key of promised times to come back.
-    pub promises: Secret,
+    pub reservation_secret: Secret,
     /// Counters.
     pub metrics: Metrics,
     inputs: Sender<Input>,
-    next: AtomicU64,
-    running: in_flight::Counter,
+    next_call: AtomicU64,
+    in_flight: in_flight::Counter,
 }
 
 impl Handle {
     /// A handle whose events go to `inputs`.
-    pub fn new(me: Incarnation, clock: Clock, promises: Secret, inputs: Sender<Input>) -> Arc<Self> {
+    pub fn new(
+        incarnation: Incarnation,
+        clock: Clock,
+        reservation_secret: Secret,
+        inputs: Sender<Input>,
+    ) -> Arc<Self> {
         Arc::new(Self {
-            me,
+            incarnation,
             clock,
             view: ArcSwap::default(),
             members: ArcSwap::default(),
-            trusted: AtomicBool::new(false),
+            keys_trusted: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
-            promises,
+            reservation_secret,
             metrics: Metrics::default(),
             inputs,
-            next: AtomicU64::new(1),
-            running: in_flight::Counter::default(),
+            next_call: AtomicU64::new(1),
+            in_flight: in_flight::Counter::default(),
         })
     }
 
     /// A new call.
-    pub fn call(&self) -> CallId {
-        CallId(self.next.fetch_add(1, Ordering::Relaxed))
+    pub fn next_call_id(&self) -> CallId {
+        CallId(self.next_call.fetch_add(1, Ordering::Relaxed))
     }
 
     /// Tells the control thread something.
-    pub fn tell(&self, event: Event) {
-        let _ = self.inputs.send(Input { event, waiter: None });
+    pub fn notify(&self, event: Event) {
+        let _ = self.inputs.send(Input {
+            event,
+            reply_to: None,
+        });
     }
 
     /// Asks the control thread; `None` when it has ended.
-    pub fn ask(&self, call: CallId, event: Event) -> oneshot::Receiver<Reply> {
+    pub fn request(&self, call: CallId, event: Event) -> oneshot::Receiver<Reply> {
         let (sender, receiver) = oneshot::channel();
-        let waiter = Some((call, sender));
-        let _ = self.inputs.send(Input { event, waiter });
+        let reply_to = Some((call, sender));
+        let _ = self.inputs.send(Input { event, reply_to });
         receiver
     }
 
     /// Signs the promise of a refusal, if it holds one.
-    pub fn sign(&self, mut refusal: Refusal, customer: &str, class: &str) -> Refusal {
+    pub fn sign_reservation(&self, mut refusal: Refusal, customer: &str, class: &str) -> Refusal {
         if let Some(after) = refusal.retry_after.filter(|_| refusal.reserved) {
-            refusal.token = Some(self.promises.sign(customer, class, self.clock.now() + after));
+            refusal.token = Some(
+                self.reservation_secret
+                    .sign(customer, class, self.clock.now() + after),
+            );
         }
         refusal
     }
 
     /// Whether a request comes back as it was promised.
-    pub fn is_promised(&self, token: Option<&str>, customer: &str, class: &str) -> bool {
-        token.is_some_and(|token| self.promises.verify(self.clock.now(), token, customer, class))
+    pub fn has_reservation(&self, token: Option<&str>, customer: &str, class: &str) -> bool {
+        token.is_some_and(|token| {
+            self.reservation_secret
+                .verify(self.clock.now(), token, customer, class)
+        })
     }
 
     /// Whether the process is to stop.
@@ -107,17 +121,17 @@
 
     /// Counts a request in flight until the guard is dropped; a graceful stop
     /// waits for all of them.
-    pub fn flight(&self) -> InFlightGuard {
-        self.running.track()
+    pub fn track_request(&self) -> InFlightGuard {
+        self.in_flight.track()
     }
 
     /// Requests in flight.
     pub fn in_flight(&self) -> usize {
-        self.running.get()
+        self.in_flight.get()
     }
 
     /// Address of a live peer.
-    pub fn address_of(&self, owner: Incarnation) -> Option<String> {
+    pub fn peer_address(&self, owner: Incarnation) -> Option<String> {
         let members = self.members.load();
         let card = members.iter().find(|card| card.incarnation == owner.0)?;
         Some(card.address.clone())
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -62,7 +62,7 @@
                 };
                 tokio::spawn(async move {
                     if let Some(pulled) = answer(client.pull(pull)).await {
-                        handle.tell(Event::Pulled(pulled));
+                        handle.notify(Event::Pulled(pulled));
                     }
                 });
             }
@@ -72,7 +72,7 @@
                 };
                 tokio::spawn(async move {
                     if let Some(collected) = answer(client.collect(ask)).await {
-                        handle.tell(Event::Collected(collected));
+                        handle.notify(Event::Collected(collected));
                     }
                 });
             }
--- a/crates/entry/src/peers/serve.rs
+++ b/crates/entry/src/peers/serve.rs
@@ -28,8 +28,8 @@
 
 impl Service {
     async fn ask(&self, make: impl FnOnce(radishstair_core::id::CallId) -> Event) -> Result<Reply, Status> {
-        let call = self.handle.call();
-        let reply = self.handle.ask(call, make(call));
+        let call = self.handle.next_call_id();
+        let reply = self.handle.request(call, make(call));
         reply.await.map_err(|_| Status::unavailable("stopping"))
     }
 }
@@ -37,7 +37,7 @@
 #[tonic::async_trait]
 impl Peer for Service {
     async fn heartbeat(&self, request: Request<Heartbeat>) -> Result<Response<Ack>, Status> {
-        self.handle.tell(Event::Heartbeat(request.into_inner()));
+        self.handle.notify(Event::Heartbeat(request.into_inner()));
         Ok(Response::new(Ack {}))
     }
 
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -67,7 +67,7 @@
             Job::Report(grant, seal) => Event::ReportAnswer(report(handle, client, grant, seal)),
             Job::Order(grant, order) => Event::OrderAnswer(send_order(handle, client, grant, &order)),
         };
-        handle.tell(event);
+        handle.notify(event);
     }
 }
 
@@ -77,7 +77,7 @@
 /// without this look a former reporter would still send.
 fn report(handle: &Handle, client: &Client, grant: Grant, seal: SealedWindow) -> bool {
     let report = Report {
-        sender: handle.me.to_string(),
+        sender: handle.incarnation.to_string(),
         fence: grant.fence,
         number: seal.number,
         window: seal.window,
@@ -136,7 +136,7 @@
                 revision = hosts.revision;
                 if let Some(runners) = hosts.runners {
                     tracing::info!(event = "runners-listed", revision, runners = runners.len());
-                    handle.tell(Event::RunnerList(runners));
+                    handle.notify(Event::RunnerList(runners));
                 }
                 count(handle, "hosts", "ok");
             }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -36,11 +36,11 @@
 /// When something cannot be bound or started.
 pub fn run(settings: &Settings) -> Result<()> {
     let clock = Clock::default();
-    let me = Incarnation(rand::random());
+    let incarnation = Incarnation(rand::random());
     let (sender, inputs) = unbounded();
-    let promises = Secret::derive(&settings.peer_token);
-    let handle = Handle::new(me, clock, promises, sender);
-    tracing::info!(event = "starting", host = settings.host, zone = settings.zone, incarnation = %me);
+    let reservation_secret = Secret::derive(&settings.peer_token);
+    let handle = Handle::new(incarnation, clock, reservation_secret, sender);
+    tracing::info!(event = "starting", host = settings.host, zone = settings.zone, incarnation = %incarnation);
 
     let token = Token::new(&settings.peer_token)?;
     let (messages, outbox) = mpsc::unbounded_channel();
@@ -81,7 +81,7 @@
 fn wind_down(settings: &Settings, handle: &Handle, stop: &watch::Sender<bool>, exit: &Receiver<()>) {
     tracing::info!(event = "stopping", in_flight = handle.in_flight());
     handle.stopping.store(true, Ordering::SeqCst);
-    handle.tell(Event::Stop);
+    handle.notify(Event::Stop);
     thread::sleep(settings.linger);
     let _ = stop.send(true);
     let until = Instant::now() + settings.drain;
@@ -91,7 +91,7 @@
     if handle.in_flight() > 0 {
         tracing::warn!(event = "drain-limit-reached", in_flight = handle.in_flight());
     }
-    handle.tell(Event::Drained);
+    handle.notify(Event::Drained);
     let _ = exit.recv_timeout(HAND_BACK);
     // One more turn of heartbeats carries the last usage and the tombstone.
     thread::sleep(Duration::from_millis(100));
@@ -105,7 +105,7 @@
 ) -> Result<Receiver<()>> {
     let setup = Setup {
         identity: Identity {
-            incarnation: handle.me,
+            incarnation: handle.incarnation,
             host: settings.host.clone(),
             zone: settings.zone.clone(),
             address: settings.advertised().to_string(),
