--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -29,7 +29,7 @@
 use crate::peers::dialer::Dialer;
 use crate::upstream::attempts;
 use crate::upstream::pool::Pool;
-use crate::upstream::{self, Exchange, Failure, Outgoing, leaves};
+use crate::upstream::{self, Exchange, Failure, RunnerRequest, has_leaving_notice};
 
 mod answer;
 mod guard;
@@ -379,7 +379,7 @@
             outcome: Outcome::Cancelled { tokens: 0 },
         };
         let id = format!("call-{}-{}", self.handle.incarnation, start.call.0);
-        let outgoing = Outgoing {
+        let outgoing = RunnerRequest {
             path: job.path.clone(),
             id,
             body: job.body.clone(),
@@ -400,7 +400,7 @@
     async fn exchange(
         &self,
         start: &Assignment,
-        outgoing: &Outgoing,
+        outgoing: &RunnerRequest,
         alone: bool,
     ) -> Result<Answered, (Failure, Refusal)> {
         let now = self.handle.clock.now();
@@ -409,7 +409,7 @@
             Failure::NotSent => (failure, Kind::NoRunner.into()),
             Failure::MaybeSent => (failure, Kind::UpstreamBroken.into()),
         })?;
-        if leaves(&answer) {
+        if has_leaving_notice(&answer) {
             self.handle.notify(Event::RunnerLeaving(start.name.clone()));
         }
         let named = answer
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -25,7 +25,7 @@
 use crate::metrics::Class;
 use crate::upstream::attempts::{self, AttemptError, Attempts};
 use crate::upstream::pool::Pool;
-use crate::upstream::{self, Exchange, Failure, Outgoing, ResponseConnection, leaves};
+use crate::upstream::{self, Exchange, Failure, ResponseConnection, RunnerRequest, has_leaving_notice};
 
 /// Runners tried for one request.
 const TRIES: u32 = 3;
@@ -220,7 +220,7 @@
     }
 
     async fn stream(&self, start: &Assignment, state: &mut Progress, pieces: &Pieces) -> Result<(), End> {
-        let outgoing = Outgoing {
+        let outgoing = RunnerRequest {
             path: "/v1/chat/completions".into(),
             id: self.id.clone(),
             body: self.upstream_body(state.usage.tokens),
@@ -234,7 +234,7 @@
             Failure::NotSent => Kind::NoRunner,
             Failure::MaybeSent => Kind::UpstreamBroken,
         })?;
-        if leaves(&answer) {
+        if has_leaving_notice(&answer) {
             self.handle.notify(Event::RunnerLeaving(start.name.clone()));
         }
         if answer.status() != hyper::StatusCode::OK {
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -1,10 +1,11 @@
-//! Connections to runners, and to the platform.
+//! HTTP/1.1 client for runners and for the platform.
 //!
-//! What matters is how far a call got when it failed. A refused connection
-//! means that no byte went out; anything after that may have run. Calls that
-//! may not be repeated use a new connection or one that is nearly fresh, as a
-//! kept one that the runner has just closed cannot be told from one that it
-//! reset midway.
+//! A failed call reports whether the runner may have run it. If the connection
+//! is refused, no byte was sent; after any later failure the runner may have
+//! run the call. Calls that must run at most once use a new connection, or one
+//! that was idle only briefly: when a runner closes an idle connection while a
+//! request is being sent on it, the client cannot distinguish that from a reset
+//! in the middle of the call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,15 +27,15 @@
 use connection::{Connection, SendResult};
 use pool::Pool;
 
-/// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Longest time to establish a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No byte went out.
+    /// No byte was sent.
     NotSent,
-    /// Bytes may have gone out.
+    /// Bytes may have been sent, so the runner may have run the call.
     MaybeSent,
 }
 
@@ -47,93 +48,96 @@
     }
 }
 
-/// What goes to a runner.
+/// A call to be sent to a runner.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
-    /// Path.
+pub struct RunnerRequest {
+    /// Path of the URL.
     pub path: String,
-    /// Names the request; the answer must name it again.
+    /// Request id, which the runner must repeat in its answer.
     pub id: String,
-    /// Body.
+    /// JSON body.
     pub body: Bytes,
 }
 
-/// An answer that has begun, and the connection that it comes on.
+/// An answer whose head was received, with the connection it arrives on.
 #[derive(Debug)]
 pub struct Exchange {
-    line: Connection,
+    connection: Connection,
     address: SocketAddr,
-    /// The answer.
+    /// The answer; its body may not be complete yet.
     pub response: Response<Incoming>,
 }
 
-/// A connection whose answer was read apart from it.
+/// The connection that an answer arrives on, separate from the answer.
 #[derive(Debug)]
 pub struct ResponseConnection {
-    line: Connection,
+    connection: Connection,
     address: SocketAddr,
-    closes: bool,
-    kept: Option<Duration>,
+    will_close: bool,
+    keep_alive: Option<Duration>,
 }
 
 impl Exchange {
-    /// The answer, and the connection to give back once it was read whole.
+    /// Splits into the answer and its connection, which may return to the pool
+    /// once the answer was read to its end.
     pub fn split(self) -> (Response<Incoming>, ResponseConnection) {
         let headers = self.response.headers();
-        let kept = ResponseConnection {
-            closes: connection::has_connection_close(headers),
-            kept: connection::keep_alive_timeout(headers),
-            line: self.line,
+        let connection = ResponseConnection {
+            will_close: connection::has_connection_close(headers),
+            keep_alive: connection::keep_alive_timeout(headers),
+            connection: self.connection,
             address: self.address,
         };
-        (self.response, kept)
+        (self.response, connection)
     }
 }
 
 impl ResponseConnection {
-    /// Gives the connection back; its answer was read to its end.
+    /// Returns the connection to the pool, unless the runner will close it.
+    ///
+    /// The answer must have been read to its end.
     pub fn release(self, pool: &Pool, now: Moment) {
-        if !self.closes {
-            pool.release(now, self.address, self.line, self.kept);
+        if !self.will_close {
+            pool.release(now, self.address, self.connection, self.keep_alive);
         }
     }
 }
 
-/// Sends a call to the runner that was chosen; `alone` on a new connection.
+/// Sends a call to the assigned runner and waits for the head of the answer.
 ///
 /// # Errors
 ///
-/// Tells whether any byte can have gone out.
+/// Whether bytes may have been sent.
 pub async fn send(
     pool: &Pool,
     now: Moment,
-    start: &Assignment,
-    outgoing: &Outgoing,
-    alone: bool,
+    assignment: &Assignment,
+    outgoing: &RunnerRequest,
+    on_new_connection: bool,
 ) -> Result<Exchange, Failure> {
-    let request = request(start, outgoing)?;
-    let address: SocketAddr = start.address.parse().map_err(|_| Failure::NotSent)?;
-    let connected = match alone {
-        true => Connection::connect(address, CONNECT).await,
-        false => pool.acquire(now, address, false, CONNECT).await,
+    let request = build_request(assignment, outgoing)?;
+    let address: SocketAddr = assignment.address.parse().map_err(|_| Failure::NotSent)?;
+    let connected = match on_new_connection {
+        true => Connection::connect(address, CONNECT_TIMEOUT).await,
+        false => pool.acquire(now, address, false, CONNECT_TIMEOUT).await,
     };
-    let line = connected.map_err(|_| Failure::NotSent)?;
-    exchange(line, address, request).await
+    let connection = connected.map_err(|_| Failure::NotSent)?;
+    exchange(connection, address, request).await
 }
 
-/// Sends a request on a connection that was taken for it.
+/// Sends a request on the given connection and waits for the head of the answer.
 ///
 /// # Errors
 ///
-/// Tells whether any byte can have gone out.
+/// Whether bytes may have been sent.
 pub async fn exchange(
-    mut line: Connection,
+    mut connection: Connection,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<Exchange, Failure> {
-    match line.send(request).await {
+    match connection.send(request).await {
         SendResult::Response(response) => Ok(Exchange {
-            line,
+            connection,
             address,
             response,
         }),
@@ -142,19 +146,19 @@
     }
 }
 
-fn request(start: &Assignment, outgoing: &Outgoing) -> Result<Request<Full<Bytes>>, Failure> {
+fn build_request(assignment: &Assignment, outgoing: &RunnerRequest) -> Result<Request<Full<Bytes>>, Failure> {
     let id = HeaderValue::from_str(&outgoing.id).map_err(|_| Failure::NotSent)?;
-    let host = HeaderValue::from_str(&start.address).map_err(|_| Failure::NotSent)?;
+    let host = HeaderValue::from_str(&assignment.address).map_err(|_| Failure::NotSent)?;
     Request::post(&outgoing.path)
         .header(HOST, host)
         .header(CONTENT_TYPE, HeaderValue::from_static("application/json"))
         .header(http::REQUEST_ID, id)
-        .header(http::PRIORITY, HeaderValue::from(u16::from(start.priority)))
+        .header(http::PRIORITY, HeaderValue::from(u16::from(assignment.priority)))
         .body(Full::new(outgoing.body.clone()))
         .map_err(|_| Failure::NotSent)
 }
 
-/// Whether an answer carries the notice of leaving.
-pub fn leaves(answer: &Response<Incoming>) -> bool {
+/// Whether an answer has the header by which a runner announces that it leaves.
+pub fn has_leaving_notice(answer: &Response<Incoming>) -> bool {
     answer.headers().contains_key(http::LEAVING)
 }
--- a/crates/entry/src/upstream/attempts.rs
+++ b/crates/entry/src/upstream/attempts.rs
@@ -1,57 +1,57 @@
-//! A request's way over runners, one after the other, until one of them answers.
+//! The retry loop: tries one runner after the other until one of them answers.
 //!
-//! Both fronts send through [`run`]. What differs between them (how a runner is found,
-//! what is sent, what counts as an answer) is an [`Attempts`]; whether one more runner may
-//! follow is decided in [`radishstair_core::retry`].
+//! Both fronts send their requests through [`run`]. What differs between them (how a runner
+//! is selected, what is sent, what counts as an answer) is an implementation of [`Attempts`].
+//! Whether another attempt is allowed is decided in [`radishstair_core::retry`].
 
 use radishstair_core::retry::Fault;
 
-/// Why an attempt brought no answer.
+/// Why an attempt produced no answer.
 #[derive(Clone, Debug)]
 pub enum AttemptError<E> {
-    /// It failed at this runner; another one may follow.
+    /// The attempt failed at this runner; another runner may be tried.
     Failed(Fault),
-    /// The request is over.
+    /// The request failed; no other runner is tried.
     Final(E),
 }
 
-/// One request on its way.
+/// A request that may be attempted at several runners.
 pub trait Attempts {
-    /// A place at a runner; dropping it gives it back.
+    /// A slot at a runner, released on drop.
     type Permit: Send;
-    /// What the caller gets.
+    /// The answer for the caller.
     type Answer: Send;
-    /// What the caller gets instead.
+    /// The error for the caller if there is no answer.
     type Error: Send;
 
-    /// A place at a runner that was not tried yet.
+    /// Acquires a slot at a runner that was not tried yet.
     fn acquire(&mut self) -> impl Future<Output = Result<Self::Permit, Self::Error>> + Send;
 
-    /// One attempt there.
+    /// Sends the request to that runner once.
     fn attempt(
         &mut self,
         permit: Self::Permit,
     ) -> impl Future<Output = Result<Self::Answer, AttemptError<Self::Error>>> + Send;
 
-    /// Takes note of a failed attempt; how the request ends, if no other may follow.
+    /// Records a failed attempt; returns the final error if no other attempt is allowed.
     fn record_failure(&mut self, fault: Fault) -> Option<Self::Error>;
 }
 
-/// Tries runners until one answers or no other may follow.
+/// Tries runners until one answers or no other attempt is allowed.
 ///
 /// # Errors
 ///
-/// What the caller gets instead of an answer.
+/// The error for the caller.
 pub async fn run<A: Attempts>(attempts: &mut A) -> Result<A::Answer, A::Error> {
     loop {
         let permit = attempts.acquire().await?;
         let fault = match attempts.attempt(permit).await {
             Ok(answer) => return Ok(answer),
-            Err(AttemptError::Final(end)) => return Err(end),
+            Err(AttemptError::Final(err)) => return Err(err),
             Err(AttemptError::Failed(fault)) => fault,
         };
-        if let Some(end) = attempts.record_failure(fault) {
-            return Err(end);
+        if let Some(err) = attempts.record_failure(fault) {
+            return Err(err);
         }
     }
 }
