--- a/crates/entry/src/upstream/connection.rs
+++ b/crates/entry/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a runner or to the platform.
+//! An HTTP/1.1 client connection to a runner or to the platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,38 +17,41 @@
 use tokio::time::error::Elapsed;
 use tokio::time::timeout;
 
-/// Time after which the kernel ends a connection on which nothing is acknowledged, as a
-/// host without power sends no reset. It is the last resort: what the kernel ends is not
-/// always reset, and a request whose bytes wait on a cut path would run when the path is
-/// back. So it is longer than whatever this host waits for by itself before it closes (and
-/// resets) a connection: looks at the path of a runner, limits of calls to the platform.
-const SILENCE: Duration = Duration::from_secs(8);
-/// Probes on a connection that waits: first after, then every, this many lost. Together
-/// as long as [`SILENCE`].
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-const PROBES: u32 = 7;
+/// Time without an acknowledgement after which the operating system ends a connection
+/// (`TCP_USER_TIMEOUT`); a host that lost power sends no reset.
+///
+/// Only a last resort: a connection ended this way is not always reset, so a request that
+/// was buffered during a network partition could still run once the partition heals.
+/// Therefore it exceeds every time after which this process itself closes, and thereby
+/// resets, a connection: the check of the path to a runner and the timeouts of calls to
+/// the platform.
+const ACK_TIMEOUT: Duration = Duration::from_secs(8);
+/// TCP keep-alive on a connection that waits for an answer: idle time before the first
+/// probe, time between probes, and lost probes that end it; in total [`ACK_TIMEOUT`].
+const KEEP_ALIVE_IDLE: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_PROBES: u32 = 7;
 
-/// A connection; dropping it closes it at once, which cancels what runs there.
+/// A connection. Dropping it resets it, which cancels the request in progress.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
 }
 
-/// What came of a send.
+/// Result of sending a request.
 #[derive(Debug)]
 pub enum SendResult {
-    /// An answer.
+    /// Head of the answer; its body can be read.
     Response(Response<Incoming>),
-    /// No byte of the request has left.
+    /// No byte of the request was sent.
     NotSent,
-    /// It may have arrived.
+    /// The request may have arrived.
     MaybeSent,
 }
 
 impl Connection {
-    /// Connects.
+    /// Connects to an address.
     ///
     /// # Errors
     ///
@@ -58,10 +61,10 @@
         let stream = connecting
             .with_context(|| format!("no answer from {address}"))?
             .with_context(|| format!("connecting to {address}"))?;
-        tune(&stream).with_context(|| format!("setting up the connection to {address}"))?;
+        set_socket_options(&stream).with_context(|| format!("setting up the connection to {address}"))?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let task = tokio::spawn(async move {
-            // How it ends shows in the answer that is waited for.
+            // An error also reaches whoever waits for the answer.
             let _ = connection.await;
         });
         Ok(Self {
@@ -70,12 +73,12 @@
         })
     }
 
-    /// Whether it can take a request.
+    /// Whether the connection is open and ready for a request.
     pub async fn is_usable(&mut self) -> bool {
         !self.sender.is_closed() && self.sender.ready().await.is_ok()
     }
 
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request and waits for the head of the answer.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> SendResult {
         match self.sender.try_send_request(request).await {
             Ok(response) => SendResult::Response(response),
@@ -93,28 +96,29 @@
     }
 }
 
-/// Whether a connection failed because nobody answered at all.
+/// Whether an error of [`Connection::connect`] is a timeout rather than a refusal.
 pub fn is_connect_timeout(err: &anyhow::Error) -> bool {
     err.is::<Elapsed>()
 }
 
-fn tune(stream: &TcpStream) -> std::io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    // Closing resets. Otherwise bytes that wait in this host's buffer, as on a path that is
-    // cut, still arrive after the request was given up, and run seconds later: beside a
-    // repeat elsewhere, or at a runner that has begun to leave. A reset drops them. Nothing
-    // is lost by it, as a connection is closed only idle or to give up what it carries.
+    // With a linger time of zero, closing resets the connection and discards unsent bytes.
+    // Otherwise bytes that are still in the send buffer, as during a network partition,
+    // would arrive after the request was abandoned and run seconds later: in addition to a
+    // retry elsewhere, or at a runner that has begun to leave. Nothing else is lost, as a
+    // connection is closed only when it is idle or when its request is abandoned.
     socket.set_linger(Some(Duration::ZERO))?;
-    socket.set_tcp_user_timeout(Some(SILENCE))?;
+    socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
+        .with_time(KEEP_ALIVE_IDLE)
+        .with_interval(KEEP_ALIVE_INTERVAL)
+        .with_retries(KEEP_ALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)
 }
 
-/// Whether the other side will close the connection after this answer.
+/// Whether the server will close the connection after this answer.
 pub fn has_connection_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION).iter();
     values
@@ -123,7 +127,7 @@
         .any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
 
-/// How long the other side keeps an idle connection, if it says so.
+/// Idle time after which the server closes the connection, if a `keep-alive` header gives it.
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = value
--- a/crates/entry/src/upstream/pool.rs
+++ b/crates/entry/src/upstream/pool.rs
@@ -1,9 +1,9 @@
 //! Idle connections to runners.
 //!
-//! The runner closes a connection that was idle for its time-out, and a request
-//! that crosses that close may or may not have run. So a connection is used
-//! again only well inside that time, and for requests that run at most once
-//! only while it is nearly fresh; the most recently used goes first.
+//! A runner closes a connection after its keep-alive time without a request. If
+//! a request is sent at that moment, it may or may not have run. Therefore a
+//! connection is reused only well within that time, and for at-most-once
+//! requests only if it was idle briefly. The most recently used one goes first.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -15,96 +15,103 @@
 
 use super::connection::Connection;
 
-/// Longest time to establish a connection: 1 to 3 ms are usual, a lost packet
-/// takes a second, and another runner answers sooner than that.
+/// Longest time to establish a connection. Usual are 1 to 3 ms; retransmitting
+/// a lost packet takes a second, and trying another runner is faster than that.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Idle time of the runner where it does not say it.
-const KEPT: Duration = Duration::from_secs(3);
-/// Most idle connections to one runner.
-const MOST: usize = 24;
+/// Keep-alive time of a runner whose answers do not give it.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(3);
+/// Idle connections kept to one runner.
+const MAX_IDLE_PER_RUNNER: usize = 24;
 
+/// A connection with the time since which it is idle.
 #[derive(Debug)]
-struct Waiting {
-    line: Connection,
+struct IdleConnection {
+    connection: Connection,
     idle: Idle,
 }
 
 /// Idle connections by address.
 #[derive(Debug, Default)]
 pub struct Pool {
-    idle: Mutex<Vec<(SocketAddr, Vec<Waiting>)>>,
+    idle: Mutex<Vec<(SocketAddr, Vec<IdleConnection>)>>,
 }
 
 impl Pool {
-    /// A connection to a runner: one that waits, or a new one.
+    /// Takes an idle connection to a runner, or opens a new one.
     ///
     /// # Errors
     ///
-    /// When the runner cannot be reached; then no byte of a request has left.
+    /// When the runner cannot be reached; no byte of a request was sent then.
     pub async fn acquire(
         &self,
         now: Moment,
         address: SocketAddr,
-        once: bool,
+        at_most_once: bool,
         limit: Duration,
     ) -> Result<Connection> {
-        while let Some(mut line) = self.pop(now, address, once) {
-            if line.is_usable().await {
-                return Ok(line);
+        while let Some(mut connection) = self.pop(now, address, at_most_once) {
+            if connection.is_usable().await {
+                return Ok(connection);
             }
         }
         Connection::connect(address, limit.min(CONNECT_TIMEOUT)).await
     }
 
-    /// Gives back a connection whose answer was read to its end.
-    pub fn release(&self, now: Moment, address: SocketAddr, line: Connection, kept: Option<Duration>) {
-        let mut all = self.lock();
-        let at = match all.binary_search_by_key(&address, |(have, _)| *have) {
+    /// Returns a connection whose answer was read to its end.
+    pub fn release(
+        &self,
+        now: Moment,
+        address: SocketAddr,
+        connection: Connection,
+        keep_alive: Option<Duration>,
+    ) {
+        let mut runners = self.lock();
+        let at = match runners.binary_search_by_key(&address, |(key, _)| *key) {
             Ok(at) => at,
             Err(at) => {
-                all.insert(at, (address, Vec::new()));
+                runners.insert(at, (address, Vec::new()));
                 at
             }
         };
-        let lines = &mut all[at].1;
-        lines.retain(|waiting| waiting.idle.is_usable(now, false));
+        let connections = &mut runners[at].1;
+        connections.retain(|candidate| candidate.idle.is_usable(now, false));
         let idle = Idle {
             since: now,
-            keep_alive: kept.unwrap_or(KEPT),
+            keep_alive: keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE),
         };
-        if lines.len() < MOST && idle.is_usable(now, false) {
-            lines.push(Waiting { line, idle });
+        if connections.len() < MAX_IDLE_PER_RUNNER && idle.is_usable(now, false) {
+            connections.push(IdleConnection { connection, idle });
         }
     }
 
-    /// The connection to a runner that would be used next.
+    /// State of the connection to a runner that would be used next.
     pub fn peek(&self, address: SocketAddr) -> Option<Idle> {
-        let all = self.lock();
-        let at = all.binary_search_by_key(&address, |(have, _)| *have).ok()?;
-        all[at].1.last().map(|waiting| waiting.idle)
+        let runners = self.lock();
+        let at = runners.binary_search_by_key(&address, |(key, _)| *key).ok()?;
+        runners[at].1.last().map(|candidate| candidate.idle)
     }
 
-    /// Closes the idle connections to a runner that is no longer the same.
+    /// Closes the idle connections to an address, for example of a replaced runner.
     pub fn remove(&self, address: SocketAddr) {
-        self.lock().retain(|(have, _)| *have != address);
+        self.lock().retain(|(key, _)| *key != address);
     }
 
-    fn pop(&self, now: Moment, address: SocketAddr, once: bool) -> Option<Connection> {
-        let mut all = self.lock();
-        let at = all.binary_search_by_key(&address, |(have, _)| *have).ok()?;
-        let lines = &mut all[at].1;
-        let last = lines.last()?.idle;
-        if last.is_usable(now, once) {
-            return lines.pop().map(|waiting| waiting.line);
+    fn pop(&self, now: Moment, address: SocketAddr, at_most_once: bool) -> Option<Connection> {
+        let mut runners = self.lock();
+        let at = runners.binary_search_by_key(&address, |(key, _)| *key).ok()?;
+        let connections = &mut runners[at].1;
+        let last = connections.last()?.idle;
+        if last.is_usable(now, at_most_once) {
+            return connections.pop().map(|candidate| candidate.connection);
         }
         if !last.is_usable(now, false) {
-            // The others have waited longer.
-            lines.clear();
+            // The others were idle for longer.
+            connections.clear();
         }
         None
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<(SocketAddr, Vec<Waiting>)>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<(SocketAddr, Vec<IdleConnection>)>> {
         self.idle.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
