--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -52,7 +52,7 @@
     /// Shared state.
     pub handle: Arc<Handle>,
     /// Plain calls.
-    pub calls: Arc<call::Caller>,
+    pub calls: Arc<call::Service>,
     /// Chat completions.
     pub chats: chat::Chat,
 }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -1,4 +1,4 @@
-//! Plain calls: those that may be repeated, and those that may not.
+//! Plain calls: repeatable ones, and those that run at most once.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -35,31 +35,31 @@
 mod guard;
 mod plain;
 
-use answer::{from_owner, kept, replay, response, to_peer};
-use guard::{Running, Waiting};
-use plain::Plain;
+use answer::{from_owner, replay, response, to_peer, to_record};
+use guard::{QueuedCall, RunningCall};
+use plain::CallAttempts;
 
-/// Longest wait for a runner's answer.
-const ANSWER: Duration = Duration::from_secs(30);
-/// Longest wait for the owner of a call that was passed on.
-const FORWARD: Duration = Duration::from_secs(40);
-/// Longest wait for another copy of the same call.
-const COPY: Duration = Duration::from_secs(35);
-/// Carries a fresh ticket with a refusal that closed the former key.
+/// Longest wait for the complete answer of a runner.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+/// Longest wait for the owner to answer a forwarded call.
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(40);
+/// Longest wait for another request with the same idempotency key.
+const DUPLICATE_TIMEOUT: Duration = Duration::from_secs(35);
+/// Header with a new ticket, sent with a refusal that closed the former key.
 const NEXT_KEY: &str = "next-idempotency-key";
 
-/// Serves plain calls, its own callers' and its peers'.
+/// Serves the plain calls of callers, and those that peers forward to this host.
 #[derive(Debug)]
-pub struct Caller {
+pub struct Service {
     /// Shared state.
     pub handle: Arc<Handle>,
-    /// Connections for calls that may be repeated.
+    /// Idle connections, for calls that may be repeated.
     pub pool: Arc<Pool>,
-    /// Connections to the owners of calls.
+    /// Connections to peers that own idempotency keys.
     pub dialer: Dialer,
 }
 
-/// One call, admitted.
+/// An admitted call.
 #[derive(Clone, Debug)]
 struct Job {
     route: Route,
@@ -68,17 +68,17 @@
     key: String,
     body: Bytes,
     version: u64,
-    promised: bool,
+    reserved: bool,
 }
 
-/// A runner's whole answer.
-struct Answered {
+/// The complete answer of a runner.
+struct RunnerResponse {
     runner: String,
     status: u16,
     body: Bytes,
 }
 
-impl Caller {
+impl Service {
     /// Serves one call.
     ///
     /// # Errors
@@ -86,24 +86,32 @@
     /// When it is refused.
     pub async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Result<Response<Body>, Refusal> {
         let view = self.handle.view.load_full();
-        let once = once_key(&request)?;
-        let keyed = once.is_some();
+        let header_key = idempotency_key_of(&request)?;
+        let has_key = header_key.is_some();
         let admitted = self.admit(&view, request).await;
-        // An earlier copy of the call may run elsewhere, so a refusal here
-        // says nothing about the key; only its owner can close it.
-        let job = admitted.map_err(|refusal| if keyed { unsettled(refusal) } else { refusal })?;
-        let began = Instant::now();
+        // An earlier request with the same key may have run at another host.
+        // So a refusal here leaves the outcome open; only the owner of the key
+        // can decide it.
+        let job = admitted.map_err(|refusal| {
+            if has_key {
+                with_outcome_unknown(refusal)
+            } else {
+                refusal
+            }
+        })?;
+        let started = Instant::now();
         let class = job.route.class.clone();
-        let answer = match (&job.route.mode, once) {
+        let answer = match (&job.route.mode, header_key) {
             (Mode::Once, None) => Err(Kind::MissingIdempotencyKey.into()),
-            (Mode::Once, Some(once)) => {
-                // Not bound to the caller's connection: the record says from
-                // its first copy on that the call runs, so a task that ended
-                // with its caller would leave it running for ever.
+            (Mode::Once, Some(header_key)) => {
+                // Runs in a task of its own. From the first request on, the
+                // record of the key says that the call is running; if the
+                // caller's disconnect cancelled it, the record would stay in
+                // that state forever.
                 let flight = self.handle.track_request();
-                let caller = self.clone();
+                let service = self.clone();
                 let task = tokio::spawn(async move {
-                    let answer = caller.once(job, once).await;
+                    let answer = service.run_at_most_once(job, header_key).await;
                     drop(flight);
                     answer
                 });
@@ -121,12 +129,12 @@
         metrics
             .first_answer
             .get_or_create(&Class { class: class.clone() })
-            .observe(began.elapsed().as_secs_f64());
+            .observe(started.elapsed().as_secs_f64());
         tracing::info!(
             event = "request",
             class,
             outcome,
-            ms = began.elapsed().as_millis() as u64
+            ms = started.elapsed().as_millis() as u64
         );
         answer
     }
@@ -143,7 +151,7 @@
             .map_err(|err| Refusal::new(Kind::BadRequest).detail(err.to_string()))?;
         let customer = view.document.customers[caller.customer.index()].name.clone();
         Ok(Job {
-            promised: self.handle.has_reservation(token.as_deref(), &customer, &class),
+            reserved: self.handle.has_reservation(token.as_deref(), &customer, &class),
             customer,
             key: view.document.keys[caller.key].name.clone(),
             version: view.version,
@@ -154,21 +162,21 @@
     }
 
     async fn repeatable(&self, job: &Job) -> Result<Response<Body>, Refusal> {
-        let mut plain = Plain::new(self, job, false);
-        let answered = attempts::run(&mut plain).await?;
-        Ok(self.answered(job, answered))
+        let mut attempts = CallAttempts::new(self, job, false);
+        let answer = attempts::run(&mut attempts).await?;
+        Ok(self.record_answer(job, answer))
     }
 
-    fn answered(&self, job: &Job, answered: Answered) -> Response<Body> {
-        self.count(job);
-        response(&answered.runner, answered.status, answered.body)
+    fn record_answer(&self, job: &Job, answer: RunnerResponse) -> Response<Body> {
+        self.record_usage(job);
+        response(&answer.runner, answer.status, answer.body)
     }
 
-    async fn once(&self, job: Job, once: String) -> Result<Response<Body>, Refusal> {
+    async fn run_at_most_once(&self, job: Job, header_key: String) -> Result<Response<Body>, Refusal> {
         let customer = job.customer.clone();
-        let answer = match self.begin(&job, &once).await {
-            Verdict::Forward(owner) => self.pass_on(&job, once, owner).await,
-            verdict => self.settle(&job, verdict).await,
+        let answer = match self.begin(&job, &header_key).await {
+            Verdict::Forward(owner) => self.forward_to_owner(&job, header_key, owner).await,
+            verdict => self.resolve(&job, verdict).await,
         };
         match answer {
             Err(refusal) if refusal.ran == Ran::NotRun && refusal.repeat == Repeat::NewKey => {
@@ -178,7 +186,7 @@
         }
     }
 
-    /// A refusal that closed the key, with a ticket to go on with.
+    /// The response for a refusal that closed the key, with a new ticket.
     async fn with_next_key(&self, refusal: &Refusal, customer: String) -> Response<Body> {
         let mut answer = refused(refusal);
         let next = issue(&self.handle, customer, 1)
@@ -191,23 +199,22 @@
         answer
     }
 
-    /// Asks this process's records what to do with a copy.
-    async fn begin(&self, job: &Job, once: &str) -> Verdict {
+    /// Asks this host's records how to handle a request with an idempotency key.
+    async fn begin(&self, job: &Job, header_key: &str) -> Verdict {
         let call = self.handle.next_call_id();
         let event = Event::BeginCall {
             call,
             customer: job.customer.clone(),
-            idempotency_key: once.to_string(),
+            idempotency_key: header_key.to_string(),
             body_hash: digest(&[job.path.as_bytes(), b"\n", &job.body].concat()),
         };
         let mut reply = self.handle.request(call, event);
-        let reply = match tokio::time::timeout(COPY, &mut reply).await {
+        let reply = match tokio::time::timeout(DUPLICATE_TIMEOUT, &mut reply).await {
             Ok(reply) => reply.ok(),
             Err(_) => {
-                // A verdict that comes in this moment must be acted on, or
-                // the call would count as running for ever; one that comes
-                // later finds the line closed and the control thread takes it
-                // back.
+                // A verdict that arrived just now must be acted on, or the call
+                // would be recorded as running forever. A later one fails to
+                // send on the closed channel, and the control thread reverts it.
                 reply.close();
                 match reply.try_recv() {
                     Ok(reply) => Some(reply),
@@ -217,11 +224,11 @@
         };
         match reply {
             Some(Reply::Verdict(verdict)) => verdict,
-            _ => Verdict::Refuse(unsettled(Kind::Stopping.into())),
+            _ => Verdict::Refuse(with_outcome_unknown(Kind::Stopping.into())),
         }
     }
 
-    async fn settle(&self, job: &Job, verdict: Verdict) -> Result<Response<Body>, Refusal> {
+    async fn resolve(&self, job: &Job, verdict: Verdict) -> Result<Response<Body>, Refusal> {
         match verdict {
             Verdict::Run(key) => self.run_once(job, key).await,
             Verdict::Replay(answer) => replay(answer),
@@ -230,60 +237,65 @@
         }
     }
 
-    /// Runs a call whose record says that it is this task's alone to run.
+    /// Runs a call for which this task has the exclusive right to run it.
     async fn run_once(&self, job: &Job, key: Key) -> Result<Response<Body>, Refusal> {
-        let mut plain = Plain::new(self, job, true);
-        match attempts::run(&mut plain).await {
-            Ok(answered) => {
-                self.end(key, Completion::Ran(kept(&answered)));
-                Ok(self.answered(job, answered))
+        let mut attempts = CallAttempts::new(self, job, true);
+        match attempts::run(&mut attempts).await {
+            Ok(answer) => {
+                self.finish(key, Completion::Ran(to_record(&answer)));
+                Ok(self.record_answer(job, answer))
             }
-            Err(refusal) if plain.tries.may_have_run() => {
-                self.end(key, Completion::Unknown);
+            Err(refusal) if attempts.history.may_have_run() => {
+                self.finish(key, Completion::Unknown);
                 Err(refusal)
             }
-            // Not a byte went out.
-            Err(refusal) => Err(self.void(key, refusal)),
+            // No byte was sent.
+            Err(refusal) => Err(self.finish_not_run(key, refusal)),
         }
     }
 
-    fn void(&self, key: Key, refusal: Refusal) -> Refusal {
-        self.end(key, Completion::NotRun);
+    fn finish_not_run(&self, key: Key, refusal: Refusal) -> Refusal {
+        self.finish(key, Completion::NotRun);
         refusal
     }
 
-    fn end(&self, key: Key, end: Completion) {
+    fn finish(&self, key: Key, end: Completion) {
         self.handle.notify(Event::EndCall { key, end });
     }
 
-    /// Passes a call on to the one process that may run it.
-    async fn pass_on(&self, job: &Job, once: String, owner: Incarnation) -> Result<Response<Body>, Refusal> {
+    /// Forwards a call to the owner of its key, the only host that may run it.
+    async fn forward_to_owner(
+        &self,
+        job: &Job,
+        header_key: String,
+        owner: Incarnation,
+    ) -> Result<Response<Body>, Refusal> {
         self.handle.metrics.forwarded_calls.inc();
-        let key = owner_key(&job.customer, &once);
+        let key = record_key(&job.customer, &header_key);
         let Some(mut client) = self
             .handle
             .peer_address(owner)
             .and_then(|address| self.dialer.client(&address))
         else {
-            return Err(self.away(owner, key).await);
+            return Err(self.owner_unreachable(owner, key).await);
         };
         let forward = Forward {
             customer: job.customer.clone(),
             key: job.key.clone(),
             class: job.route.class.clone(),
-            idempotency_key: once,
+            idempotency_key: header_key,
             body: job.body.to_vec(),
             version: job.version,
         };
-        match tokio::time::timeout(FORWARD, client.forward(forward)).await {
+        match tokio::time::timeout(FORWARD_TIMEOUT, client.forward(forward)).await {
             Ok(Ok(answer)) => Ok(from_owner(answer.into_inner())),
-            Ok(Err(_)) => Err(self.away(owner, key).await),
+            Ok(Err(_)) => Err(self.owner_unreachable(owner, key).await),
             Err(_) => Err(Kind::OwnerAway.into()),
         }
     }
 
-    /// What may be said when the owner cannot be asked.
-    async fn away(&self, owner: Incarnation, key: Key) -> Refusal {
+    /// The refusal for the caller when the owner cannot be reached.
+    async fn owner_unreachable(&self, owner: Incarnation, key: Key) -> Refusal {
         let call = self.handle.next_call_id();
         match self
             .handle
@@ -298,15 +310,15 @@
         }
     }
 
-    /// A call that a peer passed on to its owner, this process.
-    pub async fn forwarded(&self, forward: Forward) -> Forwarded {
+    /// Serves a call that a peer forwarded because this process owns its key.
+    pub async fn handle_forwarded(&self, forward: Forward) -> Forwarded {
         let _flight = self.handle.track_request();
         let answer = match self.admit_forwarded(&forward) {
             Ok(job) => {
                 let verdict = self.begin(&job, &forward.idempotency_key).await;
-                self.settle(&job, verdict).await
+                self.resolve(&job, verdict).await
             }
-            Err(refusal) => Err(unsettled(refusal)),
+            Err(refusal) => Err(with_outcome_unknown(refusal)),
         };
         match answer {
             Ok(answer) => to_peer(answer).await,
@@ -314,8 +326,10 @@
         }
     }
 
-    /// The peer admitted the call by its own view. A key that this host, as
-    /// new or newer, knows as withdrawn is refused all the same.
+    /// Admits a forwarded call, which the peer admitted by its configuration.
+    ///
+    /// If this host's configuration is at least as new, a key that is
+    /// withdrawn in it is refused all the same.
     fn admit_forwarded(&self, forward: &Forward) -> Result<Job, Refusal> {
         let view = self.handle.view.load_full();
         if !self.handle.keys_trusted.load(Ordering::SeqCst) {
@@ -340,14 +354,14 @@
             key: forward.key.clone(),
             body: forward.body.clone().into(),
             version: view.version,
-            promised: false,
+            reserved: false,
             route,
         })
     }
 
-    async fn seek(&self, job: &Job, avoid: &[runner::Key]) -> Result<Assignment, Refusal> {
+    async fn acquire_runner(&self, job: &Job, avoid: &[runner::Key]) -> Result<Assignment, Refusal> {
         let call = self.handle.next_call_id();
-        let seek = Submission {
+        let submission = Submission {
             call,
             tier: job.route.tier.clone(),
             customer: job.customer.clone(),
@@ -357,9 +371,9 @@
             max_tokens: 1,
             prefix_hash: None,
             avoid: avoid.to_vec(),
-            reserved: job.promised,
+            reserved: job.reserved,
         };
-        let waiting = Waiting {
+        let queued = QueuedCall {
             handle: &self.handle,
             call,
             done: false,
@@ -368,23 +382,32 @@
             self.handle
                 .sign_reservation(refusal, &job.customer, &job.route.class)
         };
-        waiting.wait(seek).await.map_err(sign)
+        queued.wait(submission).await.map_err(sign)
     }
 
-    /// Runs a call at one runner and gives the runner's place back.
-    async fn run(&self, job: &Job, start: &Assignment, alone: bool) -> Result<Answered, (Failure, Refusal)> {
-        let running = Running {
+    /// Runs a call at one runner and releases the slot there.
+    async fn run(
+        &self,
+        job: &Job,
+        assignment: &Assignment,
+        on_new_connection: bool,
+    ) -> Result<RunnerResponse, (Failure, Refusal)> {
+        let running = RunningCall {
             handle: &self.handle,
-            call: start.call,
+            call: assignment.call,
             outcome: Outcome::Cancelled { tokens: 0 },
         };
-        let id = format!("call-{}-{}", self.handle.incarnation, start.call.0);
-        let outgoing = RunnerRequest {
+        let id = format!("call-{}-{}", self.handle.incarnation, assignment.call.0);
+        let runner_request = RunnerRequest {
             path: job.path.clone(),
             id,
             body: job.body.clone(),
         };
-        let exchange = tokio::time::timeout(ANSWER, self.exchange(start, &outgoing, alone)).await;
+        let exchange = tokio::time::timeout(
+            ANSWER_TIMEOUT,
+            self.exchange(assignment, &runner_request, on_new_connection),
+        )
+        .await;
         let result = exchange.unwrap_or_else(|_| Err((Failure::MaybeSent, Kind::UpstreamTimeout.into())));
         running.finish(match &result {
             Ok(_) => Outcome::Completed {
@@ -399,38 +422,38 @@
 
     async fn exchange(
         &self,
-        start: &Assignment,
-        outgoing: &RunnerRequest,
-        alone: bool,
-    ) -> Result<Answered, (Failure, Refusal)> {
+        assignment: &Assignment,
+        runner_request: &RunnerRequest,
+        on_new_connection: bool,
+    ) -> Result<RunnerResponse, (Failure, Refusal)> {
         let now = self.handle.clock.now();
-        let sent = upstream::send(&self.pool, now, start, outgoing, alone).await;
-        let (answer, kept) = sent.map(Exchange::split).map_err(|failure| match failure {
+        let sent = upstream::send(&self.pool, now, assignment, runner_request, on_new_connection).await;
+        let (answer, connection) = sent.map(Exchange::split).map_err(|failure| match failure {
             Failure::NotSent => (failure, Kind::NoRunner.into()),
             Failure::MaybeSent => (failure, Kind::UpstreamBroken.into()),
         })?;
         if has_leaving_notice(&answer) {
-            self.handle.notify(Event::RunnerLeaving(start.name.clone()));
+            self.handle.notify(Event::RunnerLeaving(assignment.name.clone()));
         }
-        let named = answer
+        let returned_id = answer
             .headers()
             .get(http::REQUEST_ID)
             .and_then(|id| id.to_str().ok());
-        if named != Some(outgoing.id.as_str()) {
+        if returned_id != Some(runner_request.id.as_str()) {
             return Err((Failure::MaybeSent, Kind::UpstreamCrossed.into()));
         }
         let status = answer.status().as_u16();
         let body = Limited::new(answer.into_body(), BODY_BYTES).collect().await;
         let body = body.map_err(|_| (Failure::MaybeSent, Kind::UpstreamBroken.into()))?;
-        kept.release(&self.pool, self.handle.clock.now());
-        Ok(Answered {
-            runner: start.name.clone(),
+        connection.release(&self.pool, self.handle.clock.now());
+        Ok(RunnerResponse {
+            runner: assignment.name.clone(),
             status,
             body: body.to_bytes(),
         })
     }
 
-    fn count(&self, job: &Job) {
+    fn record_usage(&self, job: &Job) {
         self.handle.notify(Event::RecordUsage(Record {
             customer: job.customer.clone(),
             class: job.route.class.clone(),
@@ -441,9 +464,9 @@
     }
 }
 
-/// Leaves open whether a keyed call ran. What is wrong with the request itself
-/// is wrong wherever it went, so that stays "not run".
-fn unsettled(refusal: Refusal) -> Refusal {
+/// Changes a refusal of a call with an idempotency key to say that the outcome
+/// is unknown. An invalid request stays "not run", as every host refuses it.
+fn with_outcome_unknown(refusal: Refusal) -> Refusal {
     match refusal.kind {
         Kind::BadRequest | Kind::TooLarge | Kind::NotFound | Kind::MissingKey => refusal,
         _ if refusal.ran != Ran::NotRun => refusal,
@@ -455,7 +478,7 @@
     }
 }
 
-fn once_key(request: &Request<Incoming>) -> Result<Option<String>, Refusal> {
+fn idempotency_key_of(request: &Request<Incoming>) -> Result<Option<String>, Refusal> {
     match request.headers().get(http::IDEMPOTENCY_KEY) {
         None => Ok(None),
         Some(value) => match value.to_str() {
@@ -465,9 +488,9 @@
     }
 }
 
-fn owner_key(customer: &str, once: &str) -> Key {
-    match Ticket::parse(once) {
+fn record_key(customer: &str, header_key: &str) -> Key {
+    match Ticket::parse(header_key) {
         Some(ticket) => Key::Ticket(ticket.number),
-        None => Key::Claim(claim::digest(customer, once)),
+        None => Key::Claim(claim::digest(customer, header_key)),
     }
 }
--- a/crates/entry/src/front/call/answer.rs
+++ b/crates/entry/src/front/call/answer.rs
@@ -1,4 +1,5 @@
-//! Answers of plain calls, as callers, peers and records hold them.
+//! Conversions of plain calls' answers: for callers, for peers and for the
+//! at-most-once records.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -9,16 +10,18 @@
 use radishstair_core::peer::Forwarded;
 use radishstair_wire::http;
 
-use super::Answered;
+use super::RunnerResponse;
 use crate::front::{Body, text};
 
-pub fn kept(answered: &Answered) -> Answer {
+/// The answer to store in the at-most-once records.
+pub fn to_record(answer: &RunnerResponse) -> Answer {
     Answer {
-        status: answered.status,
-        body: String::from_utf8(answered.body.to_vec()).ok(),
+        status: answer.status,
+        body: String::from_utf8(answer.body.to_vec()).ok(),
     }
 }
 
+/// The response for a recorded answer.
 pub fn replay(answer: Answer) -> Result<Response<Body>, Refusal> {
     match answer.body {
         Some(body) => Ok(response("recorded", answer.status, body.into())),
@@ -29,6 +32,7 @@
     }
 }
 
+/// The response for a runner's answer.
 pub fn response(runner: &str, status: u16, body: Bytes) -> Response<Body> {
     let mut answer = text(status, body);
     if let Ok(runner) = HeaderValue::from_str(runner) {
@@ -37,6 +41,7 @@
     answer
 }
 
+/// The response for the answer of the peer that owns the key.
 pub fn from_owner(forwarded: Forwarded) -> Response<Body> {
     let mut answer = text(forwarded.status as u16, forwarded.body.into());
     if forwarded.retry_after_ms > 0 {
@@ -48,6 +53,7 @@
     answer
 }
 
+/// The message to the peer that forwarded the call.
 pub async fn to_peer(answer: Response<Body>) -> Forwarded {
     let after = answer
         .headers()
--- a/crates/entry/src/front/call/plain.rs
+++ b/crates/entry/src/front/call/plain.rs
@@ -1,4 +1,4 @@
-//! A plain call's way over runners.
+//! Attempts to run a plain call at one runner after the other.
 
 use std::time::Duration;
 
@@ -7,83 +7,87 @@
 use radishstair_core::retry::{Fault, History, Rule};
 use radishstair_core::runner;
 
-use super::{Answered, Caller, Job};
+use super::{Job, RunnerResponse, Service};
 use crate::upstream::Failure;
 use crate::upstream::attempts::{AttemptError, Attempts};
 
-/// Runners tried for a call that may be repeated, or that was refused.
-const TRIES: u32 = 4;
-/// When to come back after no runner could be reached: by then the list of runners has
-/// lost those that are gone.
-const NO_RUNNER: Duration = Duration::from_secs(2);
+/// Runners tried for one call; an at-most-once call only goes to another one
+/// if the last one did not run it.
+const MAX_ATTEMPTS: u32 = 4;
+/// Retry time for the caller if no runner could be reached: by then the runner list no
+/// longer contains those that ended.
+const NO_RUNNER_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A call that goes from runner to runner until one answers it whole.
-pub(super) struct Plain<'a> {
-    caller: &'a Caller,
+/// A plain call that is tried at several runners until one gives a complete answer.
+pub(super) struct CallAttempts<'a> {
+    service: &'a Service,
     job: &'a Job,
     rule: Rule,
-    /// What it has tried.
-    pub tries: History<runner::Key>,
-    /// How the last attempt ended.
-    last: Refusal,
+    /// Attempts so far.
+    pub history: History<runner::Key>,
+    /// Refusal of the last attempt.
+    last_refusal: Refusal,
 }
 
-impl<'a> Plain<'a> {
-    /// A call that has tried nothing yet; `once` if it may run at most once.
-    pub fn new(caller: &'a Caller, job: &'a Job, once: bool) -> Self {
+impl<'a> CallAttempts<'a> {
+    /// Starts without any attempt; `once` if the call must run at most once.
+    pub fn new(service: &'a Service, job: &'a Job, once: bool) -> Self {
         let rule = Rule {
             at_most_once: once,
-            max_attempts: TRIES,
-            max_unreachable: TRIES,
+            max_attempts: MAX_ATTEMPTS,
+            max_unreachable: MAX_ATTEMPTS,
         };
         Self {
-            caller,
+            service,
             job,
             rule,
-            tries: History::default(),
-            last: Kind::NoRunner.into(),
+            history: History::default(),
+            last_refusal: Kind::NoRunner.into(),
         }
     }
 }
 
-impl Attempts for Plain<'_> {
+impl Attempts for CallAttempts<'_> {
     type Permit = Assignment;
-    type Answer = Answered;
+    type Answer = RunnerResponse;
     type Error = Refusal;
 
     async fn acquire(&mut self) -> Result<Assignment, Refusal> {
-        let start = self.caller.seek(self.job, self.tries.tried()).await;
-        let start = start.map_err(|refusal| self.tries.adjust_refusal(refusal))?;
-        self.tries.record_choice(start.runner);
-        Ok(start)
+        let assignment = self.service.acquire_runner(self.job, self.history.tried()).await;
+        let assignment = assignment.map_err(|refusal| self.history.adjust_refusal(refusal))?;
+        self.history.record_choice(assignment.runner);
+        Ok(assignment)
     }
 
-    async fn attempt(&mut self, start: Assignment) -> Result<Answered, AttemptError<Refusal>> {
-        self.tries.record_send();
-        let answered = self.caller.run(self.job, &start, self.rule.at_most_once).await;
-        answered.map_err(|(failure, refusal)| {
-            self.last = refusal;
+    async fn attempt(&mut self, assignment: Assignment) -> Result<RunnerResponse, AttemptError<Refusal>> {
+        self.history.record_send();
+        let result = self
+            .service
+            .run(self.job, &assignment, self.rule.at_most_once)
+            .await;
+        result.map_err(|(failure, refusal)| {
+            self.last_refusal = refusal;
             if failure == Failure::NotSent {
-                self.tries.revert_send();
-                self.last.retry_after = Some(NO_RUNNER);
+                self.history.revert_send();
+                self.last_refusal.retry_after = Some(NO_RUNNER_RETRY_AFTER);
             }
             AttemptError::Failed(failure.into())
         })
     }
 
     fn record_failure(&mut self, fault: Fault) -> Option<Refusal> {
-        let bar = self.tries.record_failure(&self.rule, fault, false, || true)?;
+        let denial = self.history.record_failure(&self.rule, fault, false, || true)?;
         tracing::info!(
             event = "not-repeated",
             class = self.job.route.class,
-            reason = bar.name()
+            reason = denial.name()
         );
         Some(match self.rule.at_most_once {
-            true => self.last.clone(),
-            // Idempotent: whatever reached a runner may be repeated.
+            true => self.last_refusal.clone(),
+            // Repeatable calls are idempotent, so the caller may retry in any case.
             false => Refusal {
                 repeat: Repeat::NewKey,
-                ..self.last.clone()
+                ..self.last_refusal.clone()
             },
         })
     }
--- a/crates/entry/src/peers/serve.rs
+++ b/crates/entry/src/peers/serve.rs
@@ -23,7 +23,7 @@
 pub struct Service {
     handle: Arc<Handle>,
     traffic: tokio::runtime::Handle,
-    caller: Arc<call::Caller>,
+    calls: Arc<call::Service>,
 }
 
 impl Service {
@@ -59,10 +59,12 @@
 
     async fn forward(&self, request: Request<Forward>) -> Result<Response<Forwarded>, Status> {
         let forward = request.into_inner();
-        let caller = self.caller.clone();
+        let calls = self.calls.clone();
         // On the traffic threads, and not bound to this connection: once the
         // call has begun it must come to its end whoever waits.
-        let task = self.traffic.spawn(async move { caller.forwarded(forward).await });
+        let task = self
+            .traffic
+            .spawn(async move { calls.handle_forwarded(forward).await });
         match task.await {
             Ok(answer) => Ok(Response::new(answer)),
             Err(_) => Err(Status::internal("the call ended abnormally")),
@@ -80,12 +82,12 @@
     listen: SocketAddr,
     token: String,
     traffic: tokio::runtime::Handle,
-    caller: Arc<call::Caller>,
+    calls: Arc<call::Service>,
 ) -> Result<()> {
     let service = PeerServer::new(Service {
         handle,
         traffic,
-        caller,
+        calls,
     })
     .max_decoding_message_size(MAX_MESSAGE_BYTES)
     .max_encoding_message_size(MAX_MESSAGE_BYTES);
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -47,7 +47,7 @@
     let exit = start_control(settings, &handle, inputs, messages)?;
     let traffic = runtime(settings.threads, "traffic")?;
     let pool = Arc::new(Pool::default());
-    let calls = Arc::new(call::Caller {
+    let calls = Arc::new(call::Service {
         handle: handle.clone(),
         pool: pool.clone(),
         dialer: Dialer::new(token.clone()),
@@ -151,7 +151,7 @@
     token: Token,
     outbox: mpsc::UnboundedReceiver<Message>,
     traffic: &Runtime,
-    calls: Arc<call::Caller>,
+    calls: Arc<call::Service>,
 ) -> Result<()> {
     let runtime = runtime(1, "peers")?;
     let dialer = Arc::new(Dialer::new(token));
