--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -54,7 +54,7 @@
     /// Plain calls.
     pub calls: Arc<call::Service>,
     /// Chat completions.
-    pub chats: chat::Chat,
+    pub chats: chat::Service,
 }
 
 /// Accepts connections until `stop` turns true; a connection that is open then
--- a/crates/entry/src/front/chat.rs
+++ b/crates/entry/src/front/chat.rs
@@ -1,9 +1,10 @@
-//! Chat completions, streamed and whole.
+//! Chat completions, streamed and in one piece.
 //!
-//! A stream that a runner breaks off goes on at another runner from the tokens
-//! that the caller already has. The caller's stream ends with `[DONE]` only
-//! after the runner's own end was seen; anything else ends with an error
-//! event, so that a cut answer never looks whole.
+//! If a runner fails within a stream, another runner resumes the generation
+//! after the tokens that the caller already has. The caller's stream ends with
+//! `[DONE]` only if the runner sent a finish reason and `[DONE]`. Any other end
+//! is an error event, so that a truncated answer cannot be taken for a complete
+//! one.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -29,50 +30,51 @@
 
 use job::Job;
 
-/// Bytes of the prompt that decide where it is probably cached.
+/// Bytes at the start of the prompt that select a runner with a cached prefix.
 const PREFIX_BYTES: usize = 64;
-/// Tokens assumed when the caller sets no limit.
-const TOKENS: u32 = 512;
-/// Events between a runner and a slow caller.
-const BUFFER: usize = 8;
+/// Longest generation, in tokens, if the caller sets no `max_tokens`.
+const DEFAULT_MAX_TOKENS: u32 = 512;
+/// Events buffered between a runner and a slow caller.
+const EVENT_BUFFER: usize = 8;
 
 /// Serves chat completions.
 #[derive(Debug)]
-pub struct Chat {
+pub struct Service {
     /// Shared state.
     pub handle: Arc<Handle>,
     /// Connections to engines.
     pub pool: Arc<Pool>,
 }
 
-/// What the caller gets.
-enum Piece {
+/// Part of the answer to a caller.
+enum ResponsePart {
     Event(Bytes),
     End(Usage),
-    Broken(Refusal),
+    Error(Refusal),
 }
 
+/// Tokens of one request.
 #[derive(Clone, Copy, Debug, Default)]
 struct Usage {
-    prompt: u64,
+    prompt_tokens: u64,
     tokens: u32,
 }
 
-impl Chat {
+impl Service {
     /// Serves one request.
     ///
     /// # Errors
     ///
-    /// When nothing was streamed yet.
+    /// The refusal for the caller, if no response was started.
     pub async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, Refusal> {
         let view = self.handle.view.load_full();
         let caller = authenticate(&self.handle, &view, &request)?;
-        let wanted = header(&request, http::CLASS);
-        let token = header(&request, http::RESERVATION_TOKEN);
+        let class_header = header(&request, http::CLASS);
+        let reservation_token = header(&request, http::RESERVATION_TOKEN);
         let body: Value = serde_json::from_slice(&read(request).await?)
             .map_err(|err| Refusal::new(Kind::BadRequest).detail(err.to_string()))?;
-        let prompt = prompt(&body)?;
-        let class = wanted
+        let prompt_text = prompt_text(&body)?;
+        let class = class_header
             .or_else(|| Some(body.get("metadata")?.get("class")?.as_str()?.to_string()))
             .or_else(|| default_class(&view))
             .ok_or(Kind::UnknownClass)?;
@@ -90,14 +92,16 @@
         let customer = view.document.customers[caller.customer.index()].name.clone();
         let job = Job {
             id: format!("chatcmpl-{}-{}", self.handle.incarnation, call.0),
-            prefix: digest(&prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)]),
-            promised: self.handle.has_reservation(token.as_deref(), &customer, &class),
-            limit: limit(&body),
+            prefix: digest(&prompt_text.as_bytes()[..prompt_text.len().min(PREFIX_BYTES)]),
+            reserved: self
+                .handle
+                .has_reservation(reservation_token.as_deref(), &customer, &class),
+            max_tokens: max_tokens(&body),
             customer,
             key: view.document.keys[caller.key].name.clone(),
             handle: self.handle.clone(),
             pool: self.pool.clone(),
-            began: Instant::now(),
+            started: Instant::now(),
             _flight: self.handle.track_request(),
             body,
             route,
@@ -106,15 +110,17 @@
     }
 
     async fn begin(&self, job: Job, stream: bool) -> Result<Response<Body>, Refusal> {
-        let (head, began) = oneshot::channel();
-        let (pieces, receiver) = mpsc::channel(BUFFER);
+        let (head, head_receiver) = oneshot::channel();
+        let (parts, receiver) = mpsc::channel(EVENT_BUFFER);
         let id = job.id.clone();
         let model = job.body.get("model").cloned().unwrap_or_default();
-        tokio::spawn(job.run(head, pieces));
-        let runner = began.await.unwrap_or_else(|_| Err(Kind::Stopping.into()))?;
+        tokio::spawn(job.run(head, parts));
+        let runner = head_receiver
+            .await
+            .unwrap_or_else(|_| Err(Kind::Stopping.into()))?;
         let mut answer = match stream {
-            true => streamed(receiver),
-            false => whole(&id, &model, receiver).await?,
+            true => stream_response(receiver),
+            false => collect_response(&id, &model, receiver).await?,
         };
         if let Ok(runner) = HeaderValue::from_str(&runner) {
             answer.headers_mut().insert(http::RUNNER, runner);
@@ -123,9 +129,10 @@
     }
 }
 
-fn streamed(receiver: mpsc::Receiver<Piece>) -> Response<Body> {
+/// A response that streams the parts as server-sent events.
+fn stream_response(receiver: mpsc::Receiver<ResponsePart>) -> Response<Body> {
     let stream = tokio_stream::wrappers::ReceiverStream::new(receiver);
-    let frames = tokio_stream::StreamExt::map(stream, |piece| Ok(Frame::data(event(&piece))));
+    let frames = tokio_stream::StreamExt::map(stream, |part| Ok(Frame::data(encode_event(&part))));
     let mut answer = Response::new(BodyExt::boxed(StreamBody::new(frames)));
     let headers = answer.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
@@ -133,23 +140,24 @@
     answer
 }
 
-fn event(piece: &Piece) -> Bytes {
-    match piece {
-        Piece::Event(data) => [b"data: ", &data[..], b"\n\n"].concat().into(),
-        Piece::End(_) => Bytes::from_static(b"data: [DONE]\n\n"),
-        Piece::Broken(refusal) => format!("data: {}\n\n", refusal.body()).into(),
+fn encode_event(part: &ResponsePart) -> Bytes {
+    match part {
+        ResponsePart::Event(data) => [b"data: ", &data[..], b"\n\n"].concat().into(),
+        ResponsePart::End(_) => Bytes::from_static(b"data: [DONE]\n\n"),
+        ResponsePart::Error(refusal) => format!("data: {}\n\n", refusal.body()).into(),
     }
 }
 
-async fn whole(
+/// A response with the whole answer, once it is complete.
+async fn collect_response(
     id: &str,
     model: &Value,
-    mut receiver: mpsc::Receiver<Piece>,
+    mut receiver: mpsc::Receiver<ResponsePart>,
 ) -> Result<Response<Body>, Refusal> {
     let mut text = String::new();
-    while let Some(piece) = receiver.recv().await {
-        match piece {
-            Piece::Event(data) => {
+    while let Some(part) = receiver.recv().await {
+        match part {
+            ResponsePart::Event(data) => {
                 let value: Value = serde_json::from_slice(&data).unwrap_or_default();
                 text.push_str(
                     value["choices"][0]["delta"]["content"]
@@ -157,7 +165,7 @@
                         .unwrap_or_default(),
                 );
             }
-            Piece::End(usage) => {
+            ResponsePart::End(usage) => {
                 return Ok(json(
                     200,
                     &serde_json::json!({
@@ -170,20 +178,20 @@
                             "finish_reason": "stop",
                         }],
                         "usage": {
-                            "prompt_tokens": usage.prompt,
+                            "prompt_tokens": usage.prompt_tokens,
                             "completion_tokens": usage.tokens,
-                            "total_tokens": usage.prompt + u64::from(usage.tokens),
+                            "total_tokens": usage.prompt_tokens + u64::from(usage.tokens),
                         },
                     }),
                 ));
             }
-            Piece::Broken(refusal) => return Err(refusal),
+            ResponsePart::Error(refusal) => return Err(refusal),
         }
     }
     Err(Kind::UpstreamBroken.into())
 }
 
-fn prompt(body: &Value) -> Result<String, Refusal> {
+fn prompt_text(body: &Value) -> Result<String, Refusal> {
     let missing =
         || Refusal::new(Kind::BadRequest).detail("messages: a list of objects with role and content");
     let messages = body
@@ -199,9 +207,11 @@
         .collect()
 }
 
-fn limit(body: &Value) -> u32 {
-    let limit = body.get("max_tokens").and_then(Value::as_u64);
-    limit.map_or(TOKENS, |limit| limit.clamp(1, u64::from(u32::MAX)) as u32)
+fn max_tokens(body: &Value) -> u32 {
+    let max_tokens = body.get("max_tokens").and_then(Value::as_u64);
+    max_tokens.map_or(DEFAULT_MAX_TOKENS, |max_tokens| {
+        max_tokens.clamp(1, u64::from(u32::MAX)) as u32
+    })
 }
 
 fn default_class(view: &View) -> Option<String> {
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -1,5 +1,5 @@
-//! One chat completion on its way: attempts at runners, and what the caller
-//! has so far.
+//! One chat completion: its attempts at runners, and the progress of the
+//! answer to the caller.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
-use super::{Piece, Usage};
+use super::{ResponsePart, Usage};
 use crate::front::sse::Splitter;
 use crate::handle::Handle;
 use crate::in_flight::InFlightGuard;
@@ -27,18 +27,18 @@
 use crate::upstream::pool::Pool;
 use crate::upstream::{self, Exchange, Failure, ResponseConnection, RunnerRequest, has_leaving_notice};
 
-/// Runners tried for one request.
-const TRIES: u32 = 3;
-/// Longest silence of a runner within a stream.
-const SILENCE: Duration = Duration::from_secs(20);
+/// Attempts at runners for one request.
+const MAX_ATTEMPTS: u32 = 3;
+/// Longest time without data from a runner within a stream.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Longest wait for the end of a body whose stream has ended.
-const TAIL: Duration = Duration::from_millis(50);
+/// Longest wait for the end of the body after the stream's last event.
+const BODY_END_TIMEOUT: Duration = Duration::from_millis(50);
 
-type Pieces = mpsc::Sender<Piece>;
-type Head = oneshot::Sender<Result<String, Refusal>>;
+type PartSender = mpsc::Sender<ResponsePart>;
+type HeadSender = oneshot::Sender<Result<String, Refusal>>;
 
-/// One request on its way.
+/// A chat completion in progress.
 pub struct Job {
     pub handle: Arc<Handle>,
     pub pool: Arc<Pool>,
@@ -48,57 +48,60 @@
     pub customer: String,
     pub key: String,
     pub prefix: u64,
-    pub promised: bool,
-    pub limit: u32,
-    pub began: Instant,
+    pub reserved: bool,
+    pub max_tokens: u32,
+    pub started: Instant,
     pub _flight: InFlightGuard,
 }
 
-/// Why an answer is not whole.
+/// Why an answer is incomplete.
 #[derive(Debug)]
-enum End {
+enum Abort {
     CallerGone,
     Refused(Refusal),
 }
 
-impl<T: Into<Refusal>> From<T> for End {
+impl<T: Into<Refusal>> From<T> for Abort {
     fn from(refusal: T) -> Self {
-        End::Refused(refusal.into())
+        Abort::Refused(refusal.into())
     }
 }
 
-/// A request that goes from runner to runner until its answer is whole; each goes on
-/// after what the caller has.
-struct Chat<'a> {
+/// A request that is tried at several runners until its answer is complete. Each
+/// attempt resumes after the tokens that the caller already has.
+struct ChatAttempts<'a> {
     job: &'a Job,
-    state: &'a mut Progress,
-    pieces: &'a Pieces,
-    tries: History<runner::Key>,
-    /// How the last attempt ended.
-    last: Refusal,
+    progress: &'a mut Progress,
+    parts: &'a PartSender,
+    history: History<runner::Key>,
+    /// Refusal of the last attempt.
+    last_refusal: Refusal,
 }
 
-impl Chat<'_> {
-    /// Generating may be repeated.
+impl ChatAttempts<'_> {
+    /// A generation may run more than once.
     const RULE: Rule = Rule {
         at_most_once: false,
-        max_attempts: TRIES,
-        max_unreachable: TRIES,
+        max_attempts: MAX_ATTEMPTS,
+        max_unreachable: MAX_ATTEMPTS,
     };
 }
 
-impl Attempts for Chat<'_> {
+impl Attempts for ChatAttempts<'_> {
     type Permit = Assignment;
     type Answer = ();
-    type Error = End;
+    type Error = Abort;
 
-    async fn acquire(&mut self) -> Result<Assignment, End> {
-        let start = self.job.seek(self.state, self.pieces, self.tries.tried()).await;
-        let start = start.map_err(|end| match end {
-            End::CallerGone => End::CallerGone,
-            End::Refused(refusal) => End::Refused(self.tries.adjust_refusal(refusal)),
+    async fn acquire(&mut self) -> Result<Assignment, Abort> {
+        let assignment = self
+            .job
+            .acquire_runner(self.progress, self.parts, self.history.tried())
+            .await;
+        let assignment = assignment.map_err(|abort| match abort {
+            Abort::CallerGone => Abort::CallerGone,
+            Abort::Refused(refusal) => Abort::Refused(self.history.adjust_refusal(refusal)),
         })?;
-        if !self.tries.tried().is_empty() && self.state.usage.tokens > 0 {
+        if !self.history.tried().is_empty() && self.progress.usage.tokens > 0 {
             let class = self.job.class();
             self.job
                 .handle
@@ -107,51 +110,51 @@
                 .get_or_create(&class)
                 .inc();
         }
-        self.tries.record_choice(start.runner);
-        Ok(start)
+        self.history.record_choice(assignment.runner);
+        Ok(assignment)
     }
 
-    async fn attempt(&mut self, start: Assignment) -> Result<(), AttemptError<End>> {
-        self.tries.record_send();
-        let refusal = match self.job.attempt(&start, self.state, self.pieces).await {
+    async fn attempt(&mut self, assignment: Assignment) -> Result<(), AttemptError<Abort>> {
+        self.history.record_send();
+        let refusal = match self.job.attempt(&assignment, self.progress, self.parts).await {
             Ok(()) => return Ok(()),
-            Err(End::Refused(refusal)) if refusal.kind != Kind::KeyWithdrawn => refusal,
-            Err(end) => return Err(AttemptError::Final(end)),
+            Err(Abort::Refused(refusal)) if refusal.kind != Kind::KeyWithdrawn => refusal,
+            Err(abort) => return Err(AttemptError::Final(abort)),
         };
         let fault = match refusal.kind {
             Kind::NoRunner => {
-                self.tries.revert_send();
+                self.history.revert_send();
                 Fault::Unreachable
             }
             _ => Fault::MayHaveRun,
         };
-        self.last = refusal;
+        self.last_refusal = refusal;
         Err(AttemptError::Failed(fault))
     }
 
-    fn record_failure(&mut self, fault: Fault) -> Option<End> {
-        let bar = self.tries.record_failure(&Self::RULE, fault, false, || true)?;
-        tracing::info!(event = "not-repeated", id = self.job.id, reason = bar.name());
-        Some(End::Refused(self.last.clone()))
+    fn record_failure(&mut self, fault: Fault) -> Option<Abort> {
+        let denial = self.history.record_failure(&Self::RULE, fault, false, || true)?;
+        tracing::info!(event = "not-repeated", id = self.job.id, reason = denial.name());
+        Some(Abort::Refused(self.last_refusal.clone()))
     }
 }
 
 impl Job {
-    /// Runs it to its end, whatever that is.
-    pub async fn run(self, head: Head, pieces: Pieces) {
-        let mut state = Progress {
+    /// Runs the request until it is answered, refused or cancelled.
+    pub async fn run(self, head: HeadSender, parts: PartSender) {
+        let mut progress = Progress {
             head: Some(head),
             usage: Usage::default(),
         };
-        let mut chat = Chat {
+        let mut attempts = ChatAttempts {
             job: &self,
-            state: &mut state,
-            pieces: &pieces,
-            tries: History::default(),
-            last: Kind::NoRunner.into(),
+            progress: &mut progress,
+            parts: &parts,
+            history: History::default(),
+            last_refusal: Kind::NoRunner.into(),
         };
-        let outcome = attempts::run(&mut chat).await;
-        self.finish(outcome, state, &pieces).await;
+        let outcome = attempts::run(&mut attempts).await;
+        self.finish(outcome, progress, &parts).await;
     }
 
     fn class(&self) -> Class {
@@ -160,58 +163,63 @@
         }
     }
 
-    /// Asks for a runner.
-    async fn seek(
+    /// Acquires a slot at a runner; cancelled when the caller disconnects.
+    async fn acquire_runner(
         &self,
-        state: &mut Progress,
-        pieces: &Pieces,
+        progress: &mut Progress,
+        parts: &PartSender,
         avoid: &[runner::Key],
-    ) -> Result<Assignment, End> {
+    ) -> Result<Assignment, Abort> {
         let call = self.handle.next_call_id();
-        let seek = Submission {
+        let submission = Submission {
             call,
             tier: self.route.tier.clone(),
             customer: self.customer.clone(),
             key: self.key.clone(),
             class: self.route.class.clone(),
             pools: self.route.pools.clone(),
-            max_tokens: self.limit.saturating_sub(state.usage.tokens).max(1),
+            max_tokens: self.max_tokens.saturating_sub(progress.usage.tokens).max(1),
             prefix_hash: Some(self.prefix),
             avoid: avoid.to_vec(),
-            reserved: self.promised,
+            reserved: self.reserved,
         };
-        let reply = self.handle.request(call, Event::Acquire(seek));
+        let reply = self.handle.request(call, Event::Acquire(submission));
         tokio::select! {
             reply = reply => match reply {
-                Ok(Reply::Start(start)) => Ok(start),
+                Ok(Reply::Start(assignment)) => Ok(assignment),
                 Ok(Reply::Refused(refusal)) => Err(refusal.into()),
                 _ => Err(Kind::Stopping.into()),
             },
-            () = state.caller_gone(pieces) => {
+            () = progress.caller_gone(parts) => {
                 self.handle.notify(Event::Cancel(call));
-                Err(End::CallerGone)
+                Err(Abort::CallerGone)
             }
         }
     }
 
-    async fn attempt(&self, start: &Assignment, state: &mut Progress, pieces: &Pieces) -> Result<(), End> {
-        let before = state.usage.tokens;
-        let began = Instant::now();
-        let attempt = self.stream(start, state, pieces).await;
-        let tokens = state.usage.tokens - before;
+    async fn attempt(
+        &self,
+        assignment: &Assignment,
+        progress: &mut Progress,
+        parts: &PartSender,
+    ) -> Result<(), Abort> {
+        let before = progress.usage.tokens;
+        let started = Instant::now();
+        let attempt = self.stream(assignment, progress, parts).await;
+        let tokens = progress.usage.tokens - before;
         let outcome = match &attempt {
             Ok(()) => Outcome::Completed {
                 tokens,
-                ms_per_token: began.elapsed().as_secs_f64() * 1_000.0 / f64::from(tokens.max(1)),
+                ms_per_token: started.elapsed().as_secs_f64() * 1_000.0 / f64::from(tokens.max(1)),
             },
-            Err(End::CallerGone) => Outcome::Cancelled { tokens },
-            Err(End::Refused(refusal)) => match refusal.kind {
+            Err(Abort::CallerGone) => Outcome::Cancelled { tokens },
+            Err(Abort::Refused(refusal)) => match refusal.kind {
                 Kind::KeyWithdrawn => Outcome::Cancelled { tokens },
                 Kind::NoRunner => Outcome::ConnectionRefused,
                 _ => Outcome::Failed { tokens },
             },
         };
-        self.release(start.call, outcome);
+        self.release(assignment.call, outcome);
         attempt
     }
 
@@ -219,54 +227,59 @@
         self.handle.notify(Event::Release { call, outcome });
     }
 
-    async fn stream(&self, start: &Assignment, state: &mut Progress, pieces: &Pieces) -> Result<(), End> {
-        let outgoing = RunnerRequest {
+    async fn stream(
+        &self,
+        assignment: &Assignment,
+        progress: &mut Progress,
+        parts: &PartSender,
+    ) -> Result<(), Abort> {
+        let runner_request = RunnerRequest {
             path: "/v1/chat/completions".into(),
             id: self.id.clone(),
-            body: self.upstream_body(state.usage.tokens),
+            body: self.request_body(progress.usage.tokens),
         };
         let now = self.handle.clock.now();
         let sent = tokio::select! {
-            sent = upstream::send(&self.pool, now, start, &outgoing, false) => sent,
-            () = state.caller_gone(pieces) => return Err(End::CallerGone),
+            sent = upstream::send(&self.pool, now, assignment, &runner_request, false) => sent,
+            () = progress.caller_gone(parts) => return Err(Abort::CallerGone),
         };
-        let (answer, kept) = sent.map(Exchange::split).map_err(|failure| match failure {
+        let (answer, connection) = sent.map(Exchange::split).map_err(|failure| match failure {
             Failure::NotSent => Kind::NoRunner,
             Failure::MaybeSent => Kind::UpstreamBroken,
         })?;
         if has_leaving_notice(&answer) {
-            self.handle.notify(Event::RunnerLeaving(start.name.clone()));
+            self.handle.notify(Event::RunnerLeaving(assignment.name.clone()));
         }
         if answer.status() != hyper::StatusCode::OK {
             let detail = format!("the runner answered {}", answer.status());
             return Err(Refusal::new(Kind::UpstreamBroken).detail(detail).into());
         }
         let mut body = answer.into_body();
-        self.relay(start, &mut body, state, pieces).await?;
-        self.keep(body, kept).await;
+        self.relay(assignment, &mut body, progress, parts).await?;
+        self.return_connection(body, connection).await;
         Ok(())
     }
 
-    /// Gives the connection back if nothing follows the stream's end.
-    async fn keep(&self, mut body: Incoming, kept: ResponseConnection) {
-        if let Ok(None) = tokio::time::timeout(TAIL, body.frame()).await {
-            kept.release(&self.pool, self.handle.clock.now());
+    /// Returns the connection to the pool if the body ends after the last event.
+    async fn return_connection(&self, mut body: Incoming, connection: ResponseConnection) {
+        if let Ok(None) = tokio::time::timeout(BODY_END_TIMEOUT, body.frame()).await {
+            connection.release(&self.pool, self.handle.clock.now());
         }
     }
 
     async fn relay(
         &self,
-        start: &Assignment,
+        assignment: &Assignment,
         body: &mut Incoming,
-        state: &mut Progress,
-        pieces: &Pieces,
-    ) -> Result<(), End> {
+        progress: &mut Progress,
+        parts: &PartSender,
+    ) -> Result<(), Abort> {
         let mut splitter = Splitter::default();
         let mut finished = false;
         loop {
             let frame = tokio::select! {
-                frame = tokio::time::timeout(SILENCE, body.frame()) => frame,
-                () = state.caller_gone(pieces) => return Err(End::CallerGone),
+                frame = tokio::time::timeout(IDLE_TIMEOUT, body.frame()) => frame,
+                () = progress.caller_gone(parts) => return Err(Abort::CallerGone),
             };
             let bytes = match frame {
                 Err(_) => return Err(Kind::UpstreamTimeout.into()),
@@ -283,24 +296,24 @@
                         false => Err(Kind::UpstreamBroken.into()),
                     };
                 }
-                let Some(chunk) = self.chunk(&event) else {
+                let Some(chunk) = self.parse_chunk(&event) else {
                     return Err(Kind::UpstreamCrossed.into());
                 };
                 finished |= chunk.finished;
                 if !self.handle.view.load().is_key_valid(&self.key) {
                     return Err(Kind::KeyWithdrawn.into());
                 }
-                state.advance(self, start, &chunk);
-                if pieces.send(Piece::Event(event)).await.is_err() {
-                    return Err(End::CallerGone);
+                progress.record_chunk(self, assignment, &chunk);
+                if parts.send(ResponsePart::Event(event)).await.is_err() {
+                    return Err(Abort::CallerGone);
                 }
             }
         }
     }
 
-    /// Reads a chunk; `None` when it belongs to another request, which a
-    /// confused runner may send and which must not reach this caller.
-    fn chunk(&self, event: &Bytes) -> Option<Chunk> {
+    /// Parses a chunk; `None` if its id is another request's. A faulty runner
+    /// may send such a chunk, and it must not reach this caller.
+    fn parse_chunk(&self, event: &Bytes) -> Option<Chunk> {
         let value: Value = serde_json::from_slice(event).ok()?;
         if value.get("id")?.as_str()? != self.id {
             return None;
@@ -310,16 +323,16 @@
             .get("usage")
             .and_then(|usage| usage.get("prompt_tokens")?.as_u64());
         Some(Chunk {
-            text: choice
+            has_text: choice
                 .get("delta")
                 .and_then(|delta| delta.get("content"))
                 .is_some(),
             finished: choice.get("finish_reason").is_some_and(Value::is_string),
-            prompt: usage,
+            prompt_tokens: usage,
         })
     }
 
-    fn upstream_body(&self, tokens: u32) -> Bytes {
+    fn request_body(&self, tokens: u32) -> Bytes {
         let mut body = self.body.clone();
         if let Some(object) = body.as_object_mut() {
             object.insert("stream".into(), Value::Bool(true));
@@ -329,21 +342,21 @@
         body.to_string().into()
     }
 
-    async fn finish(&self, outcome: Result<(), End>, mut state: Progress, pieces: &Pieces) {
-        let whole = outcome.is_ok();
+    async fn finish(&self, outcome: Result<(), Abort>, mut progress: Progress, parts: &PartSender) {
+        let is_complete = outcome.is_ok();
         let name = match &outcome {
             Ok(()) => "ok",
-            Err(End::CallerGone) => "caller-gone",
-            Err(End::Refused(refusal)) => refusal.kind.name(),
+            Err(Abort::CallerGone) => "caller-gone",
+            Err(Abort::Refused(refusal)) => refusal.kind.name(),
         };
         self.handle.metrics.count_request(&self.route.class, name);
-        if state.usage.tokens > 0 || whole {
+        if progress.usage.tokens > 0 || is_complete {
             self.handle.notify(Event::RecordUsage(Record {
                 customer: self.customer.clone(),
                 class: self.route.class.clone(),
-                prompt_tokens: state.usage.prompt,
-                output_tokens: u64::from(state.usage.tokens),
-                completed: whole,
+                prompt_tokens: progress.usage.prompt_tokens,
+                output_tokens: u64::from(progress.usage.tokens),
+                completed: is_complete,
             }));
         }
         tracing::info!(
@@ -352,15 +365,15 @@
             class = self.route.class,
             customer = self.customer,
             outcome = name,
-            tokens = state.usage.tokens,
-            ms = self.began.elapsed().as_millis() as u64
+            tokens = progress.usage.tokens,
+            ms = self.started.elapsed().as_millis() as u64
         );
         match outcome {
             Ok(()) => {
-                let _ = pieces.send(Piece::End(state.usage)).await;
+                let _ = parts.send(ResponsePart::End(progress.usage)).await;
             }
-            Err(End::CallerGone) => {}
-            Err(End::Refused(refusal)) => match state.head.take() {
+            Err(Abort::CallerGone) => {}
+            Err(Abort::Refused(refusal)) => match progress.head.take() {
                 Some(head) => {
                     let refusal = self
                         .handle
@@ -368,34 +381,36 @@
                     let _ = head.send(Err(refusal));
                 }
                 None => {
-                    // Some of it ran, whatever the last attempt says.
+                    // Part of the answer was sent, so it ran, even if the last
+                    // attempt did not.
                     let refusal = Refusal {
                         ran: Ran::Ran,
                         ..refusal
                     };
-                    let _ = pieces.send(Piece::Broken(refusal)).await;
+                    let _ = parts.send(ResponsePart::Error(refusal)).await;
                 }
             },
         }
     }
 }
 
+/// What an event of the runner's stream contains.
 struct Chunk {
-    text: bool,
+    has_text: bool,
     finished: bool,
-    prompt: Option<u64>,
+    prompt_tokens: Option<u64>,
 }
 
-/// What the caller has so far.
+/// What was sent to the caller so far.
 struct Progress {
-    head: Option<Head>,
+    head: Option<HeadSender>,
     usage: Usage,
 }
 
 impl Progress {
-    fn advance(&mut self, job: &Job, start: &Assignment, chunk: &Chunk) {
+    fn record_chunk(&mut self, job: &Job, assignment: &Assignment, chunk: &Chunk) {
         if let Some(head) = self.head.take() {
-            let _ = head.send(Ok(start.name.clone()));
+            let _ = head.send(Ok(assignment.name.clone()));
             let class = Class {
                 class: job.route.class.clone(),
             };
@@ -403,25 +418,25 @@
                 .metrics
                 .first_answer
                 .get_or_create(&class)
-                .observe(job.began.elapsed().as_secs_f64());
+                .observe(job.started.elapsed().as_secs_f64());
         }
-        if chunk.text {
+        if chunk.has_text {
             self.usage.tokens += 1;
             let class = Class {
                 class: job.route.class.clone(),
             };
             job.handle.metrics.tokens.get_or_create(&class).inc();
         }
-        if let Some(prompt) = chunk.prompt {
-            self.usage.prompt = prompt;
+        if let Some(prompt) = chunk.prompt_tokens {
+            self.usage.prompt_tokens = prompt;
         }
     }
 
-    /// Resolves when nobody waits for the answer any more.
-    async fn caller_gone(&mut self, pieces: &Pieces) {
+    /// Resolves when the caller has disconnected.
+    async fn caller_gone(&mut self, parts: &PartSender) {
         match &mut self.head {
             Some(head) => head.closed().await,
-            None => pieces.closed().await,
+            None => parts.closed().await,
         }
     }
 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -55,7 +55,7 @@
     start_peers(settings, &handle, token, outbox, &traffic, calls.clone())?;
     admin::start(handle.clone(), settings.admin_listen)?;
     let front = Arc::new(Front {
-        chats: chat::Chat {
+        chats: chat::Service {
             handle: handle.clone(),
             pool,
         },
