--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -1,8 +1,8 @@
-//! The callers' side: HTTP with JSON, answers streamed as they come.
+//! The HTTP and JSON interface for callers, with streamed answers.
 //!
-//! Built on hyper, which the gRPC library brings along: oxhttp gathers a
-//! kibibyte before it sends and flushes at the end, so streamed tokens would
-//! not reach their caller as they come.
+//! Uses hyper, which the gRPC library depends on anyway. oxhttp buffers a
+//! kibibyte before it sends and flushes only at the end, so streamed tokens
+//! would reach their caller late.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -30,37 +30,42 @@
 pub mod chat;
 pub mod sse;
 
-/// Most bytes of a request's head.
-pub const HEAD_BYTES: usize = 16 * 1024;
-/// Most bytes of a request's body.
-pub const BODY_BYTES: usize = 1024 * 1024;
-/// Longest time for the head to come.
-const HEAD: Duration = Duration::from_secs(5);
-/// Longest time for the body to come.
-const BODY: Duration = Duration::from_secs(10);
-/// Path where tickets are issued.
-const TICKETS: &str = "/v1/tickets";
+/// Size limit of a request's head, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Size limit of a request's body, in bytes.
+pub const MAX_BODY_BYTES: usize = 1024 * 1024;
+/// Longest time to receive a request's head.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest time to receive a request's body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Path for issuing tickets.
+const TICKETS_PATH: &str = "/v1/tickets";
 /// Path of chat completions.
-const CHAT: &str = "/v1/chat/completions";
+const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// The callers' side of one process.
+/// Server for callers.
 #[derive(Debug)]
 pub struct Front {
     /// Shared state.
     pub handle: Arc<Handle>,
-    /// Plain calls.
+    /// Service for plain calls.
     pub calls: Arc<call::Service>,
-    /// Chat completions.
+    /// Service for chat completions.
     pub chats: chat::Service,
 }
 
-/// Accepts connections until `stop` turns true; a connection that is open then
-/// ends after the request that it carries.
-pub async fn serve(front: Arc<Front>, listener: TcpListener, bound: usize, stop: watch::Receiver<bool>) {
-    let places = Arc::new(Semaphore::new(bound));
+/// Accepts up to `max_connections` connections until `stop` turns true. Open connections
+/// then close after their current request.
+pub async fn serve(
+    front: Arc<Front>,
+    listener: TcpListener,
+    max_connections: usize,
+    stop: watch::Receiver<bool>,
+) {
+    let permits = Arc::new(Semaphore::new(max_connections));
     let mut stopped = stop.clone();
     loop {
         let accepted = tokio::select! {
@@ -71,37 +76,37 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        match places.clone().try_acquire_owned() {
-            Ok(place) => {
+        match permits.clone().try_acquire_owned() {
+            Ok(permit) => {
                 let front = front.clone();
                 let stop = stop.clone();
                 tokio::spawn(async move {
-                    connection(front, stream, stop).await;
-                    drop(place);
+                    serve_connection(front, stream, stop).await;
+                    drop(permit);
                 });
             }
             Err(_) => {
                 front.handle.metrics.refused_connections.inc();
-                tokio::spawn(refuse_connection(stream));
+                tokio::spawn(reject_connection(stream));
             }
         }
     }
 }
 
-async fn connection(front: Arc<Front>, stream: TcpStream, stop: watch::Receiver<bool>) {
+async fn serve_connection(front: Arc<Front>, stream: TcpStream, stop: watch::Receiver<bool>) {
     let service = service_fn(move |request| {
         let front = front.clone();
         async move { Ok::<_, Infallible>(front.handle(request).await) }
     });
     let limits = serve::Limits {
-        head_timeout: HEAD,
-        max_head_bytes: HEAD_BYTES,
+        head_timeout: HEAD_TIMEOUT,
+        max_head_bytes: MAX_HEAD_BYTES,
     };
     serve::connection(stream, limits, service, stop).await;
 }
 
-/// A clear refusal past the bound, instead of a connection that hangs.
-async fn refuse_connection(mut stream: TcpStream) {
+/// Answers a connection beyond the limit with a refusal, so that it does not hang.
+async fn reject_connection(mut stream: TcpStream) {
     let refusal = Refusal::new(Kind::TooManyConnections).retry_after(Duration::from_secs(1));
     let body = refusal.body().to_string();
     let head = format!(
@@ -119,14 +124,14 @@
 
 impl Front {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
-        let flight = self.handle.track_request();
+        let in_flight = self.handle.track_request();
         let mut answer = self
             .route(request)
             .await
-            .unwrap_or_else(|refusal| refused(&refusal));
-        drop(flight);
+            .unwrap_or_else(|refusal| refusal_response(&refusal));
+        drop(in_flight);
         if self.handle.is_stopping() {
-            // The balancer must not choose this connection for its next one.
+            // The load balancer must not reuse this connection.
             answer
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -137,8 +142,8 @@
     async fn route(&self, request: Request<Incoming>) -> Result<Response<Body>, Refusal> {
         let path = request.uri().path().to_string();
         match (request.method(), path.as_str()) {
-            (&Method::POST, TICKETS) => self.tickets(request).await,
-            (&Method::POST, CHAT) => self.chats.handle(request).await,
+            (&Method::POST, TICKETS_PATH) => self.tickets(request).await,
+            (&Method::POST, CHAT_PATH) => self.chats.handle(request).await,
             (&Method::POST, _) => self.calls.clone().handle(request).await,
             _ => Err(Refusal::new(Kind::NotFound).detail(path)),
         }
@@ -147,18 +152,18 @@
     async fn tickets(&self, request: Request<Incoming>) -> Result<Response<Body>, Refusal> {
         let view = self.handle.view.load_full();
         let caller = authenticate(&self.handle, &view, &request)?;
-        let body = read(request).await?;
+        let body = read_body(request).await?;
         let count = match body.is_empty() {
             true => 1,
-            false => count_of(&body)?,
+            false => ticket_count(&body)?,
         };
         let customer = view.document.customers[caller.customer.index()].name.clone();
-        let tickets = issue(&self.handle, customer, count).await?;
-        Ok(json(200, &serde_json::json!({ "tickets": tickets })))
+        let tickets = issue_tickets(&self.handle, customer, count).await?;
+        Ok(json_response(200, &serde_json::json!({ "tickets": tickets })))
     }
 }
 
-fn count_of(body: &Bytes) -> Result<u32, Refusal> {
+fn ticket_count(body: &Bytes) -> Result<u32, Refusal> {
     let value: serde_json::Value =
         serde_json::from_slice(body).map_err(|err| Refusal::new(Kind::BadRequest).detail(err.to_string()))?;
     let count = value.get("count").and_then(serde_json::Value::as_u64);
@@ -168,12 +173,12 @@
         .ok_or_else(|| Refusal::new(Kind::BadRequest).detail("count: a whole number from 1 to 64"))
 }
 
-/// Tickets of this process for a customer.
+/// Issues tickets of this process to a customer.
 ///
 /// # Errors
 ///
-/// When no more can be issued now.
-pub async fn issue(handle: &Handle, customer: String, count: u32) -> Result<Vec<String>, Refusal> {
+/// When no more tickets can be issued at present.
+pub async fn issue_tickets(handle: &Handle, customer: String, count: u32) -> Result<Vec<String>, Refusal> {
     let call = handle.next_call_id();
     match handle
         .request(
@@ -191,12 +196,12 @@
     }
 }
 
-/// Whose key came with a request.
+/// Authenticates the caller by the key in a request.
 ///
 /// # Errors
 ///
-/// When there is none, it is not known or withdrawn, or this host has been cut
-/// off for too long to tell.
+/// When the key is missing, unknown or withdrawn, or when this host's
+/// configuration has not been confirmed for too long to trust its keys.
 pub fn authenticate(handle: &Handle, view: &View, request: &Request<Incoming>) -> Result<Caller, Refusal> {
     let header = request
         .headers()
@@ -211,20 +216,20 @@
     view.authenticate(key.trim())
 }
 
-/// Value of a header as text.
+/// Value of a header, if it is present and visible ASCII.
 pub fn header(request: &Request<Incoming>, name: &str) -> Option<String> {
     let value = request.headers().get(name)?.to_str().ok()?;
     Some(value.to_string())
 }
 
-/// Reads a whole body within the limits.
+/// Reads a request's body within the limits of size and time.
 ///
 /// # Errors
 ///
-/// When it is too large or too slow.
-pub async fn read(request: Request<Incoming>) -> Result<Bytes, Refusal> {
-    let body = Limited::new(request.into_body(), BODY_BYTES).collect();
-    match tokio::time::timeout(BODY, body).await {
+/// When the body is too large, too slow or incomplete.
+pub async fn read_body(request: Request<Incoming>) -> Result<Bytes, Refusal> {
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
+    match tokio::time::timeout(BODY_TIMEOUT, body).await {
         Err(_) => Err(Kind::SlowRequest.into()),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(err)) if err.is::<http_body_util::LengthLimitError>() => Err(Kind::TooLarge.into()),
@@ -232,13 +237,13 @@
     }
 }
 
-/// A whole JSON answer.
-pub fn json(status: u16, value: &serde_json::Value) -> Response<Body> {
-    text(status, value.to_string().into())
+/// A response with a JSON value.
+pub fn json_response(status: u16, value: &serde_json::Value) -> Response<Body> {
+    encoded_json_response(status, value.to_string().into())
 }
 
-/// A whole answer whose body is JSON already.
-pub fn text(status: u16, body: Bytes) -> Response<Body> {
+/// A response whose body is encoded JSON.
+pub fn encoded_json_response(status: u16, body: Bytes) -> Response<Body> {
     let mut answer = Response::new(Full::new(body).boxed());
     *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     answer
@@ -247,9 +252,9 @@
     answer
 }
 
-/// The answer to a refused call.
-pub fn refused(refusal: &Refusal) -> Response<Body> {
-    let mut answer = json(refusal.kind.status(), &refusal.body());
+/// The response to a refused call.
+pub fn refusal_response(refusal: &Refusal) -> Response<Body> {
+    let mut answer = json_response(refusal.kind.status(), &refusal.body());
     if let Some(after) = refusal.retry_after {
         let seconds = after.as_millis().div_ceil(1_000) as u64;
         answer
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -23,7 +23,7 @@
 use radishstair_core::usage::Record;
 use radishstair_wire::http;
 
-use super::{BODY_BYTES, Body, authenticate, header, issue, read, refused};
+use super::{Body, MAX_BODY_BYTES, authenticate, header, issue_tickets, read_body, refusal_response};
 use crate::handle::Handle;
 use crate::metrics::Class;
 use crate::peers::dialer::Dialer;
@@ -146,7 +146,7 @@
         let class = class.ok_or_else(|| Refusal::new(Kind::NotFound).detail(&path))?;
         let caller = authenticate(&self.handle, view, &request)?;
         let route = view.route(&caller, &class, None)?;
-        let body = read(request).await?;
+        let body = read_body(request).await?;
         serde_json::from_slice::<serde::de::IgnoredAny>(&body)
             .map_err(|err| Refusal::new(Kind::BadRequest).detail(err.to_string()))?;
         let customer = view.document.customers[caller.customer.index()].name.clone();
@@ -188,8 +188,8 @@
 
     /// The response for a refusal that closed the key, with a new ticket.
     async fn with_next_key(&self, refusal: &Refusal, customer: String) -> Response<Body> {
-        let mut answer = refused(refusal);
-        let next = issue(&self.handle, customer, 1)
+        let mut answer = refusal_response(refusal);
+        let next = issue_tickets(&self.handle, customer, 1)
             .await
             .ok()
             .and_then(|tickets| tickets.into_iter().next());
@@ -322,7 +322,7 @@
         };
         match answer {
             Ok(answer) => to_peer(answer).await,
-            Err(refusal) => to_peer(refused(&refusal)).await,
+            Err(refusal) => to_peer(refusal_response(&refusal)).await,
         }
     }
 
@@ -443,7 +443,7 @@
             return Err((Failure::MaybeSent, Kind::UpstreamCrossed.into()));
         }
         let status = answer.status().as_u16();
-        let body = Limited::new(answer.into_body(), BODY_BYTES).collect().await;
+        let body = Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await;
         let body = body.map_err(|_| (Failure::MaybeSent, Kind::UpstreamBroken.into()))?;
         connection.release(&self.pool, self.handle.clock.now());
         Ok(RunnerResponse {
--- a/crates/entry/src/front/call/answer.rs
+++ b/crates/entry/src/front/call/answer.rs
@@ -11,7 +11,7 @@
 use radishstair_wire::http;
 
 use super::RunnerResponse;
-use crate::front::{Body, text};
+use crate::front::{Body, encoded_json_response};
 
 /// The answer to store in the at-most-once records.
 pub fn to_record(answer: &RunnerResponse) -> Answer {
@@ -34,7 +34,7 @@
 
 /// The response for a runner's answer.
 pub fn response(runner: &str, status: u16, body: Bytes) -> Response<Body> {
-    let mut answer = text(status, body);
+    let mut answer = encoded_json_response(status, body);
     if let Ok(runner) = HeaderValue::from_str(runner) {
         answer.headers_mut().insert(http::RUNNER, runner);
     }
@@ -43,7 +43,7 @@
 
 /// The response for the answer of the peer that owns the key.
 pub fn from_owner(forwarded: Forwarded) -> Response<Body> {
-    let mut answer = text(forwarded.status as u16, forwarded.body.into());
+    let mut answer = encoded_json_response(forwarded.status as u16, forwarded.body.into());
     if forwarded.retry_after_ms > 0 {
         answer.headers_mut().insert(
             "retry-after",
--- a/crates/entry/src/front/chat.rs
+++ b/crates/entry/src/front/chat.rs
@@ -22,7 +22,7 @@
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
-use super::{Body, authenticate, header, json, read};
+use super::{Body, authenticate, header, json_response, read_body};
 use crate::handle::Handle;
 use crate::upstream::pool::Pool;
 
@@ -71,7 +71,7 @@
         let caller = authenticate(&self.handle, &view, &request)?;
         let class_header = header(&request, http::CLASS);
         let reservation_token = header(&request, http::RESERVATION_TOKEN);
-        let body: Value = serde_json::from_slice(&read(request).await?)
+        let body: Value = serde_json::from_slice(&read_body(request).await?)
             .map_err(|err| Refusal::new(Kind::BadRequest).detail(err.to_string()))?;
         let prompt_text = prompt_text(&body)?;
         let class = class_header
@@ -166,7 +166,7 @@
                 );
             }
             ResponsePart::End(usage) => {
-                return Ok(json(
+                return Ok(json_response(
                     200,
                     &serde_json::json!({
                         "id": id,
--- a/crates/entry/src/front/sse.rs
+++ b/crates/entry/src/front/sse.rs
@@ -1,28 +1,28 @@
-//! Server-sent events: finding whole events in bytes as they come.
+//! Parser of server-sent events that arrive in pieces.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event, in bytes; a runner that sends more is broken.
-const EVENT_BYTES: usize = 256 * 1024;
+/// Longest event, in bytes; a runner that sends a longer one is faulty.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// Splits a stream of bytes into events.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    held: BytesMut,
+    buffer: BytesMut,
 }
 
 impl Splitter {
-    /// Takes bytes in; false when an event grows past its limit.
+    /// Adds received bytes; false if an event is longer than the limit.
     pub fn push(&mut self, bytes: &Bytes) -> bool {
-        self.held.extend_from_slice(bytes);
-        self.held.len() <= EVENT_BYTES
+        self.buffer.extend_from_slice(bytes);
+        self.buffer.len() <= MAX_EVENT_BYTES
     }
 
-    /// The next whole event's data.
+    /// Takes the data of the next complete event.
     pub fn next_event(&mut self) -> Option<Bytes> {
         loop {
-            let end = find(&self.held)?;
-            let event = self.held.split_to(end + 2).freeze();
+            let end = find_event_end(&self.buffer)?;
+            let event = self.buffer.split_to(end + 2).freeze();
             let line = event.slice(..end);
             if let Some(data) = line.strip_prefix(b"data: ") {
                 return Some(line.slice_ref(data));
@@ -31,6 +31,6 @@
     }
 }
 
-fn find(held: &[u8]) -> Option<usize> {
-    held.windows(2).position(|pair| pair == b"\n\n")
+fn find_event_end(buffer: &[u8]) -> Option<usize> {
+    buffer.windows(2).position(|pair| pair == b"\n\n")
 }
