--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: feeds the kernel and carries out what it says.
+//! The control thread: passes events to the kernel and performs its actions.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,19 +14,19 @@
 use crate::peers::Message;
 use crate::platform::Job;
 
-/// Time between ticks of the kernel.
-pub const TICK: Duration = Duration::from_millis(20);
+/// Time between tick events of the kernel.
+pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where actions go.
+/// Channels on which the kernel's actions are sent.
 #[derive(Debug)]
-pub struct Lines {
-    /// Short calls to the platform.
+pub struct Outputs {
+    /// Jobs for the platform threads.
     pub jobs: Sender<Job>,
-    /// Watches, which wait long.
+    /// Watches of the store, which block for up to ten seconds.
     pub watches: Sender<Job>,
     /// Messages to peers.
     pub peers: mpsc::UnboundedSender<Message>,
-    /// Told once when everything is handed back.
+    /// Notified once, when a stopping process has stored its tombstone.
     pub exit: Sender<()>,
 }
 
@@ -35,81 +35,83 @@
 pub struct Control {
     handle: Arc<Handle>,
     kernel: Kernel,
-    lines: Lines,
-    waiters: Vec<(CallId, oneshot::Sender<Reply>)>,
+    outputs: Outputs,
+    pending_replies: Vec<(CallId, oneshot::Sender<Reply>)>,
 }
 
 impl Control {
-    /// Ready to run.
-    pub fn new(handle: Arc<Handle>, kernel: Kernel, lines: Lines) -> Self {
+    /// Creates the state; [`Control::run`] starts it.
+    pub fn new(handle: Arc<Handle>, kernel: Kernel, outputs: Outputs) -> Self {
         Self {
             handle,
             kernel,
-            lines,
-            waiters: Vec::new(),
+            outputs,
+            pending_replies: Vec::new(),
         }
     }
 
-    /// Runs until the inputs are closed.
+    /// Handles events until the channel is closed.
     pub fn run(mut self, inputs: &Receiver<Input>) {
-        let mut next = Instant::now();
+        let mut next_tick = Instant::now();
         loop {
-            match inputs.recv_deadline(next) {
-                Ok(input) => self.take(input),
+            match inputs.recv_deadline(next_tick) {
+                Ok(input) => self.receive(input),
                 Err(RecvTimeoutError::Timeout) => {
-                    next = Instant::now() + TICK;
-                    self.step(Event::Tick);
+                    next_tick = Instant::now() + TICK_INTERVAL;
+                    self.handle_event(Event::Tick);
                 }
                 Err(RecvTimeoutError::Disconnected) => return,
             }
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn receive(&mut self, input: Input) {
         if let Some((call, sender)) = input.reply_to {
-            let at = self.waiters.partition_point(|(have, _)| *have < call);
-            self.waiters.insert(at, (call, sender));
+            let at = self
+                .pending_replies
+                .partition_point(|(pending, _)| *pending < call);
+            self.pending_replies.insert(at, (call, sender));
         }
-        self.step(input.event);
+        self.handle_event(input.event);
     }
 
-    fn step(&mut self, event: Event) {
-        let began = Instant::now();
+    fn handle_event(&mut self, event: Event) {
+        let started = Instant::now();
         for action in self.kernel.handle(self.handle.clock.now(), event) {
-            self.act(action);
+            self.perform(action);
         }
         self.handle
             .metrics
             .control_busy_us
-            .inc_by(began.elapsed().as_micros() as u64);
+            .inc_by(started.elapsed().as_micros() as u64);
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Store(token, call) => {
-                let line = match call {
-                    store::Call::Watch { .. } => &self.lines.watches,
-                    _ => &self.lines.jobs,
+                let queue = match call {
+                    store::Call::Watch { .. } => &self.outputs.watches,
+                    _ => &self.outputs.jobs,
                 };
-                let _ = line.send(Job::Store(token, call));
+                let _ = queue.send(Job::Store(token, call));
             }
-            Action::Heartbeat(address, beat) => self.send(Message::Heartbeat(address, beat)),
+            Action::Heartbeat(address, heartbeat) => self.send(Message::Heartbeat(address, heartbeat)),
             Action::Pull(address, pull) => self.send(Message::Pull(address, pull)),
-            Action::Collect(address, ask) => self.send(Message::Collect(address, ask)),
+            Action::Collect(address, collect) => self.send(Message::Collect(address, collect)),
             Action::Reply(call, reply) => self.reply(call, *reply),
             Action::View(view) => {
                 tracing::info!(event = "configuration-in-force", version = view.version);
                 self.handle.metrics.configuration_version.set(view.version as i64);
                 self.handle.view.store(view);
             }
-            Action::Members(cards) => {
-                let live = cards.iter().filter(|card| !card.gone).count();
+            Action::Members(members) => {
+                let live = members.iter().filter(|member| !member.gone).count();
                 tracing::info!(
                     event = "members-changed",
                     live = live + 1,
-                    gone = cards.len() - live
+                    gone = members.len() - live
                 );
-                self.handle.members.store(Arc::new(cards));
+                self.handle.members.store(Arc::new(members));
             }
             Action::KeysTrusted(trusted) => {
                 tracing::info!(event = "keys-trusted", trusted);
@@ -118,24 +120,25 @@
                     .keys_trusted
                     .store(trusted, std::sync::atomic::Ordering::SeqCst);
             }
-            Action::Report(grant, seal) => {
-                let _ = self.lines.jobs.send(Job::Report(grant, seal));
+            Action::Report(grant, sealed_window) => {
+                let _ = self.outputs.jobs.send(Job::Report(grant, sealed_window));
             }
             Action::Order(grant, order) => {
-                let _ = self.lines.jobs.send(Job::Order(grant, order));
+                let _ = self.outputs.jobs.send(Job::Order(grant, order));
             }
             Action::Exit => {
-                let _ = self.lines.exit.send(());
+                let _ = self.outputs.exit.send(());
             }
         }
     }
 
-    /// Nobody waits for a reply any more. A runner's place would stay taken,
-    /// and a call that nobody runs would count as running, for ever.
-    fn take_back(&mut self, unheard: Reply) {
-        match unheard {
-            Reply::Start(start) => self.step(Event::Cancel(start.call)),
-            Reply::Verdict(Verdict::Run(key)) => self.step(Event::EndCall {
+    /// Reverts a reply whose receiver is gone. Otherwise the slot at a runner
+    /// would stay occupied, or a call that no task runs would stay recorded as
+    /// running, forever.
+    fn revert_undelivered(&mut self, undelivered: Reply) {
+        match undelivered {
+            Reply::Start(start) => self.handle_event(Event::Cancel(start.call)),
+            Reply::Verdict(Verdict::Run(key)) => self.handle_event(Event::EndCall {
                 key,
                 end: Completion::NotRun,
             }),
@@ -144,14 +147,17 @@
     }
 
     fn send(&self, message: Message) {
-        let _ = self.lines.peers.send(message);
+        let _ = self.outputs.peers.send(message);
     }
 
     fn reply(&mut self, call: CallId, reply: Reply) {
-        if let Ok(at) = self.waiters.binary_search_by(|(have, _)| have.cmp(&call)) {
-            let (_, sender) = self.waiters.remove(at);
-            if let Err(unheard) = sender.send(reply) {
-                self.take_back(unheard);
+        if let Ok(at) = self
+            .pending_replies
+            .binary_search_by(|(pending, _)| pending.cmp(&call))
+        {
+            let (_, sender) = self.pending_replies.remove(at);
+            if let Err(undelivered) = sender.send(reply) {
+                self.revert_undelivered(undelivered);
             }
         }
     }
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -1,4 +1,4 @@
-//! Threads that talk to the platform.
+//! Threads that make blocking calls to the platform.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -14,74 +14,76 @@
 
 use crate::handle::Handle;
 
-/// Threads for short calls.
+/// Threads for short calls; watches of the store have one of their own.
 pub const WORKERS: usize = 6;
-/// Time between looks at the host list.
-const LIST: Duration = Duration::from_secs(1);
-/// Keys that come within this time share a lease.
-const SHARE: Duration = Duration::from_secs(3_600);
+/// Time between two reads of the platform's runner list.
+const RUNNER_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for which one store lease is used for new keys.
+const LEASE_REUSE: Duration = Duration::from_secs(3_600);
 
-/// Something to ask of the platform.
+/// A call to the platform.
 #[derive(Debug)]
 pub enum Job {
     /// A call to the key-value service.
     Store(Token, Call),
-    /// A usage report.
+    /// A usage report, sent under a duty lease.
     Report(Grant, SealedWindow),
-    /// An order.
+    /// An order for runners, sent under a duty lease.
     Order(Grant, Order),
 }
 
-/// The lease that time-stamped claims hang on.
+/// The store lease with which time-stamped claims and tombstones expire.
 #[derive(Debug, Default)]
-pub struct Leases(Mutex<Option<(u64, Instant)>>);
+pub struct RecordLease(Mutex<Option<(u64, Instant)>>);
 
-impl Leases {
-    /// A lease for the keys that need one.
-    fn of(&self, client: &Client, call: &Call) -> Option<u64> {
+impl RecordLease {
+    /// The lease for a write, if its key needs one; granted anew after [`LEASE_REUSE`].
+    fn lease_for(&self, client: &Client, call: &Call) -> Option<u64> {
         let Call::CompareAndSwap { key, .. } = call else {
             return None;
         };
         if !key.starts_with(claim::TIMESTAMPED_PREFIX) && !key.starts_with(calls::TOMBSTONE_PREFIX) {
             return None;
         }
-        let mut held = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        if held.is_none_or(|(_, since)| since.elapsed() >= SHARE) {
-            *held = client
-                .grant_lease(claim::LEASE_TTL + SHARE)
+        let mut current = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        if current.is_none_or(|(_, granted_at)| granted_at.elapsed() >= LEASE_REUSE) {
+            *current = client
+                .grant_lease(claim::LEASE_TTL + LEASE_REUSE)
                 .map(|id| (id, Instant::now()));
         }
-        held.map(|(id, _)| id)
+        current.map(|(id, _)| id)
     }
 }
 
-/// Carries out jobs until the line is closed.
-pub fn work(handle: &Arc<Handle>, client: &Client, leases: &Leases, jobs: &Receiver<Job>) {
+/// Carries out jobs until the channel is closed.
+pub fn run_worker(handle: &Arc<Handle>, client: &Client, record_lease: &RecordLease, jobs: &Receiver<Job>) {
     for job in jobs {
         let event = match job {
             Job::Store(token, call) => {
-                let answer = client.call_store(&call, leases.of(client, &call));
-                count(handle, call.name(), answer.outcome());
+                let answer = client.call_store(&call, record_lease.lease_for(client, &call));
+                count_call(handle, call.name(), answer.outcome());
                 Event::StoreAnswer(token, answer)
             }
-            Job::Report(grant, seal) => Event::ReportAnswer(report(handle, client, grant, seal)),
+            Job::Report(grant, sealed_window) => {
+                Event::ReportAnswer(send_report(handle, client, grant, sealed_window))
+            }
             Job::Order(grant, order) => Event::OrderAnswer(send_order(handle, client, grant, &order)),
         };
         handle.notify(event);
     }
 }
 
-/// Sends a report if the lease still covers it.
+/// Sends a usage report if the duty lease still covers this moment.
 ///
-/// The job may have waited behind others, or the process may have been paused:
-/// without this look a former reporter would still send.
-fn report(handle: &Handle, client: &Client, grant: Grant, seal: SealedWindow) -> bool {
+/// The job may have waited in the queue, or the process may have been paused.
+/// Without this check, a process that lost the duty would still send reports.
+fn send_report(handle: &Handle, client: &Client, grant: Grant, sealed_window: SealedWindow) -> bool {
     let report = Report {
         sender: handle.incarnation.to_string(),
         fence: grant.fence,
-        number: seal.number,
-        window: seal.window,
-        lines: seal.lines,
+        number: sealed_window.number,
+        window: sealed_window.window,
+        lines: sealed_window.lines,
     };
     if !grant.covers(handle.clock.now()) {
         tracing::warn!(
@@ -92,7 +94,7 @@
         return false;
     }
     let accepted = client.send_report(&report);
-    count(handle, "report", if accepted { "ok" } else { "lost" });
+    count_call(handle, "report", if accepted { "ok" } else { "lost" });
     tracing::info!(
         event = "usage-reported",
         window = report.window,
@@ -103,7 +105,7 @@
     accepted
 }
 
-/// Sends an order if the lease still covers it.
+/// Sends an order if the duty lease still covers this moment.
 fn send_order(handle: &Handle, client: &Client, grant: Grant, order: &Order) -> bool {
     if !grant.covers(handle.clock.now()) {
         tracing::warn!(
@@ -115,7 +117,7 @@
         return false;
     }
     let accepted = client.send_order(order);
-    count(handle, "order", if accepted { "ok" } else { "lost" });
+    count_call(handle, "order", if accepted { "ok" } else { "lost" });
     tracing::info!(
         event = "ordered",
         pool = order.pool,
@@ -127,8 +129,8 @@
     accepted
 }
 
-/// Reads the host list again and again.
-pub fn watch_list(handle: &Arc<Handle>, client: &Client) {
+/// Polls the runner list until the process ends.
+pub fn poll_runners(handle: &Arc<Handle>, client: &Client) {
     let mut revision = 0;
     loop {
         match client.runners(revision) {
@@ -138,15 +140,15 @@
                     tracing::info!(event = "runners-listed", revision, runners = runners.len());
                     handle.notify(Event::RunnerList(runners));
                 }
-                count(handle, "hosts", "ok");
+                count_call(handle, "hosts", "ok");
             }
-            // The last list stands while the platform is away.
-            Err(_) => count(handle, "hosts", "lost"),
+            // The last list remains in use while the platform is unreachable.
+            Err(_) => count_call(handle, "hosts", "lost"),
         }
-        std::thread::sleep(LIST);
+        std::thread::sleep(RUNNER_POLL_INTERVAL);
     }
 }
 
-fn count(handle: &Handle, call: &'static str, outcome: &'static str) {
+fn count_call(handle: &Handle, call: &'static str, outcome: &'static str) {
     handle.metrics.count_platform_call(call, outcome);
 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,4 +1,4 @@
-//! The life of an entry host: start, serve, stop without cutting a request.
+//! The lifecycle of an entry host: start, serve, and a graceful stop.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,23 +17,23 @@
 
 use crate::admin;
 use crate::clock::Clock;
-use crate::control::{Control, Lines};
+use crate::control::{Control, Outputs};
 use crate::front::{self, Front, call, chat};
 use crate::handle::Handle;
 use crate::peers::dialer::{Dialer, Token};
 use crate::peers::{self, Message};
-use crate::platform::{self, Leases, WORKERS};
+use crate::platform::{self, RecordLease, WORKERS};
 use crate::settings::Settings;
 use crate::upstream::pool::Pool;
 
-/// Longest wait for the platform and peers to take back what was held.
-const HAND_BACK: Duration = Duration::from_secs(5);
+/// Longest wait at a stop until the control thread has handed over its state.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs an entry host until it is told to stop.
+/// Runs an entry host until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// When something cannot be bound or started.
+/// When an address cannot be bound or a thread cannot be started.
 pub fn run(settings: &Settings) -> Result<()> {
     let clock = Clock::default();
     let incarnation = Incarnation(rand::random());
@@ -70,30 +70,30 @@
     tracing::info!(event = "serving", address = %settings.listen);
 
     radishstair_wire::settings::wait_for_stop_signal()?;
-    wind_down(settings, &handle, &stop, &exit);
+    shut_down(settings, &handle, &stop, &exit);
     traffic.shutdown_timeout(Duration::from_secs(1));
     tracing::info!(event = "stopped");
     Ok(())
 }
 
-/// Goes on serving while the balancer learns, then lets requests finish, then
-/// hands back what is held elsewhere.
-fn wind_down(settings: &Settings, handle: &Handle, stop: &watch::Sender<bool>, exit: &Receiver<()>) {
+/// Stops gracefully: accepts requests until the load balancer has noticed, waits
+/// for requests in flight, then stores the tombstone.
+fn shut_down(settings: &Settings, handle: &Handle, stop: &watch::Sender<bool>, exit: &Receiver<()>) {
     tracing::info!(event = "stopping", in_flight = handle.in_flight());
     handle.stopping.store(true, Ordering::SeqCst);
     handle.notify(Event::Stop);
     thread::sleep(settings.linger);
     let _ = stop.send(true);
-    let until = Instant::now() + settings.drain;
-    while handle.in_flight() > 0 && Instant::now() < until {
+    let deadline = Instant::now() + settings.drain;
+    while handle.in_flight() > 0 && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(20));
     }
     if handle.in_flight() > 0 {
         tracing::warn!(event = "drain-limit-reached", in_flight = handle.in_flight());
     }
     handle.notify(Event::Drained);
-    let _ = exit.recv_timeout(HAND_BACK);
-    // One more turn of heartbeats carries the last usage and the tombstone.
+    let _ = exit.recv_timeout(HAND_OVER_TIMEOUT);
+    // Allows one more heartbeat, which contains the last usage and the tombstone.
     thread::sleep(Duration::from_millis(100));
 }
 
@@ -116,32 +116,36 @@
         policy: settings.policy,
     };
     let kernel = Kernel::new(handle.clock.now(), setup);
-    let (jobs, job_line) = unbounded();
-    let (watches, watch_line) = unbounded();
+    let (jobs, job_queue) = unbounded();
+    let (watches, watch_queue) = unbounded();
     let (exit, exited) = bounded(1);
-    let lines = Lines {
+    let outputs = Outputs {
         jobs,
         watches,
         peers,
         exit,
     };
-    let control = Control::new(handle.clone(), kernel, lines);
+    let control = Control::new(handle.clone(), kernel, outputs);
     spawn("control", move || control.run(&inputs))?;
     let client = Client::new(&settings.platform.to_string());
-    let leases = Arc::new(Leases::default());
+    let record_lease = Arc::new(RecordLease::default());
     for _ in 0..WORKERS {
-        let (handle, client, leases, line) =
-            (handle.clone(), client.clone(), leases.clone(), job_line.clone());
+        let (handle, client, record_lease, queue) = (
+            handle.clone(),
+            client.clone(),
+            record_lease.clone(),
+            job_queue.clone(),
+        );
         spawn("platform", move || {
-            platform::work(&handle, &client, &leases, &line)
+            platform::run_worker(&handle, &client, &record_lease, &queue)
         })?;
     }
     let (watcher, watch_client) = (handle.clone(), client.clone());
     spawn("watch", move || {
-        platform::work(&watcher, &watch_client, &leases, &watch_line)
+        platform::run_worker(&watcher, &watch_client, &record_lease, &watch_queue)
     })?;
     let handle = handle.clone();
-    spawn("list", move || platform::watch_list(&handle, &client))?;
+    spawn("list", move || platform::poll_runners(&handle, &client))?;
     Ok(exited)
 }
 
@@ -155,9 +159,9 @@
 ) -> Result<()> {
     let runtime = runtime(1, "peers")?;
     let dialer = Arc::new(Dialer::new(token));
-    let (listen, text) = (settings.peer_listen, settings.peer_token.clone());
+    let (listen, token_text) = (settings.peer_listen, settings.peer_token.clone());
     let (handle, traffic) = (handle.clone(), traffic.handle().clone());
-    let server = peers::serve::run(handle.clone(), listen, text, traffic, calls);
+    let server = peers::serve::run(handle.clone(), listen, token_text, traffic, calls);
     spawn("peers", move || {
         runtime.spawn(peers::send(handle, dialer, outbox));
         if let Err(err) = runtime.block_on(server) {
