--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -1,5 +1,5 @@
-//! What traffic threads hold: snapshots to read and a line to the control
-//! thread.
+//! State shared by the threads of one process: snapshots for reading, and the
+//! channel to the control thread.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -18,33 +18,33 @@
 use crate::in_flight::{self, InFlightGuard};
 use crate::metrics::Metrics;
 
-/// An event, with whoever waits for the reply to it.
+/// An event for the control thread, with the channel for its reply.
 #[derive(Debug)]
 pub struct Input {
     /// The event.
     pub event: Event,
-    /// The call it makes and where the reply goes.
+    /// Id of the call and the channel for the reply, if one is expected.
     pub reply_to: Option<(CallId, oneshot::Sender<Reply>)>,
 }
 
-/// Shared by all threads of the process.
+/// State shared by all threads of the process.
 #[derive(Debug)]
 pub struct Handle {
-    /// This process.
+    /// Identity of this process.
     pub incarnation: Incarnation,
-    /// Clocks.
+    /// Source of the current time.
     pub clock: Clock,
     /// Configuration in force.
     pub view: ArcSwap<View>,
-    /// Peers, gone ones too.
+    /// Peers, including those that have left.
     pub members: ArcSwap<Vec<Member>>,
-    /// Whether keys may be trusted.
+    /// Whether the configuration is recent enough to trust its keys.
     pub keys_trusted: AtomicBool,
-    /// Whether the process is to stop.
+    /// Whether the process was told to stop.
     pub stopping: AtomicBool,
-    /// Key of promised times to come back.
+    /// Secret that signs reservations of a retry time.
     pub reservation_secret: Secret,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Metrics,
     inputs: Sender<Input>,
     next_call: AtomicU64,
@@ -52,7 +52,7 @@
 }
 
 impl Handle {
-    /// A handle whose events go to `inputs`.
+    /// Creates a handle that sends events to `inputs`.
     pub fn new(
         incarnation: Incarnation,
         clock: Clock,
@@ -74,12 +74,12 @@
         })
     }
 
-    /// A new call.
+    /// A call id that is unique within the process.
     pub fn next_call_id(&self) -> CallId {
         CallId(self.next_call.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Tells the control thread something.
+    /// Sends an event to the control thread.
     pub fn notify(&self, event: Event) {
         let _ = self.inputs.send(Input {
             event,
@@ -87,7 +87,8 @@
         });
     }
 
-    /// Asks the control thread; `None` when it has ended.
+    /// Sends an event to the control thread, which replies on the returned channel;
+    /// the channel is closed without a reply if the control thread has ended.
     pub fn request(&self, call: CallId, event: Event) -> oneshot::Receiver<Reply> {
         let (sender, receiver) = oneshot::channel();
         let reply_to = Some((call, sender));
@@ -95,7 +96,7 @@
         receiver
     }
 
-    /// Signs the promise of a refusal, if it holds one.
+    /// Signs the reserved retry time of a refusal, if it has one.
     pub fn sign_reservation(&self, mut refusal: Refusal, customer: &str, class: &str) -> Refusal {
         if let Some(after) = refusal.retry_after.filter(|_| refusal.reserved) {
             refusal.token = Some(
@@ -106,7 +107,7 @@
         refusal
     }
 
-    /// Whether a request comes back as it was promised.
+    /// Whether a request presents a valid token of a reserved retry time.
     pub fn has_reservation(&self, token: Option<&str>, customer: &str, class: &str) -> bool {
         token.is_some_and(|token| {
             self.reservation_secret
@@ -114,26 +115,26 @@
         })
     }
 
-    /// Whether the process is to stop.
+    /// Whether the process was told to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Counts a request in flight until the guard is dropped; a graceful stop
+    /// Counts a request as in flight until the guard is dropped; a graceful stop
     /// waits for all of them.
     pub fn track_request(&self) -> InFlightGuard {
         self.in_flight.track()
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Address of a live peer.
-    pub fn peer_address(&self, owner: Incarnation) -> Option<String> {
+    /// Address of a peer for calls from other peers, if the peer is known.
+    pub fn peer_address(&self, peer: Incarnation) -> Option<String> {
         let members = self.members.load();
-        let card = members.iter().find(|card| card.incarnation == owner.0)?;
-        Some(card.address.clone())
+        let member = members.iter().find(|member| member.incarnation == peer.0)?;
+        Some(member.address.clone())
     }
 }
--- a/crates/entry/src/in_flight.rs
+++ b/crates/entry/src/in_flight.rs
@@ -1,26 +1,26 @@
-//! Counting requests in flight, for a graceful stop that waits for all of them.
+//! A counter of requests in flight; a graceful stop waits until it is zero.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Requests in flight.
+/// Number of requests in flight, shared by its clones.
 #[derive(Clone, Debug, Default)]
 pub struct Counter(Arc<AtomicUsize>);
 
 impl Counter {
-    /// Counts one more until the guard is dropped.
+    /// Counts a request until the guard is dropped.
     pub fn track(&self) -> InFlightGuard {
         self.0.fetch_add(1, Ordering::SeqCst);
         InFlightGuard(self.0.clone())
     }
 
-    /// How many there are.
+    /// The current number.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::SeqCst)
     }
 }
 
-/// One request in flight.
+/// Counts one request as long as it exists.
 #[derive(Debug)]
 pub struct InFlightGuard(Arc<AtomicUsize>);
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,9 +1,10 @@
-//! The entry host: callers on one side, runners on the other, peers and the
-//! platform beside it. The decisions come from the core crate; this crate has
-//! the threads and sockets.
+//! The entry host, which accepts the requests of callers and sends them to
+//! runners. The core crate makes the decisions; this crate provides the threads
+//! and the connections to callers, runners, peers and the platform.
 //!
-//! One thread owns the control state. Traffic runs on its own threads, reads
-//! immutable snapshots and asks the control thread over channels.
+//! One thread owns the control state. Requests are served by other threads,
+//! which read immutable snapshots and send requests to the control thread over
+//! channels.
 
 pub mod admin;
 pub mod clock;
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -108,7 +108,7 @@
             incarnation: handle.incarnation,
             host: settings.host.clone(),
             zone: settings.zone.clone(),
-            address: settings.advertised().to_string(),
+            address: settings.advertised_address().to_string(),
         },
         seeds: settings.peers.iter().map(ToString::to_string).collect(),
         secret: rand::random(),
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -1,4 +1,4 @@
-//! One caller's connection, on either front.
+//! Serves one connection of a caller, for either front.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -9,34 +9,34 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// What a connection may cost before it carries a request.
+/// Limits on the head of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest time for a head to come; it also runs while the connection is idle.
+    /// Longest time to receive a head; also limits how long a connection is idle.
     pub head_timeout: Duration,
-    /// Most bytes of a head.
+    /// Size limit of a head, in bytes.
     pub max_head_bytes: usize,
 }
 
-/// Serves requests until the caller or `stop` ends the connection; a request
-/// that it carries when `stop` turns true is finished first.
+/// Serves requests until the caller closes the connection or `stop` turns true;
+/// a request in progress at that time is finished first.
 pub async fn connection<S, B>(stream: TcpStream, limits: Limits, service: S, mut stop: watch::Receiver<bool>)
 where
     S: HttpService<Incoming, ResBody = B, Error = Infallible>,
     B: Body + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let served = hyper::server::conn::http1::Builder::new()
+    let connection_future = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_timeout)
         .max_buf_size(limits.max_head_bytes)
         .serve_connection(TokioIo::new(stream), service);
-    tokio::pin!(served);
+    tokio::pin!(connection_future);
     tokio::select! {
-        _ = served.as_mut() => return,
+        _ = connection_future.as_mut() => return,
         _ = stop.wait_for(|stop| *stop) => {}
     }
-    served.as_mut().graceful_shutdown();
-    // How it ends is logged with its request.
-    let _ = served.await;
+    connection_future.as_mut().graceful_shutdown();
+    // The request's own log line has its outcome.
+    let _ = connection_future.await;
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -10,7 +10,7 @@
 use serde_with::serde_as;
 
 #[serde_as]
-/// What a process learns before it starts.
+/// Settings, read once at the start of the process.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -18,37 +18,38 @@
     pub host: String,
     /// Availability zone.
     pub zone: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Where peers connect.
+    /// Address for peers.
     pub peer_listen: SocketAddr,
-    /// Address told to peers, if it differs.
+    /// Address that peers use for this host, if it differs from `peer_listen`.
     #[serde(default)]
     pub peer_address: Option<SocketAddr>,
-    /// Where operators connect: metrics, health, status.
+    /// Address for operators: metrics, health and status.
     pub admin_listen: SocketAddr,
-    /// Some peers to begin with.
+    /// Addresses of peers to contact first; the others are learned from them.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Shared by all entry hosts; strangers are refused.
+    /// Secret shared by all entry hosts; messages without it are refused.
     pub peer_token: String,
-    /// The platform's service.
+    /// Address of the platform's services.
     pub platform: SocketAddr,
-    /// Most connections of callers.
+    /// Limit on connections of callers.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Traffic threads.
+    /// Number of threads that serve callers, 1 to 64.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// How long to go on accepting after being told to stop.
+    /// Time for which a stopping host still accepts requests, until the load
+    /// balancer has noticed.
     #[serde_as(as = "DurationText")]
     #[serde(default = "default_linger")]
     pub linger: Duration,
-    /// Longest time to let requests finish after that.
+    /// Longest time after that for requests in flight to finish.
     #[serde_as(as = "DurationText")]
     #[serde(default = "default_drain")]
     pub drain: Duration,
-    /// How calls are ordered and placed; other than `full` for comparisons.
+    /// Dispatch policy; values other than `full` are for comparisons.
     #[serde(default)]
     pub policy: Policy,
 }
@@ -70,22 +71,23 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
     ///
     /// # Errors
     ///
-    /// Names the key and what is allowed there.
+    /// When the file cannot be read or a value is invalid; names the key and the
+    /// allowed values.
     pub fn load(path: &Path) -> Result<Self> {
         let settings: Self = radishstair_wire::settings::load(path)?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Checks what types alone do not.
+    /// Checks constraints that the types do not express.
     ///
     /// # Errors
     ///
-    /// Names the key and what is allowed there.
+    /// When a value is invalid; names the key and the allowed values.
     pub fn check(&self) -> Result<()> {
         ensure!(!self.host.is_empty(), "host: must not be empty");
         ensure!(!self.zone.is_empty(), "zone: must not be empty");
@@ -98,8 +100,8 @@
         Ok(())
     }
 
-    /// Address that peers are told.
-    pub fn advertised(&self) -> SocketAddr {
+    /// Address that peers use for this host.
+    pub fn advertised_address(&self) -> SocketAddr {
         self.peer_address.unwrap_or(self.peer_listen)
     }
 }
