--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' side: metrics, health and status, served by oxhttp.
+//! HTTP interface for operators: metrics, health and status.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 
 use crate::handle::Handle;
 
-/// Longest wait for the control thread; past it the host is not healthy.
-const ANSWER: Duration = Duration::from_secs(2);
+/// Longest wait for the control thread's reply, after which the host is unhealthy.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Starts serving; returns at once.
+/// Starts the server on threads of its own.
 ///
 /// # Errors
 ///
@@ -33,29 +33,32 @@
     match request.uri().path() {
         "/metrics" => {
             handle.metrics.requests_in_flight.set(handle.in_flight() as i64);
-            answer(200, "text/plain; version=0.0.4", handle.metrics.render())
+            text_response(200, "text/plain; version=0.0.4", handle.metrics.render())
         }
         "/healthz" => match status(handle) {
-            Some(_) => answer(200, "text/plain", "ok\n".into()),
-            None => answer(503, "text/plain", "the control thread does not answer\n".into()),
+            Some(_) => text_response(200, "text/plain", "ok\n".into()),
+            None => text_response(503, "text/plain", "the control thread does not answer\n".into()),
         },
         "/readyz" => readiness(handle),
         "/status" => match status(handle) {
-            Some(status) => answer(200, "application/json", serde_json::json!(status).to_string()),
-            None => answer(503, "text/plain", "the control thread does not answer\n".into()),
+            Some(status) => text_response(200, "application/json", serde_json::json!(status).to_string()),
+            None => text_response(503, "text/plain", "the control thread does not answer\n".into()),
         },
-        _ => answer(404, "text/plain", "not found\n".into()),
+        _ => text_response(404, "text/plain", "not found\n".into()),
     }
 }
 
-/// Ready once a configuration is in force and until told to stop.
+/// Ready as soon as keys are trusted and a runner is known, until the host is
+/// told to stop.
 fn readiness(handle: &Handle) -> Response<Body> {
     if handle.is_stopping() {
-        return answer(503, "text/plain", "stopping\n".into());
+        return text_response(503, "text/plain", "stopping\n".into());
     }
     match status(handle) {
-        Some(status) if status.trusted && status.runners.0 > 0 => answer(200, "text/plain", "ready\n".into()),
-        _ => answer(
+        Some(status) if status.trusted && status.runners.0 > 0 => {
+            text_response(200, "text/plain", "ready\n".into())
+        }
+        _ => text_response(
             503,
             "text/plain",
             "no configuration or no runner list yet\n".into(),
@@ -70,13 +73,13 @@
         .enable_time()
         .build()
         .ok()?;
-    match runtime.block_on(async { tokio::time::timeout(ANSWER, reply).await }) {
+    match runtime.block_on(async { tokio::time::timeout(STATUS_TIMEOUT, reply).await }) {
         Ok(Ok(Reply::Status(status))) => Some(status),
         _ => None,
     }
 }
 
-fn answer(status: u16, kind: &str, body: String) -> Response<Body> {
+fn text_response(status: u16, kind: &str, body: String) -> Response<Body> {
     Response::builder()
         .status(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR))
         .header("content-type", kind)
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,7 +1,8 @@
-//! Peers: heartbeats, configuration, usage and calls passed on, by gRPC.
+//! Messages to peers over gRPC: heartbeats, configuration, usage and forwarded
+//! calls.
 //!
-//! Runs on a thread of its own. Each message is sent once and may be lost;
-//! what must arrive is repeated by the decisions, not here.
+//! Runs on a thread of its own. Each message is sent once and may be lost; the
+//! kernel repeats those that have to arrive.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,40 +21,47 @@
 pub use dialer::{Dialer, Token};
 
 /// Longest wait for an answer to a control message.
-const ANSWER: Duration = Duration::from_secs(2);
-/// Heartbeats in the air to one peer; more are dropped, as newer ones follow.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Unanswered heartbeats to one peer; further ones are dropped, as newer ones follow.
 const MAX_HEARTBEATS_IN_FLIGHT: usize = 2;
 
 /// A message to a peer's address.
 #[derive(Debug)]
 pub enum Message {
-    /// Heartbeat.
+    /// Sends a heartbeat.
     Heartbeat(String, Box<Heartbeat>),
-    /// Asks for configuration.
+    /// Requests the configuration.
     Pull(String, Pull),
-    /// Asks for usage.
+    /// Requests usage records.
     Collect(String, Collect),
 }
 
-/// Sends messages until the line is closed.
-pub async fn send(handle: Arc<Handle>, dialer: Arc<Dialer>, mut messages: mpsc::UnboundedReceiver<Message>) {
+/// Sends messages until the channel is closed.
+pub async fn run_sender(
+    handle: Arc<Handle>,
+    dialer: Arc<Dialer>,
+    mut messages: mpsc::UnboundedReceiver<Message>,
+) {
     while let Some(message) = messages.recv().await {
         let handle = handle.clone();
         let dialer = dialer.clone();
         match message {
-            Message::Heartbeat(address, beat) => {
+            Message::Heartbeat(address, heartbeat) => {
                 let Some((channel, in_flight)) = dialer.channel(&address) else {
                     continue;
                 };
-                // A frozen peer must not pile up messages here.
+                // Bounds the memory used for a peer that does not answer.
                 if Arc::strong_count(&in_flight) > 2 + MAX_HEARTBEATS_IN_FLIGHT {
                     continue;
                 }
-                handle.metrics.heartbeat_bytes.inc_by(beat.encoded_len() as u64);
+                handle
+                    .metrics
+                    .heartbeat_bytes
+                    .inc_by(heartbeat.encoded_len() as u64);
                 let mut client = dialer.client_on(channel);
                 tokio::spawn(async move {
                     let _in_air = in_flight;
-                    answer(client.heartbeat(*beat)).await;
+                    await_answer(client.heartbeat(*heartbeat)).await;
                 });
             }
             Message::Pull(address, pull) => {
@@ -61,17 +69,17 @@
                     continue;
                 };
                 tokio::spawn(async move {
-                    if let Some(pulled) = answer(client.pull(pull)).await {
+                    if let Some(pulled) = await_answer(client.pull(pull)).await {
                         handle.notify(Event::Pulled(pulled));
                     }
                 });
             }
-            Message::Collect(address, ask) => {
+            Message::Collect(address, collect) => {
                 let Some(mut client) = dialer.client(&address) else {
                     continue;
                 };
                 tokio::spawn(async move {
-                    if let Some(collected) = answer(client.collect(ask)).await {
+                    if let Some(collected) = await_answer(client.collect(collect)).await {
                         handle.notify(Event::Collected(collected));
                     }
                 });
@@ -80,7 +88,7 @@
     }
 }
 
-async fn answer<T>(call: impl Future<Output = Result<Response<T>, Status>>) -> Option<T> {
-    let answered = tokio::time::timeout(ANSWER, call).await.ok()?;
+async fn await_answer<T>(call: impl Future<Output = Result<Response<T>, Status>>) -> Option<T> {
+    let answered = tokio::time::timeout(ANSWER_TIMEOUT, call).await.ok()?;
     answered.ok().map(Response::into_inner)
 }
--- a/crates/entry/src/peers/dialer.rs
+++ b/crates/entry/src/peers/dialer.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, each message with the shared token.
+//! Connections to peers; every message includes the shared token.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Request, Status};
 
-/// Longest wait for a connection to a peer.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Longest time to establish a connection to a peer.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Adds the shared token to each message.
+/// Interceptor that adds the shared token to each message.
 #[derive(Clone, Debug)]
 pub struct Token(MetadataValue<Ascii>);
 
 impl Token {
-    /// From the settings.
+    /// Creates the interceptor for a token.
     ///
     /// # Errors
     ///
-    /// When the text cannot stand in a header.
+    /// When the token contains other than visible ASCII characters.
     pub fn new(text: &str) -> Result<Self> {
         Ok(Self(
             text.parse()
@@ -41,7 +41,7 @@
     }
 }
 
-/// Connections to peers, made when first needed.
+/// Opens connections to peers when first needed, and keeps them.
 #[derive(Debug)]
 pub struct Dialer {
     token: Token,
@@ -52,7 +52,7 @@
 pub type Client = PeerClient<InterceptedService<Channel, Token>>;
 
 impl Dialer {
-    /// No connection yet.
+    /// Starts without any connection.
     pub fn new(token: Token) -> Self {
         Self {
             token,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A client of the peer at an address; connects when used.
+    /// A client of the peer at an address; connects on the first call.
     pub fn client(&self, address: &str) -> Option<Client> {
         self.channel(address).map(|(channel, _)| self.client_on(channel))
     }
@@ -76,12 +76,12 @@
             .channels
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        match channels.binary_search_by(|(have, ..)| have.as_str().cmp(address)) {
+        match channels.binary_search_by(|(key, ..)| key.as_str().cmp(address)) {
             Ok(at) => Some((channels[at].1.clone(), channels[at].2.clone())),
             Err(at) => {
                 let channel = Endpoint::from_shared(format!("http://{address}"))
                     .ok()?
-                    .connect_timeout(CONNECT)
+                    .connect_timeout(CONNECT_TIMEOUT)
                     .tcp_nodelay(true)
                     .connect_lazy();
                 let in_flight = Arc::new(());
--- a/crates/entry/src/peers/serve.rs
+++ b/crates/entry/src/peers/serve.rs
@@ -1,4 +1,4 @@
-//! The peers' side of this process, by gRPC.
+//! The gRPC server for peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::front::call;
 use crate::handle::Handle;
 
-/// Answers peers.
+/// Implementation of the peers' protocol.
 #[derive(Debug)]
 pub struct Service {
     handle: Arc<Handle>,
@@ -27,9 +27,12 @@
 }
 
 impl Service {
-    async fn ask(&self, make: impl FnOnce(radishstair_core::id::CallId) -> Event) -> Result<Reply, Status> {
+    async fn query(
+        &self,
+        make_event: impl FnOnce(radishstair_core::id::CallId) -> Event,
+    ) -> Result<Reply, Status> {
         let call = self.handle.next_call_id();
-        let reply = self.handle.request(call, make(call));
+        let reply = self.handle.request(call, make_event(call));
         reply.await.map_err(|_| Status::unavailable("stopping"))
     }
 }
@@ -43,15 +46,15 @@
 
     async fn pull(&self, request: Request<Pull>) -> Result<Response<Pulled>, Status> {
         let pull = request.into_inner();
-        match self.ask(|call| Event::Pull(call, pull)).await? {
+        match self.query(|call| Event::Pull(call, pull)).await? {
             Reply::Pulled(pulled) => Ok(Response::new(pulled)),
             _ => Err(Status::internal("unexpected reply")),
         }
     }
 
     async fn collect(&self, request: Request<Collect>) -> Result<Response<Collected>, Status> {
-        let ask = request.into_inner();
-        match self.ask(|call| Event::Collect(call, ask)).await? {
+        let collect = request.into_inner();
+        match self.query(|call| Event::Collect(call, collect)).await? {
             Reply::Collected(collected) => Ok(Response::new(collected)),
             _ => Err(Status::internal("unexpected reply")),
         }
@@ -60,8 +63,8 @@
     async fn forward(&self, request: Request<Forward>) -> Result<Response<Forwarded>, Status> {
         let forward = request.into_inner();
         let calls = self.calls.clone();
-        // On the traffic threads, and not bound to this connection: once the
-        // call has begun it must come to its end whoever waits.
+        // Runs on the traffic threads and independently of this connection: once
+        // started, the call must complete even if the peer disconnects.
         let task = self
             .traffic
             .spawn(async move { calls.handle_forwarded(forward).await });
@@ -91,20 +94,20 @@
     })
     .max_decoding_message_size(MAX_MESSAGE_BYTES)
     .max_encoding_message_size(MAX_MESSAGE_BYTES);
-    let guard = move |request: Request<()>| admit(&token, request);
+    let interceptor = move |request: Request<()>| check_token(&token, request);
     Server::builder()
         .tcp_nodelay(true)
-        .add_service(InterceptedService::new(service, guard))
+        .add_service(InterceptedService::new(service, interceptor))
         .serve(listen)
         .await
         .with_context(|| format!("serving peers on {listen}"))
 }
 
-/// Refuses whoever lacks the shared token; compared in constant time.
-fn admit(token: &str, request: Request<()>) -> Result<Request<()>, Status> {
-    let given = request.metadata().get(PEER_TOKEN).map(|value| value.as_bytes());
-    match given {
-        Some(given) if bool::from(given.ct_eq(token.as_bytes())) => Ok(request),
+/// Refuses messages without the shared token, which is compared in constant time.
+fn check_token(token: &str, request: Request<()>) -> Result<Request<()>, Status> {
+    let presented = request.metadata().get(PEER_TOKEN).map(|value| value.as_bytes());
+    match presented {
+        Some(presented) if bool::from(presented.ct_eq(token.as_bytes())) => Ok(request),
         _ => Err(Status::unauthenticated("not a peer")),
     }
 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -163,7 +163,7 @@
     let (handle, traffic) = (handle.clone(), traffic.handle().clone());
     let server = peers::serve::run(handle.clone(), listen, token_text, traffic, calls);
     spawn("peers", move || {
-        runtime.spawn(peers::send(handle, dialer, outbox));
+        runtime.spawn(peers::run_sender(handle, dialer, outbox));
         if let Err(err) = runtime.block_on(server) {
             tracing::error!(event = "peers-not-served", reason = %format!("{err:#}"));
             std::process::exit(1);
