--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -25,7 +25,7 @@
 
 use super::{Body, MAX_BODY_BYTES, authenticate, header, issue_tickets, read_body, refusal_response};
 use crate::handle::Handle;
-use crate::metrics::Class;
+use crate::metrics::ClassLabel;
 use crate::peers::dialer::Dialer;
 use crate::upstream::attempts;
 use crate::upstream::pool::Pool;
@@ -128,7 +128,7 @@
         metrics.count_request(&class, outcome);
         metrics
             .first_answer
-            .get_or_create(&Class { class: class.clone() })
+            .get_or_create(&ClassLabel { class: class.clone() })
             .observe(started.elapsed().as_secs_f64());
         tracing::info!(
             event = "request",
--- a/crates/entry/src/front/chat/job.rs
+++ b/crates/entry/src/front/chat/job.rs
@@ -22,7 +22,7 @@
 use crate::front::sse::Splitter;
 use crate::handle::Handle;
 use crate::in_flight::InFlightGuard;
-use crate::metrics::Class;
+use crate::metrics::ClassLabel;
 use crate::upstream::attempts::{self, AttemptError, Attempts};
 use crate::upstream::pool::Pool;
 use crate::upstream::{self, Exchange, Failure, ResponseConnection, RunnerRequest, has_leaving_notice};
@@ -157,8 +157,8 @@
         self.finish(outcome, progress, &parts).await;
     }
 
-    fn class(&self) -> Class {
-        Class {
+    fn class(&self) -> ClassLabel {
+        ClassLabel {
             class: self.route.class.clone(),
         }
     }
@@ -411,7 +411,7 @@
     fn record_chunk(&mut self, job: &Job, assignment: &Assignment, chunk: &Chunk) {
         if let Some(head) = self.head.take() {
             let _ = head.send(Ok(assignment.name.clone()));
-            let class = Class {
+            let class = ClassLabel {
                 class: job.route.class.clone(),
             };
             job.handle
@@ -422,7 +422,7 @@
         }
         if chunk.has_text {
             self.usage.tokens += 1;
-            let class = Class {
+            let class = ClassLabel {
                 class: job.route.class.clone(),
             };
             job.handle.metrics.tokens.get_or_create(&class).inc();
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Metrics by prometheus-client; the list for operators is in the docs.
+//! The metrics of a process, in the Prometheus text format. Their list for
+//! operators is in the documentation.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,80 +12,80 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
-/// Class and how it came out.
+/// Labels of a finished request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Outcome {
+pub struct RequestLabels {
     /// Request class.
     pub class: String,
-    /// `ok` or the kind of the refusal.
+    /// `ok`, `answered`, `caller-gone` or the kind of the refusal.
     pub outcome: String,
 }
 
-/// Class alone.
+/// Label of metrics by request class.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Class {
+pub struct ClassLabel {
     /// Request class.
     pub class: String,
 }
 
-/// Kind of a call to the platform and how it came out.
+/// Labels of a finished call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Platform {
-    /// What was asked.
+pub struct PlatformCallLabels {
+    /// Name of the call.
     pub call: &'static str,
     /// `ok`, `refused` or `lost`.
     pub outcome: &'static str,
 }
 
-/// Kind of a call to the platform or to a peer.
+/// Label of metrics by call to the platform or to a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Called {
-    /// What was asked.
+pub struct CallLabel {
+    /// Name of the call.
     pub call: &'static str,
 }
 
-const SECONDS: [f64; 12] = [
+const LATENCY_BUCKETS_S: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.53, 1.0, 2.5, 5.0, 15.0, 60.0,
 ];
 
-fn seconds() -> Histogram {
-    Histogram::new(SECONDS)
+fn latency_histogram() -> Histogram {
+    Histogram::new(LATENCY_BUCKETS_S)
 }
 
 /// All metrics of the process.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     /// Requests by class and outcome.
-    pub requests: Family<Outcome, Counter>,
-    /// Time to the first token or whole plain answer.
-    pub first_answer: Family<Class, Histogram, fn() -> Histogram>,
-    /// Tokens that went to callers.
-    pub tokens: Family<Class, Counter>,
-    /// Streams that another runner had to go on with.
-    pub resumed_streams: Family<Class, Counter>,
-    /// Calls passed on to their owner.
+    pub requests: Family<RequestLabels, Counter>,
+    /// Time to the first token or to the complete plain answer.
+    pub first_answer: Family<ClassLabel, Histogram, fn() -> Histogram>,
+    /// Generated tokens sent to callers.
+    pub tokens: Family<ClassLabel, Counter>,
+    /// Streams that were resumed at another runner.
+    pub resumed_streams: Family<ClassLabel, Counter>,
+    /// Calls forwarded to the owner of their key.
     pub forwarded_calls: Counter,
-    /// Connections refused past the bound.
+    /// Connections refused because of the limit.
     pub refused_connections: Counter,
     /// Calls to the platform.
-    pub platform_calls: Family<Platform, Counter>,
+    pub platform_calls: Family<PlatformCallLabels, Counter>,
     /// Bytes of the answers to calls to the platform and to peers.
-    pub response_bytes: Family<Called, Counter>,
-    /// Time of such calls, answered or given up.
-    pub call_duration: Family<Called, Histogram, fn() -> Histogram>,
-    /// Size of the configuration in force.
+    pub response_bytes: Family<CallLabel, Counter>,
+    /// Duration of such calls until the answer or the timeout.
+    pub call_duration: Family<CallLabel, Histogram, fn() -> Histogram>,
+    /// Size of the configuration in force, in bytes.
     pub configuration_bytes: Gauge,
-    /// Heartbeat bytes sent.
+    /// Bytes of heartbeats sent.
     pub heartbeat_bytes: Counter,
-    /// Configuration version in force.
+    /// Version of the configuration in force.
     pub configuration_version: Gauge,
-    /// Whether keys may be trusted.
+    /// 1 while the configuration is recent enough to trust its keys, else 0.
     pub keys_trusted: Gauge,
     /// Requests in flight.
     pub requests_in_flight: Gauge,
-    /// Log lines dropped because their writer was behind.
+    /// Log lines dropped because the queue of the log writer was full.
     pub log_lines_dropped: Gauge,
-    /// Processor time of the control thread.
+    /// Time for which the control thread handled events, in microseconds.
     pub control_busy_us: Counter,
     registry: Arc<Registry>,
 }
@@ -93,14 +94,14 @@
     fn default() -> Self {
         let mut metrics = Self {
             requests: Family::default(),
-            first_answer: Family::new_with_constructor(seconds),
+            first_answer: Family::new_with_constructor(latency_histogram),
             tokens: Family::default(),
             resumed_streams: Family::default(),
             forwarded_calls: Counter::default(),
             refused_connections: Counter::default(),
             platform_calls: Family::default(),
             response_bytes: Family::default(),
-            call_duration: Family::new_with_constructor(seconds),
+            call_duration: Family::new_with_constructor(latency_histogram),
             configuration_bytes: Gauge::default(),
             heartbeat_bytes: Counter::default(),
             configuration_version: Gauge::default(),
@@ -122,28 +123,24 @@
         registry.register("requests", "Requests by class and outcome", self.requests.clone());
         registry.register_with_unit(
             "first_answer",
-            "Time to the first token or the whole plain answer",
+            "Time to the first token or the complete plain answer",
             Unit::Seconds,
             self.first_answer.clone(),
         );
-        registry.register(
-            "tokens",
-            "Generated tokens that went to callers",
-            self.tokens.clone(),
-        );
+        registry.register("tokens", "Generated tokens sent to callers", self.tokens.clone());
         registry.register(
             "resumed_streams",
-            "Streams that went on at another runner",
+            "Streams resumed at another runner",
             self.resumed_streams.clone(),
         );
         registry.register(
             "forwarded_calls",
-            "Calls passed on to their owner",
+            "Calls forwarded to the owner of their key",
             self.forwarded_calls.clone(),
         );
         registry.register(
             "refused_connections",
-            "Connections refused past the bound",
+            "Connections refused because of the limit",
             self.refused_connections.clone(),
         );
         registry.register(
@@ -153,13 +150,13 @@
         );
         registry.register_with_unit(
             "platform_answer",
-            "Bytes of answers of the platform and of peers",
+            "Size of answers from the platform and from peers",
             Unit::Bytes,
             self.response_bytes.clone(),
         );
         registry.register_with_unit(
             "platform_call",
-            "Time of calls to the platform and to peers, answered or given up",
+            "Duration of calls to the platform and to peers until the answer or the timeout",
             Unit::Seconds,
             self.call_duration.clone(),
         );
@@ -171,7 +168,7 @@
         );
         registry.register(
             "log_lines_dropped",
-            "Log lines dropped because their writer was behind",
+            "Log lines dropped because the queue of the log writer was full",
             self.log_lines_dropped.clone(),
         );
         registry.register_with_unit(
@@ -182,12 +179,12 @@
         );
         registry.register(
             "configuration_version",
-            "Configuration in force",
+            "Version of the configuration in force",
             self.configuration_version.clone(),
         );
         registry.register(
             "keys_trusted",
-            "1 while keys may be trusted",
+            "1 while the configuration is recent enough to trust its keys",
             self.keys_trusted.clone(),
         );
         registry.register(
@@ -197,47 +194,47 @@
         );
         registry.register(
             "control_busy_microseconds",
-            "Time that the control thread was busy",
+            "Time for which the control thread handled events",
             self.control_busy_us.clone(),
         );
     }
 
-    /// Counts a request.
+    /// Counts a finished request.
     pub fn count_request(&self, class: &str, outcome: &str) {
-        let labels = Outcome {
+        let labels = RequestLabels {
             class: class.to_string(),
             outcome: outcome.to_string(),
         };
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Records the time to a first token or whole plain answer.
-    pub fn observe_first_answer(&self, class: &str, waited: Duration) {
-        let labels = Class {
+    /// Records the time to a first token or a complete plain answer.
+    pub fn observe_first_answer(&self, class: &str, elapsed: Duration) {
+        let labels = ClassLabel {
             class: class.to_string(),
         };
         self.first_answer
             .get_or_create(&labels)
-            .observe(waited.as_secs_f64());
+            .observe(elapsed.as_secs_f64());
     }
 
-    /// Records what a call to the platform or to a peer brought, and how long it took.
-    pub fn observe_call(&self, call: &'static str, bytes: usize, took: Duration) {
-        let labels = Called { call };
+    /// Records the answer size and the duration of a call to the platform or to a peer.
+    pub fn observe_call(&self, call: &'static str, bytes: usize, elapsed: Duration) {
+        let labels = CallLabel { call };
         self.response_bytes.get_or_create(&labels).inc_by(bytes as u64);
         self.call_duration
             .get_or_create(&labels)
-            .observe(took.as_secs_f64());
+            .observe(elapsed.as_secs_f64());
     }
 
-    /// Counts a call to the platform.
+    /// Counts a finished call to the platform.
     pub fn count_platform_call(&self, call: &'static str, outcome: &'static str) {
         self.platform_calls
-            .get_or_create(&Platform { call, outcome })
+            .get_or_create(&PlatformCallLabels { call, outcome })
             .inc();
     }
 
-    /// All metrics as text.
+    /// All metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let _ = encode(&mut text, &self.registry);
