--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -2,15 +2,15 @@
 
 /// Idempotency key of an at-most-once call.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Names the request towards a runner; its answer must name it again.
+/// Id of a request to a runner; the answer must repeat it.
 pub const REQUEST_ID: &str = "x-request-id";
-/// Priority for the engine; lower goes first.
+/// Priority of a request for the engine; lower values go first.
 pub const PRIORITY: &str = "x-priority";
-/// A runner's notice that it leaves.
+/// Present in answers of a runner that is about to leave.
 pub const LEAVING: &str = "x-leaving";
-/// Runner that served a call, for callers and tests.
+/// Name of the runner that served a call, for callers and tests.
 pub const RUNNER: &str = "x-runner";
-/// Token of a promised time to come back, in refusals and then in requests.
+/// Token of a reserved retry time, sent in a refusal and repeated in the retry.
 pub const RESERVATION_TOKEN: &str = "x-come-back";
-/// Request class that a caller wants, where the path does not give it.
+/// Request class chosen by the caller, if the path does not determine it.
 pub const CLASS: &str = "x-class";
--- a/crates/wire/src/log.rs
+++ b/crates/wire/src/log.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event.
+//! Logging, with one line of key=value pairs for each event.
 
 use std::sync::OnceLock;
 
@@ -6,16 +6,16 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Variable that filters events, such as `info` or `radishstair_entry=debug`.
+/// Environment variable with the log filter, such as `info` or `radishstair_entry=debug`.
 pub const FILTER_VARIABLE: &str = "RADISHSTAIR_LOG";
 
-/// Starts logging; events below `info` need the filter.
+/// Starts logging to standard error, by default from level `info`.
 pub fn init() {
-    let lines = tracing_logfmt::builder().layer().with_writer(std::io::stderr);
-    // A second start in one process (tests) keeps the first.
+    let formatter = tracing_logfmt::builder().layer().with_writer(std::io::stderr);
+    // If logging was already started in this process, as in tests, the first one is kept.
     let _ = tracing_subscriber::registry()
         .with(filter())
-        .with(lines)
+        .with(formatter)
         .try_init();
 }
 
@@ -24,36 +24,37 @@
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"))
 }
 
-/// Lines that wait for the writer before further ones are dropped: a second
-/// of a host's lines at its highest rate.
+/// Capacity of the queue of the log writer, in lines: what a host logs within a
+/// second at its highest rate. Lines that do not fit are dropped.
 const MAX_QUEUED_LINES: usize = 2_048;
 
-/// Starts logging through a thread of its own and a bounded queue. Lines past
-/// the bound are dropped and counted, so that a slow reader of the log never
-/// delays a request. Dropping the guard writes what waits.
+/// Starts logging to standard output by a thread with a bounded queue.
+///
+/// Lines that do not fit into the queue are dropped and counted, so that a slow
+/// reader of the log does not delay requests. Dropping the guard flushes the queue.
 pub fn init_bounded() -> Guard {
     let (writer, worker) = tracing_appender::non_blocking::NonBlockingBuilder::default()
         .buffered_lines_limit(MAX_QUEUED_LINES)
         .lossy(true)
         .thread_name("log")
         .finish(std::io::stdout());
-    // A second start in one process (tests) keeps the first.
+    // If logging was already started in this process, as in tests, the first one is kept.
     let _ = DROPPED.set(writer.error_counter());
-    let lines = tracing_logfmt::builder().layer().with_writer(writer);
+    let formatter = tracing_logfmt::builder().layer().with_writer(writer);
     let _ = tracing_subscriber::registry()
         .with(filter())
-        .with(lines)
+        .with(formatter)
         .try_init();
     Guard(worker)
 }
 
-/// Keeps the writer of the log running.
+/// Keeps the log writer running; flushes its queue on drop.
 #[derive(Debug)]
 pub struct Guard(#[allow(dead_code)] tracing_appender::non_blocking::WorkerGuard);
 
 static DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
 
-/// Lines dropped so far by the bounded log.
+/// Number of lines dropped so far by the bounded log.
 pub fn dropped_lines() -> usize {
     DROPPED.get().map_or(0, ErrorCounter::dropped_lines)
 }
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -1,10 +1,10 @@
-//! The platform's published interfaces: key-value service, host list,
-//! ordering and usage.
+//! Client and message types of the platform's interfaces: key-value store,
+//! runner list, orders and usage reports.
 //!
-//! All are HTTP/1.1 with JSON. What matters to callers is which failures leave
-//! a write undone for certain ([`Answer::Refused`]) and which do not
-//! ([`Answer::Lost`]): only a refused connection or an error that the service
-//! itself spelled out counts as undone.
+//! All are HTTP/1.1 with JSON. A failed write is either certain not to have
+//! taken effect ([`Answer::Refused`]) or may have ([`Answer::Lost`]). Only a
+//! refused or timed-out connection, and an error status by which the service
+//! rejects a request before it runs it, are certain.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 use radishstair_core::store::{Answer, Call, Entry};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Longest time that a watch waits at the service.
+/// Longest time for which the service holds a watch open.
 pub const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest wait for any other answer.
+/// Longest time of any other call.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 record! {
@@ -24,11 +24,11 @@
     pub struct Swap {
         /// Key.
         pub key: String,
-        /// Version that must stand; 0 for absent.
+        /// Version that the key must have; 0 if it must be absent.
         pub expect: u64,
         /// New value.
         pub value: String,
-        /// Lease that takes the key along when it ends.
+        /// Lease with which the key expires.
         #[serde(default)]
         pub lease: Option<u64>,
     }
@@ -38,7 +38,7 @@
     pub struct Remove {
         /// Key.
         pub key: String,
-        /// Version that must stand.
+        /// Version that the key must have.
         pub expect: u64,
     }
 }
@@ -52,13 +52,13 @@
 record! {
     /// Body of `POST /kv/range` and, with a wait, of `POST /kv/watch`.
     pub struct Range {
-        /// Prefix.
+        /// Prefix of the keys.
         pub prefix: String,
-        /// Only keys that sort behind this one.
+        /// Only keys that sort after this one.
         pub after: String,
-        /// Most keys.
+        /// Largest number of keys in the answer.
         pub limit: u32,
-        /// How long a watch waits, in milliseconds.
+        /// Time for which a watch waits for a change, in milliseconds.
         #[serde(default)]
         pub wait_ms: u64,
     }
@@ -71,7 +71,7 @@
     }
 }
 record! {
-    /// A key as the service gives it.
+    /// A key with its value, in an answer.
     pub struct Item {
         /// Key.
         pub key: String,
@@ -82,16 +82,16 @@
     }
 }
 record! {
-    /// Answer to reads.
+    /// Answer to a read.
     pub struct Items {
-        /// Keys in order.
+        /// Keys in ascending order.
         pub items: Vec<Item>,
     }
 }
 record! {
     /// Body of `POST /lease/grant`; the answer is [`Written`] with the id.
     pub struct Grant {
-        /// Life, in milliseconds.
+        /// Lifetime of the lease, in milliseconds.
         pub ttl_ms: u64,
     }
 }
@@ -107,27 +107,27 @@
     pub struct RunnerList {
         /// Revision of the list.
         pub revision: u64,
-        /// All runners; absent when nothing changed since `after`.
+        /// All runners; absent if nothing changed since `after`.
         pub runners: Option<Vec<Listing>>,
     }
 }
 record! {
     /// Body of `POST /usage`.
     pub struct Report {
-        /// Who reports; for the platform's own records.
+        /// Identity of the sender, for the platform's own records.
         pub sender: String,
-        /// Fencing number of the reporter.
+        /// Fencing number of the sender's duty lease.
         pub fence: u64,
-        /// Place in the chain of windows.
+        /// Sequence number of the sealed window.
         pub number: u64,
-        /// Window.
+        /// Window that the report covers.
         pub window: u64,
-        /// Figures.
+        /// Usage by customer and class.
         pub lines: Vec<radishstair_core::usage::report::Line>,
     }
 }
 
-/// How an answer came out, short of a typed body.
+/// Response of the platform, before its body is parsed.
 enum RawResponse {
     Body(u16, Vec<u8>),
     NotSent,
@@ -142,7 +142,7 @@
 }
 
 impl Client {
-    /// A client of the service at an IP address and port.
+    /// Creates a client of the platform at an IP address and port.
     pub fn new(address: &str) -> Self {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Makes one call to the key-value service.
+    /// Makes one call to the key-value store; `lease` applies to a write.
     pub fn call_store(&self, call: &Call, lease: Option<u64>) -> Answer {
         match call {
             Call::CompareAndSwap { key, expect, value } => {
@@ -175,21 +175,24 @@
                 };
                 write_answer(key, self.post("/kv/remove", &body, CALL_TIMEOUT))
             }
-            // The platform's own answers are never old, and always whole.
+            // The platform answers with the current and complete value, which
+            // also satisfies stale and conditional reads.
             Call::Get { key } | Call::GetStale { key } | Call::GetIfChanged { key, .. } => {
                 read_answer(self.post("/kv/get", &Get { key: key.clone() }, CALL_TIMEOUT))
             }
-            Call::Range { prefix, after, limit } => {
-                read_answer(self.post("/kv/range", &range(prefix, after, *limit, 0), CALL_TIMEOUT))
-            }
+            Call::Range { prefix, after, limit } => read_answer(self.post(
+                "/kv/range",
+                &range_request(prefix, after, *limit, 0),
+                CALL_TIMEOUT,
+            )),
             Call::Watch { prefix, after } => {
-                let body = range(prefix, after, 1, WATCH_TIMEOUT.as_millis() as u64);
+                let body = range_request(prefix, after, 1, WATCH_TIMEOUT.as_millis() as u64);
                 read_answer(self.post("/kv/watch", &body, WATCH_TIMEOUT + CALL_TIMEOUT))
             }
         }
     }
 
-    /// A new lease.
+    /// Grants a lease; returns its id, or `None` if the call failed.
     pub fn grant_lease(&self, ttl: Duration) -> Option<u64> {
         let body = Grant {
             ttl_ms: ttl.as_millis() as u64,
@@ -202,20 +205,27 @@
         }
     }
 
-    /// The host list, if it changed since a revision.
+    /// Reads the runner list, if it changed since the revision `after`.
+    ///
+    /// # Errors
+    ///
+    /// When the platform cannot be reached or its answer is not a runner list.
     pub fn runners(&self, after: u64) -> Result<RunnerList> {
         let url = format!("{}/hosts?after={after}", self.base);
-        let mut answer = self.agent.get(&url).call().context("reading the host list")?;
+        let mut answer = self.agent.get(&url).call().context("reading the runner list")?;
         anyhow::ensure!(
             answer.status() == 200,
-            "the host list answered {}",
+            "reading the runner list: status {}",
             answer.status()
         );
-        let body = answer.body_mut().read_to_vec().context("reading the host list")?;
-        serde_json::from_slice(&body).context("reading the host list")
+        let body = answer
+            .body_mut()
+            .read_to_vec()
+            .context("reading the runner list")?;
+        serde_json::from_slice(&body).context("parsing the runner list")
     }
 
-    /// Sends an order; true if it was accepted.
+    /// Sends an order; true if the platform accepted it.
     pub fn send_order(&self, order: &radishstair_core::order::Order) -> bool {
         matches!(
             self.post("/orders", order, CALL_TIMEOUT),
@@ -223,7 +233,7 @@
         )
     }
 
-    /// Sends a report; true if it was accepted.
+    /// Sends a usage report; true if the platform accepted it.
     pub fn send_report(&self, report: &Report) -> bool {
         matches!(
             self.post("/usage", report, CALL_TIMEOUT),
@@ -231,20 +241,24 @@
         )
     }
 
-    /// Any other call, with typed bodies.
+    /// Sends a JSON body to a path and parses the JSON answer.
+    ///
+    /// # Errors
+    ///
+    /// When the call fails, or its answer has another status or type.
     pub fn post_json<B: Serialize, A: DeserializeOwned>(&self, path: &str, body: &B) -> Result<A> {
         match self.post(path, body, CALL_TIMEOUT) {
             RawResponse::Body(200, body) => {
                 serde_json::from_slice(&body).with_context(|| format!("reading the answer of {path}"))
             }
-            RawResponse::Body(status, _) => anyhow::bail!("{path} answered {status}"),
-            RawResponse::NotSent => anyhow::bail!("{path}: cannot connect"),
-            RawResponse::Lost => anyhow::bail!("{path}: no answer"),
+            RawResponse::Body(status, _) => anyhow::bail!("{path}: status {status}"),
+            RawResponse::NotSent => anyhow::bail!("{path}: cannot connect to the platform"),
+            RawResponse::Lost => anyhow::bail!("{path}: no answer from the platform"),
         }
     }
 
     fn post<B: Serialize>(&self, path: &str, body: &B, limit: Duration) -> RawResponse {
-        let Ok(text) = serde_json::to_vec(body) else {
+        let Ok(json) = serde_json::to_vec(body) else {
             return RawResponse::NotSent;
         };
         let request = self
@@ -254,7 +268,7 @@
             .config()
             .timeout_global(Some(limit))
             .build();
-        match request.send(&text[..]) {
+        match request.send(&json[..]) {
             Ok(mut answer) => {
                 let status = answer.status().as_u16();
                 let body = answer
@@ -273,7 +287,7 @@
     }
 }
 
-fn range(prefix: &str, after: &str, limit: u32, wait_ms: u64) -> Range {
+fn range_request(prefix: &str, after: &str, limit: u32, wait_ms: u64) -> Range {
     Range {
         prefix: prefix.into(),
         after: after.into(),
@@ -282,7 +296,7 @@
     }
 }
 
-fn entry(item: Item) -> Entry {
+fn to_entry(item: Item) -> Entry {
     Entry {
         key: item.key,
         version: item.version,
@@ -290,23 +304,29 @@
     }
 }
 
-fn write_answer(key: &str, raw: RawResponse) -> Answer {
-    match raw {
+fn write_answer(key: &str, response: RawResponse) -> Answer {
+    match response {
         RawResponse::Body(200, body) => match serde_json::from_slice::<Written>(&body) {
             Ok(written) => Answer::Written(written.version),
             Err(_) => Answer::Lost,
         },
         RawResponse::Body(409, body) => match serde_json::from_slice::<Items>(&body) {
-            Ok(found) => Answer::Conflict(found.items.into_iter().next().map_or_else(|| absent(key), entry)),
+            Ok(found) => Answer::Conflict(
+                found
+                    .items
+                    .into_iter()
+                    .next()
+                    .map_or_else(|| absent_entry(key), to_entry),
+            ),
             Err(_) => Answer::Lost,
         },
-        // The service spells these out before it touches anything.
+        // The service sends these statuses before it changes anything.
         RawResponse::Body(400 | 413 | 429, _) | RawResponse::NotSent => Answer::Refused,
         RawResponse::Body(..) | RawResponse::Lost => Answer::Lost,
     }
 }
 
-fn absent(key: &str) -> Entry {
+fn absent_entry(key: &str) -> Entry {
     Entry {
         key: key.into(),
         version: 0,
@@ -314,10 +334,10 @@
     }
 }
 
-fn read_answer(raw: RawResponse) -> Answer {
-    match raw {
+fn read_answer(response: RawResponse) -> Answer {
+    match response {
         RawResponse::Body(200, body) => match serde_json::from_slice::<Items>(&body) {
-            Ok(found) => Answer::Found(found.items.into_iter().map(entry).collect()),
+            Ok(found) => Answer::Found(found.items.into_iter().map(to_entry).collect()),
             Err(_) => Answer::Lost,
         },
         RawResponse::Body(400 | 413 | 429, _) | RawResponse::NotSent => Answer::Refused,
--- a/src/bin/radishctl.rs
+++ b/src/bin/radishctl.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! Command-line tool for operators.
 
 use std::process::ExitCode;
 
--- a/src/bin/radishstair-entry.rs
+++ b/src/bin/radishstair-entry.rs
@@ -1,4 +1,4 @@
-//! An entry host.
+//! The entry host.
 
 use std::process::ExitCode;
 
--- a/src/bin/radishstair-load.rs
+++ b/src/bin/radishstair-load.rs
@@ -1,4 +1,4 @@
-//! Deployments, checks, load and experiments.
+//! Tool for test deployments, smoke tests, load and simulated experiments.
 
 use std::process::ExitCode;
 
--- a/src/bin/standin-engine.rs
+++ b/src/bin/standin-engine.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a model engine.
+//! Stand-in for a model engine, for tests.
 
 use std::process::ExitCode;
 
--- a/src/bin/standin-plain.rs
+++ b/src/bin/standin-plain.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service.
+//! Stand-in for a plain service, for tests.
 
 use std::process::ExitCode;
 
--- a/src/bin/standin-platform.rs
+++ b/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform.
+//! Stand-in for the platform, for tests.
 
 use std::process::ExitCode;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! Starting the programs of radishstair.
+//! Command line and startup of the serving programs.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -6,9 +6,9 @@
 use argh::FromArgs;
 use serde::de::DeserializeOwned;
 
-/// What every serving program takes.
+/// Command line of every serving program.
 #[derive(Debug, FromArgs)]
-#[argh(description = "Part of radishstair; serves until it is told to stop.")]
+#[argh(description = "Part of radishstair; serves until SIGTERM or SIGINT.")]
 pub struct Args {
     /// settings file (JSON)
     #[argh(positional)]
@@ -21,7 +21,7 @@
     pub check: bool,
 }
 
-/// Parses the command line, reads the settings and runs a program.
+/// Parses the command line, reads and checks the settings, and runs a program.
 pub fn start<T: DeserializeOwned>(
     name: &str,
     check: impl FnOnce(&T) -> anyhow::Result<()>,
