--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -117,7 +117,7 @@
                 });
                 task.await.unwrap_or_else(|_| Err(Kind::UpstreamBroken.into()))
             }
-            _ => self.repeatable(&job).await,
+            _ => self.run_repeatable(&job).await,
         };
         let outcome = match &answer {
             Ok(answer) if answer.status().is_success() => "ok",
@@ -161,7 +161,7 @@
         })
     }
 
-    async fn repeatable(&self, job: &Job) -> Result<Response<Body>, Refusal> {
+    async fn run_repeatable(&self, job: &Job) -> Result<Response<Body>, Refusal> {
         let mut attempts = CallAttempts::new(self, job, false);
         let answer = attempts::run(&mut attempts).await?;
         Ok(self.record_answer(job, answer))
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -1,4 +1,4 @@
-//! The real programs on the loopback address, built up in a few lines.
+//! Starts the real programs on the loopback address as a cluster for a test.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -18,16 +18,16 @@
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 
-/// Shared by the entry hosts of every cluster.
+/// Token shared by the entry hosts of every cluster.
 pub const PEER_TOKEN: &str = "token-of-the-suite";
-/// Longest wait for something that must come.
+/// Longest wait for a condition that must become true.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Ports of one cluster.
+/// Number of ports reserved for one cluster.
 const PORTS_PER_CLUSTER: u16 = 60;
 
-/// A started deployment; everything is killed when it goes out of scope.
+/// A running cluster; dropping it kills all its processes.
 pub struct Cluster {
-    /// Where everything is.
+    /// Addresses of all processes.
     pub addresses: Addresses,
     entries: Vec<Child>,
     others: Vec<Child>,
@@ -35,14 +35,14 @@
     folder: PathBuf,
 }
 
-/// Describes a cluster in a few lines.
+/// Describes a cluster before it is started.
 pub struct Builder {
     plan: Plan,
     configuration: Value,
     connections: Option<usize>,
 }
 
-/// Two zones of two entry hosts, an engine and a ledger service each.
+/// A cluster of two zones, each with two entry hosts, an engine and a ledger service.
 pub fn cluster() -> Builder {
     let configuration = json!({
         "settings": { "usage_window": "2s", "usage_grace": "1s" },
@@ -88,40 +88,40 @@
     }
 }
 
-/// A key's record; only its hash is in the configuration.
+/// The configuration of a caller's key, which contains only its hash.
 pub fn key(name: &str, customer: &str, secret: &str) -> Value {
     let hash = hex::encode(Sha256::digest(secret.as_bytes()));
     json!({ "name": name, "customer": customer, "hash": hash })
 }
 
 impl Builder {
-    /// Other numbers of hosts.
+    /// Changes the deployment plan, such as the number of hosts.
     pub fn plan(mut self, change: impl FnOnce(&mut Plan)) -> Self {
         change(&mut self.plan);
         self
     }
 
-    /// Another bound on the connections of each entry host.
-    pub fn limit_connections(mut self, bound: usize) -> Self {
-        self.connections = Some(bound);
+    /// Limits the connections of each entry host.
+    pub fn limit_connections(mut self, max_connections: usize) -> Self {
+        self.connections = Some(max_connections);
         self
     }
 
-    /// Another configuration.
+    /// Changes the initial configuration.
     pub fn configuration(mut self, change: impl FnOnce(&mut Value)) -> Self {
         change(&mut self.configuration);
         self
     }
 
-    /// Starts everything and waits until it serves.
+    /// Starts all processes and waits until every entry host is ready.
     pub fn start(mut self) -> Cluster {
         self.plan.base_port = free_ports();
         let (mut processes, addresses) = lay_out(&self.plan, PEER_TOKEN);
-        if let Some(bound) = self.connections {
+        if let Some(max_connections) = self.connections {
             let entries = processes
                 .iter_mut()
                 .filter(|process| process.program == "radishstair-entry");
-            entries.for_each(|process| process.settings["connections"] = bound.into());
+            entries.for_each(|process| process.settings["connections"] = max_connections.into());
         }
         let folder = std::env::temp_dir().join(format!(
             "radishstair-{}-{}",
@@ -136,22 +136,22 @@
             processes,
             folder,
         };
-        for at in 0..cluster.processes.len() {
-            let child = cluster.spawn(at);
-            match cluster.processes[at].program.as_str() {
+        for index in 0..cluster.processes.len() {
+            let child = cluster.spawn(index);
+            match cluster.processes[index].program.as_str() {
                 "radishstair-entry" => cluster.entries.push(child),
                 _ => cluster.others.push(child),
             }
         }
         cluster.apply_configuration(&self.configuration);
         cluster.wait_until("every host serves", |cluster| {
-            (0..cluster.entries.len()).all(|at| cluster.is_ready(at))
+            (0..cluster.entries.len()).all(|index| cluster.is_ready(index))
         });
         cluster
     }
 }
 
-/// A block of ports that nobody uses now and no other test has taken.
+/// First of a block of ports that are free and not reserved by another test.
 fn free_ports() -> u16 {
     static NEXT: Mutex<u16> = Mutex::new(11_000);
     let mut next = NEXT.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
@@ -175,8 +175,8 @@
 }
 
 impl Cluster {
-    fn spawn(&self, at: usize) -> Child {
-        let process = &self.processes[at];
+    fn spawn(&self, index: usize) -> Child {
+        let process = &self.processes[index];
         let path = self.folder.join(format!("{}.json", process.name));
         std::fs::write(&path, process.settings.to_string()).expect("settings are written");
         let log = std::fs::File::options()
@@ -193,26 +193,26 @@
             .expect("the program starts")
     }
 
-    /// Makes the stored configuration like a document.
+    /// Changes the stored configuration to equal a document.
     pub fn apply_configuration(&self, document: &Value) {
-        let wanted = check::parse(&document.to_string()).expect("the configuration is right");
+        let wanted = check::parse(&document.to_string()).expect("the configuration is valid");
         self.change_configuration(|current| change::diff(current, &wanted));
     }
 
-    /// Makes a change as an operator does; gives back its version.
+    /// Commits a change as an operator would; returns its version.
     pub fn change_configuration(&self, make: impl Fn(&Document) -> Vec<Op>) -> u64 {
         let client = Client::new(&self.addresses.platform[0].to_string());
         let entry = commit(&client, "suite", "test", true, |document| Ok(make(document)));
         entry
             .expect("the change is accepted")
-            .expect("something changes")
+            .expect("the change is not empty")
             .version
     }
 
-    /// Withdraws a key.
+    /// Withdraws a caller's key; returns the version of the change.
     pub fn withdraw_key(&self, name: &str) -> u64 {
         self.change_configuration(|document| {
-            let mut key = document.keys.get(name).expect("the key is there").clone();
+            let mut key = document.keys.get(name).expect("the key exists").clone();
             key.withdrawn = true;
             vec![Op {
                 section: Section::Keys,
@@ -222,37 +222,37 @@
         })
     }
 
-    /// A caller of customer `coop`.
+    /// A client with the key of customer `coop`.
     pub fn caller(&self) -> Caller {
         Caller::new("rsk-coop")
     }
 
-    /// An entry host's address for callers.
-    pub fn entry_address(&self, at: usize) -> SocketAddr {
-        self.addresses.entries[at]
+    /// Address of an entry host for callers.
+    pub fn entry_address(&self, index: usize) -> SocketAddr {
+        self.addresses.entries[index]
     }
 
-    /// A posting that can be told from others.
+    /// Body of a posting, identified by its number.
     pub fn posting_body(&self, number: u64) -> Value {
         json!({ "account": "3.1.01-7", "cents": 4_129, "number": number })
     }
 
-    /// Sends a posting.
-    pub fn send_posting(&self, caller: &Caller, entry: usize, number: u64, once: &str) -> Answer {
+    /// Sends a posting to an entry host under an idempotency key.
+    pub fn send_posting(&self, caller: &Caller, entry: usize, number: u64, idempotency_key: &str) -> Answer {
         caller.call(
             self.entry_address(entry),
             "/ledger/postings",
             &self.posting_body(number),
-            Some(once),
+            Some(idempotency_key),
         )
     }
 
-    /// A chat with a fixed answer length.
-    pub fn chat_body(&self, words: &str, tokens: u32) -> Value {
-        json!({ "model": "m", "stream": true, "messages": [{ "role": "user", "content": format!("{words} len={tokens}") }] })
+    /// Body of a chat completion with an answer of a fixed number of tokens.
+    pub fn chat_body(&self, prompt: &str, tokens: u32) -> Value {
+        json!({ "model": "m", "stream": true, "messages": [{ "role": "user", "content": format!("{prompt} len={tokens}") }] })
     }
 
-    /// How often the ledger services ran a posting.
+    /// Number of times that the ledger services ran a posting.
     pub fn run_count(&self, number: u64) -> usize {
         self.ledger_runs()
             .iter()
@@ -260,7 +260,7 @@
             .count()
     }
 
-    /// Everything that the ledger services ran.
+    /// All calls that the ledger services ran.
     pub fn ledger_runs(&self) -> Vec<Value> {
         let logs = self
             .addresses
@@ -271,31 +271,31 @@
             .collect()
     }
 
-    /// Has all stand-ins of a kind fail in a way.
+    /// Configures a fault at the stand-ins with these addresses.
     pub fn inject_fault(&self, addresses: &[SocketAddr], fault: &Value) {
         for address in addresses {
             post(*address, "/control/fault", fault);
         }
     }
 
-    /// Has the platform fail in a way.
+    /// Configures a fault at the platform stand-in.
     pub fn inject_platform_fault(&self, fault: &Value) {
         self.inject_fault(&self.addresses.platform[..1], fault);
     }
 
-    /// What the platform was asked.
+    /// Log of the calls that the platform stand-in received.
     pub fn platform_log(&self) -> Value {
         post(self.addresses.platform[0], "/control/log", &json!({}))
     }
 
-    /// Status of an entry host.
-    pub fn status(&self, at: usize) -> Option<Status> {
-        radishstair_ctl::host::status(self.addresses.admin[at])
+    /// Status of an entry host, if it answers.
+    pub fn status(&self, index: usize) -> Option<Status> {
+        radishstair_ctl::host::status(self.addresses.admin[index])
     }
 
-    /// A metric of an entry host that has no labels.
-    pub fn metric(&self, at: usize, name: &str) -> Option<f64> {
-        let mut answer = ureq::get(format!("http://{}/metrics", self.addresses.admin[at]))
+    /// Value of an entry host's metric that has no labels.
+    pub fn metric(&self, index: usize, name: &str) -> Option<f64> {
+        let mut answer = ureq::get(format!("http://{}/metrics", self.addresses.admin[index]))
             .call()
             .ok()?;
         let text = answer.body_mut().read_to_string().ok()?;
@@ -305,72 +305,72 @@
         line.parse().ok()
     }
 
-    /// Whether an entry host serves callers.
-    pub fn is_ready(&self, at: usize) -> bool {
+    /// Whether an entry host trusts its configuration, has runners and sees all hosts.
+    pub fn is_ready(&self, index: usize) -> bool {
         let peers = self.addresses.entries.len();
-        let full = |status: &Status| status.trusted && status.runners.0 > 0 && status.hosts == peers;
-        self.status(at).as_ref().is_some_and(full)
+        let is_complete = |status: &Status| status.trusted && status.runners.0 > 0 && status.hosts == peers;
+        self.status(index).as_ref().is_some_and(is_complete)
     }
 
-    /// Waits until something holds.
-    pub fn wait_until(&self, what: &str, holds: impl Fn(&Self) -> bool) {
-        let until = Instant::now() + WAIT_TIMEOUT;
-        while !holds(self) {
+    /// Waits until a condition is true.
+    pub fn wait_until(&self, what: &str, condition: impl Fn(&Self) -> bool) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while !condition(self) {
             assert!(
-                Instant::now() < until,
-                "in vain waited until {what}; logs in {}",
+                Instant::now() < deadline,
+                "timed out waiting until {what}; logs in {}",
                 self.folder.display()
             );
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// All logs of all processes.
+    /// The logs of all processes.
     pub fn logs(&self) -> String {
-        let read =
+        let read_log =
             |process: &Process| std::fs::read_to_string(self.folder.join(format!("{}.log", process.name)));
         self.processes
             .iter()
-            .filter_map(|process| read(process).ok())
+            .filter_map(|process| read_log(process).ok())
             .collect()
     }
 
     /// Address of an entry host for its peers.
-    pub fn peer_address(&self, at: usize) -> String {
-        let first = self.processes.len() - self.entries.len();
-        let settings = &self.processes[first + at].settings;
+    pub fn peer_address(&self, index: usize) -> String {
+        let first_entry = self.processes.len() - self.entries.len();
+        let settings = &self.processes[first_entry + index].settings;
         settings["peer_listen"].as_str().expect("an address").to_string()
     }
 
     /// Sends a signal to an entry host.
-    pub fn send_signal(&self, at: usize, signal: Signal) {
-        let pid = Pid::from_raw(self.entries[at].id() as i32);
-        kill(pid, signal).expect("the process is there");
-    }
-
-    /// Stops an entry host, and waits until none of its threads runs any more: one that
-    /// waits for a processor lets the others run on until it gets one.
-    pub fn freeze(&self, at: usize) {
-        self.send_signal(at, Signal::SIGSTOP);
-        let tasks = format!("/proc/{}/task", self.entries[at].id());
-        self.wait_until("all threads stand still", |_| {
-            let tasks = std::fs::read_dir(&tasks).expect("it is there").flatten();
+    pub fn send_signal(&self, index: usize, signal: Signal) {
+        let pid = Pid::from_raw(self.entries[index].id() as i32);
+        kill(pid, signal).expect("the process exists");
+    }
+
+    /// Suspends an entry host with SIGSTOP and waits until all its threads have stopped. A
+    /// thread that waits for a processor delays this, and the others run on meanwhile.
+    pub fn freeze(&self, index: usize) {
+        self.send_signal(index, Signal::SIGSTOP);
+        let tasks = format!("/proc/{}/task", self.entries[index].id());
+        self.wait_until("all threads have stopped", |_| {
+            let tasks = std::fs::read_dir(&tasks).expect("the process exists").flatten();
             let states = tasks.map(|task| std::fs::read_to_string(task.path().join("stat")));
             states.flatten().all(|stat| stat.contains(") T "))
         });
     }
 
-    /// Kills an entry host and starts it again with empty memory.
-    pub fn restart(&mut self, at: usize) {
-        let _ = self.entries[at].kill();
-        let _ = self.entries[at].wait();
-        let first = self.processes.len() - self.entries.len();
-        self.entries[at] = self.spawn(first + at);
+    /// Kills an entry host and starts it again, without its former state.
+    pub fn restart(&mut self, index: usize) {
+        let _ = self.entries[index].kill();
+        let _ = self.entries[index].wait();
+        let first_entry = self.processes.len() - self.entries.len();
+        self.entries[index] = self.spawn(first_entry + index);
     }
 
-    /// Waits for an entry host that was told to stop; its exit code.
-    pub fn exit_code(&mut self, at: usize) -> Option<i32> {
-        self.entries[at].wait().expect("the process ends").code()
+    /// Waits until an entry host exits; returns its exit code.
+    pub fn exit_code(&mut self, index: usize) -> Option<i32> {
+        self.entries[index].wait().expect("the process ends").code()
     }
 }
 
