--- a/tests/suite/live.rs
+++ b/tests/suite/live.rs
@@ -1,4 +1,5 @@
-//! The real programs under kills, freezes, outages and lost answers.
+//! Tests of the real programs with killed and suspended processes, outages and
+//! lost answers.
 
 use std::time::{Duration, Instant};
 
@@ -11,15 +12,15 @@
 
 use crate::process::{cluster, get};
 
-/// A caller that gives up soon.
-fn hasty() -> Caller {
+/// A client with a short timeout.
+fn impatient_caller() -> Caller {
     Caller::with_limit("rsk-coop", Duration::from_millis(800))
 }
 
-/// The caller's posting lies in the socket buffer of a frozen host; the caller
-/// gives up and repeats it through another zone; the host wakes and reads its
-/// buffer. The other host cannot decide for the owner, says so, and after the
-/// wake both copies get the one run's answer.
+/// Guards against a double run of a posting. It waits in the socket buffer of a
+/// suspended host while the caller times out and retries through another zone;
+/// then the host resumes and reads its buffer. The other host must not decide
+/// for the owner of the key, and the posting runs once.
 #[test]
 fn a_frozen_host_wakes_with_a_posting_in_its_buffer() {
     let cluster = cluster().start();
@@ -29,27 +30,27 @@
         .expect("a ticket")
         .remove(0);
     cluster.freeze(0);
-    let unheard = cluster.send_posting(&hasty(), 0, 1, &ticket);
-    assert_eq!(unheard.status, 0, "a frozen host gives no answer");
-    let elsewhere = cluster.send_posting(
+    let unanswered = cluster.send_posting(&impatient_caller(), 0, 1, &ticket);
+    assert_eq!(unanswered.status, 0, "a suspended host does not answer");
+    let other_zone = cluster.send_posting(
         &Caller::with_limit("rsk-coop", Duration::from_secs(3)),
         3,
         1,
         &ticket,
     );
     assert!(
-        elsewhere.status == 0 || elsewhere.ran() == "unknown",
-        "{elsewhere:?}"
+        other_zone.status == 0 || other_zone.ran() == "unknown",
+        "{other_zone:?}"
     );
     cluster.send_signal(0, Signal::SIGCONT);
-    let settled = cluster.send_posting(&caller, 2, 1, &ticket);
-    assert_eq!(settled.status, 200, "{settled:?}");
+    let after_resume = cluster.send_posting(&caller, 2, 1, &ticket);
+    assert_eq!(after_resume.status, 200, "{after_resume:?}");
     assert_eq!(cluster.run_count(1), 1);
 }
 
-/// The claim of a caller's own key takes effect and the answer is lost. The
-/// host reads the claim back, finds its own nonce and runs the posting once;
-/// repetitions through every host get the same answer.
+/// The write of a claim for a caller's own key takes effect, but its answer is
+/// lost. The host reads the claim back, recognises its nonce and runs the
+/// posting once; retries through every host get the same answer.
 #[test]
 fn a_claim_whose_answer_was_lost_is_settled() {
     let cluster = cluster().start();
@@ -65,18 +66,18 @@
     assert_eq!(cluster.run_count(7), 1);
 }
 
-/// The claimant runs a posting and is killed before it answers. Its memory is
-/// gone, so nobody can tell whether it ran: every host says "unknown", never
-/// "not run", and nothing runs again.
+/// The host that claimed a key runs the posting and is killed before it answers,
+/// so its record of the run is lost. Every host must answer "unknown", never
+/// "not run", and the posting must not run again.
 #[test]
 fn a_claimant_that_restarts_leaves_unknown() {
     let mut cluster = cluster().start();
     cluster.inject_fault(&cluster.addresses.plain, &json!({ "delay_ms": 3_000 }));
-    let unheard = cluster.send_posting(&hasty(), 1, 8, "own-key-8");
-    assert_eq!(unheard.status, 0);
-    cluster.wait_until("it runs", |cluster| cluster.run_count(8) == 1);
+    let unanswered = cluster.send_posting(&impatient_caller(), 1, 8, "own-key-8");
+    assert_eq!(unanswered.status, 0);
+    cluster.wait_until("the posting runs", |cluster| cluster.run_count(8) == 1);
     cluster.restart(1);
-    cluster.wait_until("the new process serves", |cluster| cluster.is_ready(1));
+    cluster.wait_until("the restarted host is ready", |cluster| cluster.is_ready(1));
     for entry in 0..4 {
         let again = cluster.send_posting(&cluster.caller(), entry, 8, "own-key-8");
         assert_eq!(again.ran(), "unknown", "{again:?}");
@@ -84,8 +85,8 @@
     assert_eq!(cluster.run_count(8), 1);
 }
 
-/// A ledger service runs a posting and breaks off before it answers. The
-/// caller is told "unknown, never repeat" and a repetition runs nothing.
+/// A ledger service runs a posting and closes the connection before it answers.
+/// The caller gets "unknown, never repeat", and a retry does not run again.
 #[test]
 fn a_broken_answer_is_unknown_for_ever() {
     let cluster = cluster().start();
@@ -106,8 +107,9 @@
     assert_eq!(cluster.run_count(9), 1);
 }
 
-/// No ledger service can be reached: the caller is told "not run" with a new
-/// key, and the old key stays closed when the service is back.
+/// No pool matches the route of a posting. The owner of the key is not asked
+/// then, so the caller gets "unknown, same key", and the posting runs once when
+/// the route is back.
 #[test]
 fn a_refused_posting_closes_its_key() {
     let cluster = cluster()
@@ -118,7 +120,7 @@
         .tickets(cluster.entry_address(0), 1)
         .expect("a ticket")
         .remove(0);
-    // The route is missing, so the owner was never asked: still open.
+    // Without a route the owner is not asked, so the outcome is open.
     let unrouted = cluster.send_posting(&caller, 0, 10, &ticket);
     assert_eq!(
         (unrouted.ran(), unrouted.repeat()),
@@ -140,9 +142,9 @@
     assert_eq!(cluster.run_count(10), 1);
 }
 
-/// The platform is down for all. Chats, lookups and postings by ticket go on;
-/// a posting under the caller's own key cannot be claimed, which is said as
-/// "unknown, same key", and it runs once when the platform is back.
+/// The platform is down for all hosts. Chats, lookups and postings by ticket
+/// still work. A posting under the caller's own key cannot be claimed, so it
+/// gets "unknown, same key", and it runs once when the platform is back.
 #[test]
 fn service_goes_on_without_the_platform() {
     let cluster = cluster().start();
@@ -162,8 +164,12 @@
         .expect("a ticket")
         .remove(0);
     assert_eq!(cluster.send_posting(&caller, 0, 20, &ticket).status, 200);
-    let own = cluster.send_posting(&caller, 0, 21, "own-key-21");
-    assert_eq!((own.ran(), own.repeat()), ("unknown", "same-key"), "{own:?}");
+    let own_key = cluster.send_posting(&caller, 0, 21, "own-key-21");
+    assert_eq!(
+        (own_key.ran(), own_key.repeat()),
+        ("unknown", "same-key"),
+        "{own_key:?}"
+    );
     cluster.inject_platform_fault(&json!({ "mode": "up" }));
     cluster.wait_until("the claim succeeds", |cluster| {
         cluster
@@ -174,22 +180,22 @@
     assert_eq!((cluster.run_count(20), cluster.run_count(21)), (1, 1));
 }
 
-/// An engine breaks off in the middle of a stream. Another one goes on from
-/// the tokens that the caller has, and the caller reads the whole answer.
+/// An engine fails within a stream. Another one resumes after the tokens that
+/// the caller has, and the caller gets the complete answer.
 #[test]
 fn a_broken_stream_goes_on_elsewhere() {
     let cluster = cluster().start();
     cluster.inject_fault(&cluster.addresses.engines, &json!({ "cut_at": 5, "cuts": 1 }));
     let body = cluster.chat_body("resume me", 40);
     let prompt = body["messages"][0]["content"].as_str().expect("a prompt");
-    let whole = model::answer(digest(prompt.as_bytes()), 40);
+    let expected = model::answer(digest(prompt.as_bytes()), 40);
     let answer = cluster.caller().chat(cluster.entry_address(0), "chat", &body);
     assert!(answer.done, "{answer:?}");
-    assert_eq!(answer.text, whole);
+    assert_eq!(answer.text, expected);
 }
 
-/// Every engine breaks off every stream: the caller's stream ends with an
-/// error and without its proper end, so that it cannot be taken for whole.
+/// Every engine fails within every stream. The caller's stream must end with an
+/// error and without `[DONE]`, so that it cannot be taken for complete.
 #[test]
 fn a_cut_stream_never_looks_whole() {
     let cluster = cluster().start();
@@ -202,8 +208,8 @@
     assert!(!answer.kind().is_empty(), "{answer:?}");
 }
 
-/// Every engine answers for another request. Both are tried, and no third one is there:
-/// the caller must not be told that its request has not run, as both engines ran it.
+/// Every engine answers with the id of another request. Both engines are tried, and there
+/// is no third one. The refusal must not say "not run", as both engines ran the request.
 #[test]
 fn a_refusal_after_a_run_does_not_say_not_run() {
     let cluster = cluster().start();
@@ -217,20 +223,20 @@
     assert_eq!(answer.ran(), "unknown", "{answer:?}");
 }
 
-/// A confused runner answers under another request's id. The caller gets its
-/// own answer from another runner, or a refusal, never the stranger's.
+/// A faulty runner answers with the id of another request. The caller must get
+/// its own answer from another runner, or a refusal, never the other answer.
 #[test]
 fn crossed_answers_do_not_reach_a_caller() {
     let cluster = cluster().start();
     cluster.inject_fault(&cluster.addresses.engines[..1], &json!({ "cross": 1 }));
     let body = cluster.chat_body("crossed", 10);
     let prompt = body["messages"][0]["content"].as_str().expect("a prompt");
-    let whole = model::answer(digest(prompt.as_bytes()), 10);
+    let expected = model::answer(digest(prompt.as_bytes()), 10);
     for entry in 0..4 {
         let answer = cluster.caller().chat(cluster.entry_address(entry), "chat", &body);
         assert_eq!(
             (answer.done, answer.text.as_str()),
-            (true, whole.as_str()),
+            (true, expected.as_str()),
             "{answer:?}"
         );
     }
@@ -248,9 +254,9 @@
     );
 }
 
-/// A key is withdrawn while its caller reads a stream. The stream ends with an
-/// error within seconds, the same connection gets no more service, and the
-/// other customer's key still works.
+/// A key is withdrawn while its caller reads a stream. The stream must end with
+/// an error within seconds, further requests with the key are refused, and the
+/// key of the other customer still works.
 #[test]
 fn a_withdrawn_key_stops_within_seconds() {
     let cluster = cluster().start();
@@ -277,14 +283,14 @@
     assert!(other.done, "{other:?}");
 }
 
-/// A key is withdrawn while the platform is cut off from one zone. The news
-/// pass through peers, and the cut zone refuses the key within seconds.
+/// A key is withdrawn while one zone cannot reach the platform. The hosts there
+/// get the change from peers and must refuse the key within seconds.
 #[test]
 fn a_withdrawal_reaches_a_zone_cut_from_the_platform() {
     let cluster = cluster().start();
     cluster.inject_platform_fault(&json!({ "mode": "down", "port": 1 }));
     cluster.withdraw_key("coop-key");
-    cluster.wait_until("the cut zone refuses the key", |cluster| {
+    cluster.wait_until("the disconnected zone refuses the key", |cluster| {
         (2..4).all(|entry| {
             cluster
                 .caller()
@@ -295,9 +301,9 @@
     });
 }
 
-/// A host is told to stop while streams and postings run and the balancer
-/// still sends. Everything that it accepted comes to its proper end, and the
-/// process exits by itself.
+/// A host receives SIGTERM while streams and postings run and the load balancer
+/// still sends requests. All accepted requests must complete, and then the
+/// process exits.
 #[test]
 fn a_graceful_stop_cuts_no_request() {
     let mut cluster = cluster().start();
@@ -307,31 +313,31 @@
     std::thread::scope(|scope| {
         let cluster = &cluster;
         let streams: Vec<_> = (0..6)
-            .map(|at| {
+            .map(|index| {
                 let caller = caller.clone();
                 scope.spawn(move || {
                     caller.chat(
                         cluster.entry_address(0),
                         "chat",
-                        &cluster.chat_body(&format!("stop {at}"), 300),
+                        &cluster.chat_body(&format!("stop {index}"), 300),
                     )
                 })
             })
             .collect();
         let postings: Vec<_> = (0..8)
-            .map(|at| {
-                let (caller, ticket) = (caller.clone(), tickets[at].clone());
-                scope.spawn(move || cluster.send_posting(&caller, 0, 100 + at as u64, &ticket))
+            .map(|index| {
+                let (caller, ticket) = (caller.clone(), tickets[index].clone());
+                scope.spawn(move || cluster.send_posting(&caller, 0, 100 + index as u64, &ticket))
             })
             .collect();
         std::thread::sleep(Duration::from_millis(400));
         cluster.send_signal(0, Signal::SIGTERM);
-        let mut late = Vec::new();
+        let mut late_answers = Vec::new();
         let until = Instant::now() + Duration::from_millis(700);
         while Instant::now() < until {
-            late.push(caller.chat(cluster.entry_address(0), "chat", &cluster.chat_body("late", 3)));
+            late_answers.push(caller.chat(cluster.entry_address(0), "chat", &cluster.chat_body("late", 3)));
         }
-        assert!(late.iter().all(|answer| answer.done), "{late:?}");
+        assert!(late_answers.iter().all(|answer| answer.done), "{late_answers:?}");
         for stream in streams {
             let answer = stream.join().expect("the stream ends");
             assert!(
@@ -347,14 +353,15 @@
         }
     });
     assert_eq!(cluster.exit_code(0), Some(0));
-    // What the stopped host left behind: its used tickets ran, others did not.
+    // The tombstone of the stopped host lists the ticket as used, without the
+    // outcome of its run.
     let used = cluster.send_posting(&caller, 1, 100, &tickets[0]);
     assert_eq!((used.kind(), used.ran()), ("owner-lost", "unknown"), "{used:?}");
     assert!((100..108).all(|number| cluster.run_count(number) == 1));
 }
 
-/// A host that stopped properly had issued a ticket that nobody used: its
-/// peers can say "not run" for certain.
+/// A host issued a ticket that was not used, and then stopped gracefully. Its
+/// tombstone does not list the ticket as used, so peers must answer "not run".
 #[test]
 fn an_unused_ticket_of_a_stopped_host_is_not_run() {
     let mut cluster = cluster().start();
@@ -376,35 +383,35 @@
     assert_eq!(cluster.run_count(40), 1);
 }
 
-/// An engine gives notice that it leaves while the list still shows it live.
-/// After a few seconds no host sends it anything new.
+/// An engine announces that it leaves while the runner list still contains it.
+/// After a few seconds no host may send it new requests.
 #[test]
 fn a_leaving_runner_gets_no_new_work() {
     let cluster = cluster().plan(|plan| plan.engines[0].each = 2).start();
     let leaving = cluster.addresses.engines[0];
     cluster.inject_fault(&[leaving], &json!({ "leaving": true }));
-    let burst = |words: &str| {
-        for at in 0..40 {
+    let send_burst = |prompt: &str| {
+        for index in 0..40 {
             let answer = cluster.caller().chat(
-                cluster.entry_address(at % 4),
+                cluster.entry_address(index % 4),
                 "chat",
-                &cluster.chat_body(&format!("{words} {at}"), 2),
+                &cluster.chat_body(&format!("{prompt} {index}"), 2),
             );
             assert!(answer.done, "{answer:?}");
         }
     };
-    let begun = || get(leaving, "/control/log")["begun"].as_u64().expect("a count");
+    let started_requests = || get(leaving, "/control/log")["begun"].as_u64().expect("a count");
     cluster.wait_until("one host has seen the notice", |_| {
-        burst("first");
-        begun() > 0
+        send_burst("first");
+        started_requests() > 0
     });
     std::thread::sleep(Duration::from_secs(3));
-    let before = begun();
-    burst("second");
-    assert_eq!(begun(), before, "the leaving engine got new work");
+    let before = started_requests();
+    send_burst("second");
+    assert_eq!(started_requests(), before, "the leaving engine got new requests");
 }
 
-/// No upstream ever sees a caller's key, and no log holds one.
+/// No upstream may receive a caller's key, and no log may contain one.
 #[test]
 fn keys_stay_with_the_router() {
     let cluster = cluster().start();
@@ -423,10 +430,10 @@
     for engine in &cluster.addresses.engines {
         assert_eq!(get(*engine, "/control/log")["saw_key"], false);
     }
-    assert!(!cluster.logs().contains("rsk-coop"), "a key stands in a log");
+    assert!(!cluster.logs().contains("rsk-coop"), "a log contains a key");
 }
 
-/// A stranger on the peers' port gets nothing.
+/// A client without the peers' token must be refused on the peers' port.
 #[test]
 fn the_peers_port_refuses_strangers() {
     let cluster = cluster().start();
@@ -445,14 +452,14 @@
         client
             .pull(radishstair_core::peer::Pull { version: 0 })
             .await
-            .expect_err("a stranger is refused")
+            .expect_err("a client without the token is refused")
     });
     assert_eq!(refused.code(), tonic::Code::Unauthenticated);
 }
 
-/// One engine of two slots is full and its queue foretells a long wait. A
-/// caller is refused at once, told when to come back with a token, and is
-/// served when it does so, through another host.
+/// One engine with two slots is busy, and its queue predicts a long wait. A
+/// caller must be refused at once with a retry time and a reservation token,
+/// and be served when it retries then, through another host.
 #[test]
 fn a_refused_caller_comes_back_as_promised() {
     let cluster = cluster()
@@ -465,19 +472,19 @@
     let caller = cluster.caller();
     let (refused, entry) = std::thread::scope(|scope| {
         let cluster = &cluster;
-        for at in 0..56 {
+        for index in 0..56 {
             let caller = caller.clone();
             scope.spawn(move || {
                 caller.chat(
-                    cluster.entry_address(at % 2),
+                    cluster.entry_address(index % 2),
                     "chat",
-                    &cluster.chat_body(&format!("fill {at}"), 25),
+                    &cluster.chat_body(&format!("fill {index}"), 25),
                 )
             });
         }
-        // A few starts must have been seen before a wait is foretold. A probe
-        // that comes too early waits in the queue until all others are served,
-        // so each has a thread of its own.
+        // A wait is predicted only after a few requests have started. A probe
+        // sent too early waits in the queue until all others are served, so each
+        // probe has a thread of its own.
         std::thread::sleep(Duration::from_millis(1_500));
         let (sender, promised) = std::sync::mpsc::channel();
         let until = Instant::now() + Duration::from_secs(20);
@@ -491,7 +498,7 @@
                     &cluster.chat_body("one more", 5),
                 );
                 if answer.come_back.is_some() {
-                    // Only the first one is waited for.
+                    // Only the first one is used.
                     let _ = sender.send(answer);
                 }
             });
