--- a/tests/suite/duties_live.rs
+++ b/tests/suite/duties_live.rs
@@ -1,4 +1,4 @@
-//! Duties and usage with the real programs, and callers' answers as a history.
+//! Tests of duties, usage reports and concurrent callers with the real programs.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,45 +12,46 @@
 
 use crate::process::{Cluster, cluster};
 
-/// Which host holds a duty.
-fn holder(cluster: &Cluster, duty: &str) -> Option<usize> {
-    (0..4).find(|at| {
-        let duties = cluster.status(*at).map_or(Vec::new(), |status| status.duties);
+/// Index of the host that holds a duty.
+fn find_holder(cluster: &Cluster, duty: &str) -> Option<usize> {
+    (0..4).find(|index| {
+        let duties = cluster.status(*index).map_or(Vec::new(), |status| status.duties);
         duties.iter().any(|(have, _)| have == duty)
     })
 }
 
-/// The host in charge of orders is frozen past its lease. Another takes over
-/// with a higher fencing number; the first wakes, finds its time gone and
-/// sends nothing. The upstream here ignores fencing numbers.
+/// The host that holds the order duty is suspended until its lease has expired,
+/// and another host takes over with a higher fencing number. When the first one
+/// resumes, it must not send orders, even to a platform that ignores fencing
+/// numbers.
 #[test]
 fn a_frozen_holder_wakes_without_its_duty() {
-    freeze_the_holder(&[]);
+    suspend_duty_holder(&[]);
 }
 
-/// The same before an upstream that refuses old fencing numbers: it never has
-/// to, as the former holder sends nothing.
+/// The same with a platform that refuses old fencing numbers. It must not have to
+/// refuse any, as the former holder sends no orders.
 #[test]
 fn a_frozen_holder_before_an_upstream_that_checks() {
-    freeze_the_holder(&["engines"]);
+    suspend_duty_holder(&["engines"]);
 }
 
-fn freeze_the_holder(fenced: &[&str]) {
-    let checked = fenced.iter().map(ToString::to_string).collect();
-    let cluster = cluster().plan(|plan| plan.fenced = checked).start();
-    cluster.wait_until("somebody is in charge", |cluster| {
-        holder(cluster, "orders").is_some()
+fn suspend_duty_holder(fenced: &[&str]) {
+    let checks_fence = fenced.iter().map(ToString::to_string).collect();
+    let cluster = cluster().plan(|plan| plan.fenced = checks_fence).start();
+    cluster.wait_until("a host holds the order duty", |cluster| {
+        find_holder(cluster, "orders").is_some()
     });
-    let first = holder(&cluster, "orders").expect("a holder");
-    cluster.freeze(first);
-    cluster.wait_until("another takes over", |cluster| {
-        let others = (0..4).filter(|at| *at != first);
-        let duties = |at: usize| cluster.status(at).map_or(Vec::new(), |status| status.duties);
+    let first_holder = find_holder(&cluster, "orders").expect("a holder");
+    cluster.freeze(first_holder);
+    cluster.wait_until("another host takes over", |cluster| {
+        let others = (0..4).filter(|index| *index != first_holder);
+        let duties = |index: usize| cluster.status(index).map_or(Vec::new(), |status| status.duties);
         others
             .into_iter()
-            .any(|at| duties(at).iter().any(|(duty, _)| duty == "orders"))
+            .any(|index| duties(index).iter().any(|(duty, _)| duty == "orders"))
     });
-    cluster.send_signal(first, Signal::SIGCONT);
+    cluster.send_signal(first_holder, Signal::SIGCONT);
     cluster.change_configuration(|document| {
         let mut pool = document.pools.get("engines").expect("the pool").clone();
         pool.least = 3;
@@ -60,25 +61,25 @@
             value: serde_json::to_value(pool).ok(),
         }]
     });
-    let orders = |cluster: &Cluster| {
+    let logged_orders = |cluster: &Cluster| {
         cluster.platform_log()["orders"]
             .as_array()
             .cloned()
             .unwrap_or_default()
     };
-    cluster.wait_until("the new target is ordered", |cluster| {
-        orders(cluster).iter().any(|order| order[0]["count"] == 3)
+    cluster.wait_until("the new count is ordered", |cluster| {
+        logged_orders(cluster).iter().any(|order| order[0]["count"] == 3)
     });
     std::thread::sleep(Duration::from_secs(3));
-    let fences: Vec<u64> = orders(&cluster)
+    let fences: Vec<u64> = logged_orders(&cluster)
         .iter()
         .filter_map(|order| order[0]["fence"].as_u64())
         .collect();
     assert!(fences.is_sorted(), "{fences:?}");
-    let accepted = |order: &serde_json::Value| order[1] == true;
+    let is_accepted = |order: &serde_json::Value| order[1] == true;
     assert!(
-        orders(&cluster).iter().all(accepted),
-        "an order was refused as old"
+        logged_orders(&cluster).iter().all(is_accepted),
+        "an order with an old fencing number was refused"
     );
     assert!(
         fences.last() > fences.first(),
@@ -86,33 +87,36 @@
     );
 }
 
-fn reports(cluster: &Cluster) -> Vec<serde_json::Value> {
+fn usage_reports(cluster: &Cluster) -> Vec<serde_json::Value> {
     cluster.platform_log()["reports"]
         .as_array()
         .cloned()
         .unwrap_or_default()
 }
 
-/// Calls of a customer by the reports; a window that came twice counts once.
-fn reported(cluster: &Cluster, customer: &str) -> u64 {
-    let mut windows = reports(cluster);
+/// Calls of a customer in the usage reports; a window reported twice counts once.
+fn reported_calls(cluster: &Cluster, customer: &str) -> u64 {
+    let mut windows = usage_reports(cluster);
     windows.sort_by_key(|report| report["number"].as_u64());
     windows.dedup_by_key(|report| report["number"].as_u64());
     let lines = windows
         .iter()
         .flat_map(|report| report["lines"].as_array().into_iter().flatten());
-    let of = lines.filter(|line| line["customer"] == customer);
-    of.filter_map(|line| line["calls"].as_u64()).sum()
+    let customer_lines = lines.filter(|line| line["customer"] == customer);
+    customer_lines.filter_map(|line| line["calls"].as_u64()).sum()
 }
 
-/// The reporter is killed while usage is counted. Its successor reports what
-/// was sealed with the same figures, and what others counted exactly once.
+/// The host that reports usage is killed while calls are counted. Its successor
+/// must report a sealed window with the same figures, and each call that the
+/// other hosts counted exactly once.
 #[test]
 fn a_killed_reporter_is_followed_by_the_same_figures() {
     let mut cluster = cluster().start();
-    cluster.wait_until("somebody reports", |cluster| holder(cluster, "usage").is_some());
-    let first = holder(&cluster, "usage").expect("a holder");
-    let others: Vec<usize> = (0..4).filter(|at| *at != first).collect();
+    cluster.wait_until("a host holds the usage duty", |cluster| {
+        find_holder(cluster, "usage").is_some()
+    });
+    let first_holder = find_holder(&cluster, "usage").expect("a holder");
+    let others: Vec<usize> = (0..4).filter(|index| *index != first_holder).collect();
     let caller = cluster.caller();
     let mut sent = 0;
     for round in 0..30 {
@@ -127,53 +131,55 @@
                 .done,
         );
         if round == 15 {
-            cluster.restart(first);
+            cluster.restart(first_holder);
         }
     }
-    cluster.wait_until("everything is reported", |cluster| {
-        reported(cluster, "coop") >= sent
+    cluster.wait_until("all calls are reported", |cluster| {
+        reported_calls(cluster, "coop") >= sent
     });
-    assert_eq!(reported(&cluster, "coop"), sent);
-    let reports = reports(&cluster);
-    for report in &reports {
-        let same = |other: &&serde_json::Value| other["window"] == report["window"];
+    assert_eq!(reported_calls(&cluster, "coop"), sent);
+    let usage_reports = usage_reports(&cluster);
+    for report in &usage_reports {
+        let same_window = |other: &&serde_json::Value| other["window"] == report["window"];
         assert!(
-            reports
+            usage_reports
                 .iter()
-                .filter(same)
+                .filter(same_window)
                 .all(|other| other["lines"] == report["lines"])
         );
     }
 }
 
-/// Longest time for which a refused caller comes back: a call may wait for its tier's patience
-/// of twenty seconds before it is refused, and is to have a second chance.
-const COMES_BACK: Duration = Duration::from_secs(45);
+/// Longest time for which a refused caller retries: a call may wait for the patience of its
+/// tier, 20 s, before it is refused, and should have time for a second attempt.
+const MAX_RETRY_TIME: Duration = Duration::from_secs(45);
 
-/// Makes a chat; while the answer is that it has not run, again at the time told.
-fn chat_until_taken(caller: &Caller, entry: SocketAddr, body: &serde_json::Value) -> Answer {
-    let until = Instant::now() + COMES_BACK;
+/// Sends a chat completion, and retries it at the given time while the answer says that it
+/// has not run.
+fn chat_with_retries(caller: &Caller, entry: SocketAddr, body: &serde_json::Value) -> Answer {
+    let deadline = Instant::now() + MAX_RETRY_TIME;
     let mut caller = caller.clone();
     loop {
         let answer = caller.chat(entry, "chat", body);
-        let after = answer.body["error"]["retry_after_ms"].as_u64();
-        let again = after.map(|ms| Instant::now() + Duration::from_millis(ms));
-        let Some(again) = again.filter(|again| answer.ran() == "not-run" && *again < until) else {
+        let retry_after_ms = answer.body["error"]["retry_after_ms"].as_u64();
+        let retry_at = retry_after_ms.map(|ms| Instant::now() + Duration::from_millis(ms));
+        let Some(retry_at) = retry_at.filter(|retry_at| answer.ran() == "not-run" && *retry_at < deadline)
+        else {
             return answer;
         };
         if let Some(token) = &answer.come_back {
             caller = caller.come_back(token);
         }
-        std::thread::sleep(again.saturating_duration_since(Instant::now()));
+        std::thread::sleep(retry_at.saturating_duration_since(Instant::now()));
     }
 }
 
-/// Two customers call at once through every host while engines break streams,
-/// cross answers and slow down, and one host is killed and comes back. Every
-/// answer that looks whole is the caller's own and complete; whatever else came
-/// has an error. What was counted is counted under the right customer. On a slow
-/// machine a host refuses what would be late, and one that has just started refuses
-/// until it knows the configuration; those callers come back when they were told to.
+/// Two customers call at once through every host while engines truncate streams
+/// and answer with other requests' ids, and one host is killed and restarted. Every
+/// complete answer must be the caller's own, every other one must have an error,
+/// and usage must be counted for the right customer. On a slow machine a host refuses
+/// requests that would be late, and a restarted host refuses requests until it has a
+/// configuration; those callers retry at the given time.
 #[test]
 fn concurrent_callers_get_their_own_answers() {
     let mut cluster = cluster().start();
@@ -185,18 +191,18 @@
         let cluster = &mut cluster;
         let addresses = cluster.addresses.entries.clone();
         let tasks: Vec<_> = (0..60_u32)
-            .map(|at| {
-                let key = if at % 3 == 0 { "rsk-other" } else { "rsk-coop" };
-                let entry = addresses[at as usize % addresses.len()];
-                let tokens = 5 + at % 20;
-                let body = cluster.chat_body(&format!("mine {key} {at}"), tokens);
+            .map(|index| {
+                let key = if index % 3 == 0 { "rsk-other" } else { "rsk-coop" };
+                let entry = addresses[index as usize % addresses.len()];
+                let tokens = 5 + index % 20;
+                let body = cluster.chat_body(&format!("mine {key} {index}"), tokens);
                 scope.spawn(move || {
-                    std::thread::sleep(Duration::from_millis(u64::from(at) * 15));
+                    std::thread::sleep(Duration::from_millis(u64::from(index) * 15));
                     let prompt = body["messages"][0]["content"]
                         .as_str()
                         .unwrap_or_default()
                         .to_string();
-                    let answer = chat_until_taken(&Caller::new(key), entry, &body);
+                    let answer = chat_with_retries(&Caller::new(key), entry, &body);
                     (key, prompt, tokens, answer)
                 })
             })
@@ -208,11 +214,11 @@
             .map(|task| task.join().expect("a caller ends"))
             .collect()
     });
-    let mut whole = 0;
+    let mut complete = 0;
     for (key, prompt, tokens, answer) in &history {
         let expected = model::answer(digest(prompt.as_bytes()), *tokens);
         if answer.done {
-            whole += 1;
+            complete += 1;
             assert_eq!(answer.text, expected, "{key}: {prompt}");
         } else {
             assert!(expected.starts_with(&answer.text), "{key}: {prompt}: {answer:?}");
@@ -230,26 +236,27 @@
     let refused = others.iter().filter(|(status, _)| *status == 503).count();
     assert_eq!(
         refused, 0,
-        "refused whenever they came back, of the others: {others:?}"
+        "requests were refused at each retry; incomplete answers: {others:?}"
     );
     assert!(
-        whole >= 40,
-        "{whole} of 60 answers were whole, the others: {others:?}"
+        complete >= 40,
+        "{complete} of 60 answers were complete; the others: {others:?}"
     );
-    let of = |key: &str| {
+    let complete_answers = |key: &str| {
         history
             .iter()
             .filter(|(have, .., answer)| *have == key && answer.done)
             .count() as u64
     };
-    let (coop, other) = (of("rsk-coop"), of("rsk-other"));
-    // What the killed host had counted in its last seconds may be lost.
-    let lost = 15;
+    let (coop, other) = (complete_answers("rsk-coop"), complete_answers("rsk-other"));
+    // Calls that the killed host counted in its last seconds may be lost.
+    let max_lost = 15;
     cluster.wait_until("usage is reported", |cluster| {
-        reported(cluster, "coop") + lost >= coop && reported(cluster, "other") + lost >= other
+        reported_calls(cluster, "coop") + max_lost >= coop
+            && reported_calls(cluster, "other") + max_lost >= other
     });
     assert!(
-        reported(&cluster, "coop") <= coop && reported(&cluster, "other") <= other,
+        reported_calls(&cluster, "coop") <= coop && reported_calls(&cluster, "other") <= other,
         "counted under the wrong customer"
     );
 }
--- a/tests/suite/live_broken.rs
+++ b/tests/suite/live_broken.rs
@@ -1,4 +1,4 @@
-//! What the checkers of the live tests say when a safeguard is missing.
+//! Checks that the live tests detect a fault when a safeguard is missing.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 
 use crate::process::{cluster, get};
 
-/// Without the router an engine that breaks off leaves its caller with a part:
-/// the comparison with what the prompt must give sees it.
+/// Without the router, a caller gets a truncated answer from an engine that
+/// fails. The comparison with the expected answer must detect it.
 #[test]
 fn broken_answers_without_the_router() {
     let cluster = cluster().start();
@@ -23,8 +23,8 @@
     assert_ne!(answer.text, model::answer(digest(b"cut me len=40"), 40));
 }
 
-/// A caller that goes to an engine by itself shows it its key: the engine's
-/// record of it, which the test of keys reads, says so.
+/// A caller that sends a request directly to an engine reveals its key. The log
+/// of the engine, which the test of keys reads, must show it.
 #[test]
 fn broken_keys_without_the_router() {
     let cluster = cluster().start();
@@ -33,8 +33,8 @@
     assert_eq!(get(engine, "/control/log")["saw_key"], true);
 }
 
-/// A host that is killed instead of told to stop cuts its streams, and the
-/// callers' answers show it.
+/// A host that is killed instead of stopped gracefully truncates its streams,
+/// and the callers' answers must show it.
 #[test]
 fn broken_stop_by_a_kill() {
     let cluster = cluster().start();
@@ -42,13 +42,13 @@
     let answers = std::thread::scope(|scope| {
         let cluster = &cluster;
         let streams: Vec<_> = (0..4)
-            .map(|at| {
+            .map(|index| {
                 let caller = caller.clone();
                 scope.spawn(move || {
                     caller.chat(
                         cluster.entry_address(0),
                         "chat",
-                        &cluster.chat_body(&format!("kill {at}"), 300),
+                        &cluster.chat_body(&format!("kill {index}"), 300),
                     )
                 })
             })
