--- a/tests/suite/docs.rs
+++ b/tests/suite/docs.rs
@@ -1,4 +1,4 @@
-//! The book says what the programs do.
+//! Checks that the documentation matches the programs.
 
 use radishstair_core::config::check;
 use radishstair_core::error::Kind;
@@ -15,18 +15,18 @@
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("docs")
         .join(name);
-    std::fs::read_to_string(path).expect("the page is there")
+    std::fs::read_to_string(path).expect("the page exists")
 }
 
-/// The body of an example of the callers' page.
+/// The JSON of a named example in a page.
 fn example(page: &str, name: &str) -> Value {
     let start = format!("```json example={name}\n");
-    let rest = page.split(&start).nth(1).expect("the example is there");
-    let text = rest.split("```").next().expect("it ends");
+    let after_start = page.split(&start).nth(1).expect("the example exists");
+    let text = after_start.split("```").next().expect("the example ends");
     serde_json::from_str(text).expect("the example is JSON")
 }
 
-/// Each example of the callers' page is sent to a running deployment.
+/// Each example in the callers' page must work on a running cluster.
 #[test]
 fn the_callers_page_holds() {
     let page = page("interfaces/callers.md");
@@ -67,7 +67,7 @@
     assert_eq!((first.status, &first.body), (200, &again.body));
 }
 
-/// The platform's examples are sent to the stand-in.
+/// The examples in the platform's page must work on its stand-in.
 #[test]
 fn the_platforms_page_holds() {
     let page = page("interfaces/platform.md");
@@ -89,26 +89,26 @@
     );
 }
 
-/// The upstreams' examples are sent to the stand-ins.
+/// The examples in the upstreams' page must work on their stand-ins.
 #[test]
 fn the_upstreams_page_holds() {
     let page = page("interfaces/upstreams.md");
     let cluster = cluster().start();
     let caller = Caller::new("");
     let engine = cluster.addresses.engines[0];
-    let rest = caller.chat(engine, "", &example(&page, "resume"));
-    let whole = model::answer(digest(b"go on len=8"), 8);
-    let first: String = (0..3)
+    let resumed = caller.chat(engine, "", &example(&page, "resume"));
+    let complete = model::answer(digest(b"go on len=8"), 8);
+    let prefix: String = (0..3)
         .map(|at| model::token(digest(b"go on len=8"), at))
         .collect();
-    assert!(rest.done && rest.tokens == 5, "{rest:?}");
-    assert_eq!(format!("{first}{}", rest.text), whole);
+    assert!(resumed.done && resumed.tokens == 5, "{resumed:?}");
+    assert_eq!(format!("{prefix}{}", resumed.text), complete);
     let call = example(&page, "call");
     let answer = caller.call(cluster.addresses.plain[0], "/ledger/balances", &call, None);
     assert_eq!((answer.status, &answer.body["echo"]), (200, &call));
 }
 
-/// A peer that knows the token gets the configuration in force.
+/// A peer with the token must get the configuration in force.
 #[test]
 fn the_peers_page_holds() {
     assert!(page("interfaces/peers.md").contains("`Pull { have: 0 }`"));
@@ -130,7 +130,7 @@
     assert!(pulled.snapshot.contains("\"version\":1"), "{}", pulled.snapshot);
 }
 
-/// The callers' table of refusals is the one that the code answers by.
+/// The table of refusals in the callers' page must match the code.
 #[test]
 fn the_table_of_refusals_is_the_codes() {
     let page = page("interfaces/callers.md");
@@ -143,8 +143,8 @@
     }
 }
 
-/// Every field of a document and of an entry host's settings stands in the
-/// reference.
+/// The configuration reference must contain every field of a document and of an
+/// entry host's settings.
 #[test]
 fn the_reference_names_every_field() {
     let reference = page("configuration.md");
@@ -158,17 +158,17 @@
             "selectors": [{ "name": "s", "rank": 1, "tier": "t", "pools": {} }]
         }"#,
     );
-    let document = serde_json::to_value(document.expect("a right document")).expect("JSON");
+    let document = serde_json::to_value(document.expect("a valid document")).expect("JSON");
     for (section, value) in document.as_object().expect("sections") {
-        let part = reference
+        let section_text = reference
             .split(&format!("## {section}\n"))
             .nth(1)
-            .expect("the section is there");
-        let part = part.split("\n## ").next().unwrap_or_default();
+            .expect("the section exists");
+        let section_text = section_text.split("\n## ").next().unwrap_or_default();
         let record = value.get(0).unwrap_or(value);
         for field in record.as_object().expect("fields").keys() {
             assert!(
-                part.contains(&format!("`{field}`")),
+                section_text.contains(&format!("`{field}`")),
                 "docs/configuration.md, {section}: `{field}`"
             );
         }
