--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -48,8 +48,8 @@
     }
 }
 
-/// Ready as soon as keys are trusted and a runner is known, until the host is
-/// told to stop.
+/// Ready as soon as keys are trusted and a runner is known, until the host
+/// is stopped.
 fn readiness(handle: &Handle) -> Response<Body> {
     if handle.is_stopping() {
         return text_response(503, "text/plain", "stopping\n".into());
--- a/crates/entry/src/front/chat.rs
+++ b/crates/entry/src/front/chat.rs
@@ -32,7 +32,8 @@
 
 /// Bytes at the start of the prompt that select a runner with a cached prefix.
 const PREFIX_BYTES: usize = 64;
-/// Longest generation, in tokens, if the caller sets no `max_tokens`.
+/// Length of the answer, in tokens, that dispatch assumes if the caller sets no
+/// `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 512;
 /// Events buffered between a runner and a slow caller.
 const EVENT_BUFFER: usize = 8;
--- a/crates/entry/src/peers/serve.rs
+++ b/crates/entry/src/peers/serve.rs
@@ -20,13 +20,13 @@
 
 /// Implementation of the peers' protocol.
 #[derive(Debug)]
-pub struct Service {
+pub struct PeerService {
     handle: Arc<Handle>,
     traffic: tokio::runtime::Handle,
     calls: Arc<call::Service>,
 }
 
-impl Service {
+impl PeerService {
     async fn query(
         &self,
         make_event: impl FnOnce(radishstair_core::id::CallId) -> Event,
@@ -38,7 +38,7 @@
 }
 
 #[tonic::async_trait]
-impl Peer for Service {
+impl Peer for PeerService {
     async fn heartbeat(&self, request: Request<Heartbeat>) -> Result<Response<Ack>, Status> {
         self.handle.notify(Event::Heartbeat(request.into_inner()));
         Ok(Response::new(Ack {}))
@@ -87,7 +87,7 @@
     traffic: tokio::runtime::Handle,
     calls: Arc<call::Service>,
 ) -> Result<()> {
-    let service = PeerServer::new(Service {
+    let service = PeerServer::new(PeerService {
         handle,
         traffic,
         calls,
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -26,8 +26,8 @@
 use crate::settings::Settings;
 use crate::upstream::pool::Pool;
 
-/// Longest wait at a stop until the control thread has handed over its state.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest wait at a stop until the control thread has stored the tombstone.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs an entry host until SIGTERM or SIGINT.
 ///
@@ -45,7 +45,7 @@
     let token = Token::new(&settings.peer_token)?;
     let (messages, outbox) = mpsc::unbounded_channel();
     let exit = start_control(settings, &handle, inputs, messages)?;
-    let traffic = runtime(settings.threads, "traffic")?;
+    let traffic = start_runtime(settings.threads, "traffic")?;
     let pool = Arc::new(Pool::default());
     let calls = Arc::new(call::Service {
         handle: handle.clone(),
@@ -92,7 +92,7 @@
         tracing::warn!(event = "drain-limit-reached", in_flight = handle.in_flight());
     }
     handle.notify(Event::Drained);
-    let _ = exit.recv_timeout(HAND_OVER_TIMEOUT);
+    let _ = exit.recv_timeout(EXIT_TIMEOUT);
     // Allows one more heartbeat, which contains the last usage and the tombstone.
     thread::sleep(Duration::from_millis(100));
 }
@@ -126,7 +126,7 @@
         exit,
     };
     let control = Control::new(handle.clone(), kernel, outputs);
-    spawn("control", move || control.run(&inputs))?;
+    spawn_thread("control", move || control.run(&inputs))?;
     let client = Client::new(&settings.platform.to_string());
     let record_lease = Arc::new(RecordLease::default());
     for _ in 0..WORKERS {
@@ -136,16 +136,16 @@
             record_lease.clone(),
             job_queue.clone(),
         );
-        spawn("platform", move || {
+        spawn_thread("platform", move || {
             platform::run_worker(&handle, &client, &record_lease, &queue)
         })?;
     }
     let (watcher, watch_client) = (handle.clone(), client.clone());
-    spawn("watch", move || {
+    spawn_thread("watch", move || {
         platform::run_worker(&watcher, &watch_client, &record_lease, &watch_queue)
     })?;
     let handle = handle.clone();
-    spawn("list", move || platform::poll_runners(&handle, &client))?;
+    spawn_thread("list", move || platform::poll_runners(&handle, &client))?;
     Ok(exited)
 }
 
@@ -157,12 +157,12 @@
     traffic: &Runtime,
     calls: Arc<call::Service>,
 ) -> Result<()> {
-    let runtime = runtime(1, "peers")?;
+    let runtime = start_runtime(1, "peers")?;
     let dialer = Arc::new(Dialer::new(token));
     let (listen, token_text) = (settings.peer_listen, settings.peer_token.clone());
     let (handle, traffic) = (handle.clone(), traffic.handle().clone());
     let server = peers::serve::run(handle.clone(), listen, token_text, traffic, calls);
-    spawn("peers", move || {
+    spawn_thread("peers", move || {
         runtime.spawn(peers::run_sender(handle, dialer, outbox));
         if let Err(err) = runtime.block_on(server) {
             tracing::error!(event = "peers-not-served", reason = %format!("{err:#}"));
@@ -171,7 +171,7 @@
     })
 }
 
-fn runtime(threads: usize, name: &str) -> Result<Runtime> {
+fn start_runtime(threads: usize, name: &str) -> Result<Runtime> {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
         .thread_name(name)
@@ -180,7 +180,7 @@
         .with_context(|| format!("starting the {name} threads"))
 }
 
-fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> Result<()> {
+fn spawn_thread(name: &str, run: impl FnOnce() + Send + 'static) -> Result<()> {
     thread::Builder::new()
         .name(name.to_string())
         .spawn(run)
