--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,4 +1,4 @@
-//! The system clocks; no other module reads them.
+//! Reads the system clocks; the only source of [`Moment`]s.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -22,7 +22,8 @@
 
 /// Longest wait for an answer to a control message.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Unanswered heartbeats to one peer; further ones are dropped, as newer ones follow.
+/// Limit of unanswered heartbeats to one peer; further ones are dropped, as newer
+/// ones follow.
 const MAX_HEARTBEATS_IN_FLIGHT: usize = 2;
 
 /// A message to a peer's address.
@@ -60,7 +61,7 @@
                     .inc_by(heartbeat.encoded_len() as u64);
                 let mut client = dialer.client_on(channel);
                 tokio::spawn(async move {
-                    let _in_air = in_flight;
+                    let _in_flight = in_flight;
                     await_answer(client.heartbeat(*heartbeat)).await;
                 });
             }
--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -24,7 +24,7 @@
 /// A call to the platform.
 #[derive(Debug)]
 pub enum Job {
-    /// A call to the key-value service.
+    /// A call to the key-value store.
     Store(Token, Call),
     /// A usage report, sent under a duty lease.
     Report(Grant, SealedWindow),
@@ -134,9 +134,9 @@
     let mut revision = 0;
     loop {
         match client.runners(revision) {
-            Ok(hosts) => {
-                revision = hosts.revision;
-                if let Some(runners) = hosts.runners {
+            Ok(list) => {
+                revision = list.revision;
+                if let Some(runners) = list.runners {
                     tracing::info!(event = "runners-listed", revision, runners = runners.len());
                     handle.notify(Event::RunnerList(runners));
                 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -10,7 +10,7 @@
 use serde_with::serde_as;
 
 #[serde_as]
-/// Settings, read once at the start of the process.
+/// Settings of an entry host, read once at the start of the process.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -348,8 +348,8 @@
         kill(pid, signal).expect("the process exists");
     }
 
-    /// Suspends an entry host with SIGSTOP and waits until all its threads have stopped. A
-    /// thread that waits for a processor delays this, and the others run on meanwhile.
+    /// Suspends an entry host with SIGSTOP and waits until all its threads have stopped. While
+    /// one of them waits for a processor, the others keep running.
     pub fn freeze(&self, index: usize) {
         self.send_signal(index, Signal::SIGSTOP);
         let tasks = format!("/proc/{}/task", self.entries[index].id());
