--- a/crates/entry/src/platform.rs
+++ b/crates/entry/src/platform.rs
@@ -15,7 +15,7 @@
 use crate::handle::Handle;
 
 /// Threads for short calls; watches of the store have one of their own.
-pub const WORKERS: usize = 6;
+pub const WORKER_THREADS: usize = 6;
 /// Time between two reads of the platform's runner list.
 const RUNNER_POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// Time for which one store lease is used for new keys.
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -22,7 +22,7 @@
 use crate::handle::Handle;
 use crate::peers::dialer::{Dialer, Token};
 use crate::peers::{self, Message};
-use crate::platform::{self, RecordLease, WORKERS};
+use crate::platform::{self, RecordLease, WORKER_THREADS};
 use crate::settings::Settings;
 use crate::upstream::pool::Pool;
 
@@ -129,7 +129,7 @@
     spawn_thread("control", move || control.run(&inputs))?;
     let client = Client::new(&settings.platform.to_string());
     let record_lease = Arc::new(RecordLease::default());
-    for _ in 0..WORKERS {
+    for _ in 0..WORKER_THREADS {
         let (handle, client, record_lease, queue) = (
             handle.clone(),
             client.clone(),
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -107,7 +107,7 @@
 ///
 /// # Errors
 ///
-/// Whether bytes may have been sent.
+/// The failure, which says whether bytes may have been sent.
 pub async fn send(
     pool: &Pool,
     now: Moment,
@@ -129,7 +129,7 @@
 ///
 /// # Errors
 ///
-/// Whether bytes may have been sent.
+/// The failure, which says whether bytes may have been sent.
 pub async fn exchange(
     mut connection: Connection,
     address: SocketAddr,
