--- a/crates/entry/src/proxy/accept.rs
+++ b/crates/entry/src/proxy/accept.rs
@@ -24,7 +24,7 @@
 use super::forward::Forwarder;
 use super::job::{AttemptLog, Job, request_head};
 use super::reply::{self, Body, retry_after};
-use crate::flight::Flight;
+use crate::in_flight::InFlightGuard;
 use crate::serve;
 
 /// Time limit for receiving a body when the caller sets no deadline.
@@ -81,8 +81,8 @@
     // The head timeout also runs while a connection is idle, so it must not be
     // shorter than the idle timeout announced to callers.
     let limits = serve::Limits {
-        head_time: limits.idle_timeout.max(limits.head_timeout),
-        head: limits.head_bytes.max(MIN_HEAD_BUFFER_BYTES),
+        head_timeout: limits.idle_timeout.max(limits.head_timeout),
+        max_head_bytes: limits.head_bytes.max(MIN_HEAD_BUFFER_BYTES),
     };
     serve::connection(stream, limits, service, stop).await;
 }
@@ -140,7 +140,11 @@
 }
 
 /// Forwards an admitted request, and records its metrics and log line.
-async fn forward(forwarder: Arc<Forwarder>, job: Job, flight: Flight) -> Result<Response<Body>, Refusal> {
+async fn forward(
+    forwarder: Arc<Forwarder>,
+    job: Job,
+    flight: InFlightGuard,
+) -> Result<Response<Body>, Refusal> {
     let shared = forwarder.shared.clone();
     let job = Arc::new(job);
     let mut log = AttemptLog::default();
@@ -161,10 +165,10 @@
     };
     let route = &job.admission.route.name;
     if !job.is_stream() || result.is_err() {
-        shared.metrics.request(route, outcome);
+        shared.metrics.count_request(route, outcome);
     }
     if !job.is_stream() && result.is_ok() {
-        shared.metrics.first_after(route, now.since(job.arrived));
+        shared.metrics.observe_first_answer(route, now.since(job.arrived));
     }
     let proof_ms = shared
         .state()
@@ -242,6 +246,6 @@
         proof_ms = state.freshness.age(now).map(|age| age.as_millis() as u64),
     );
     drop(state);
-    shared.metrics.request("", refusal.kind.name());
+    shared.metrics.count_request("", refusal.kind.name());
     refusal
 }
--- a/crates/entry/src/proxy/changes.rs
+++ b/crates/entry/src/proxy/changes.rs
@@ -159,7 +159,7 @@
         Outcome::NotSent => (None, "unreachable", 0),
         Outcome::Lost { received } => (None, "lost", received),
     };
-    shared.metrics.answered(name, bytes, took);
+    shared.metrics.observe_call(name, bytes, took);
     if message.is_none() {
         tracing::warn!(event = "peer-call-failed", call = name, %peer, outcome = failure, bytes, took_ms = took.as_millis() as u64);
     }
--- a/crates/entry/src/proxy/discovery.rs
+++ b/crates/entry/src/proxy/discovery.rs
@@ -64,7 +64,7 @@
         let stale = self.shared.state().update_runners(now, as_of, listed.collect());
         self.log_pace(now);
         for address in stale {
-            self.pool.forget(address);
+            self.pool.remove(address);
         }
         changed
     }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,4 +1,4 @@
-//! The life of an entry host: start, serve, stop without cutting a request.
+//! The lifecycle of an entry host: start, serve, and a graceful stop.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,45 +17,45 @@
 
 use crate::admin;
 use crate::clock::Clock;
-use crate::control::{Control, Lines};
+use crate::control::{Control, Outputs};
 use crate::front::{self, Front, call, chat};
 use crate::handle::Handle;
-use crate::peers::links::{Links, Token};
+use crate::peers::dialer::{Dialer, Token};
 use crate::peers::{self, Message};
-use crate::platform::{self, Leases, WORKERS};
+use crate::platform::{self, RecordLease, WORKER_THREADS};
 use crate::settings::Settings;
 use crate::upstream::pool::Pool;
 
-/// Longest wait for the platform and peers to take back what was held.
-const HAND_BACK: Duration = Duration::from_secs(5);
+/// Longest wait at a stop until the control thread has stored the tombstone.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs an entry host until it is told to stop.
+/// Runs an entry host until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// When something cannot be bound or started.
+/// When an address cannot be bound or a thread cannot be started.
 pub fn run(settings: &Settings) -> Result<()> {
     let clock = Clock::default();
-    let me = Incarnation(rand::random());
+    let incarnation = Incarnation(rand::random());
     let (sender, inputs) = unbounded();
-    let promises = Secret::derive(&settings.peer_token);
-    let handle = Handle::new(me, clock, promises, sender);
-    tracing::info!(event = "starting", host = settings.host, zone = settings.zone, incarnation = %me);
+    let reservation_secret = Secret::derive(&settings.peer_token);
+    let handle = Handle::new(incarnation, clock, reservation_secret, sender);
+    tracing::info!(event = "starting", host = settings.host, zone = settings.zone, incarnation = %incarnation);
 
     let token = Token::new(&settings.peer_token)?;
     let (messages, outbox) = mpsc::unbounded_channel();
     let exit = start_control(settings, &handle, inputs, messages)?;
-    let traffic = runtime(settings.threads, "traffic")?;
+    let traffic = start_runtime(settings.threads, "traffic")?;
     let pool = Arc::new(Pool::default());
-    let calls = Arc::new(call::Caller {
+    let calls = Arc::new(call::Service {
         handle: handle.clone(),
         pool: pool.clone(),
-        links: Links::new(token.clone()),
+        dialer: Dialer::new(token.clone()),
     });
     start_peers(settings, &handle, token, outbox, &traffic, calls.clone())?;
     admin::start(handle.clone(), settings.admin_listen)?;
     let front = Arc::new(Front {
-        chats: chat::Chat {
+        chats: chat::Service {
             handle: handle.clone(),
             pool,
         },
@@ -69,31 +69,31 @@
     traffic.spawn(front::serve(front, listener, settings.connections, stopped));
     tracing::info!(event = "serving", address = %settings.listen);
 
-    radishstair_wire::settings::wait_for_stop()?;
-    wind_down(settings, &handle, &stop, &exit);
+    radishstair_wire::settings::wait_for_stop_signal()?;
+    shut_down(settings, &handle, &stop, &exit);
     traffic.shutdown_timeout(Duration::from_secs(1));
     tracing::info!(event = "stopped");
     Ok(())
 }
 
-/// Goes on serving while the balancer learns, then lets requests finish, then
-/// hands back what is held elsewhere.
-fn wind_down(settings: &Settings, handle: &Handle, stop: &watch::Sender<bool>, exit: &Receiver<()>) {
+/// Stops gracefully: accepts requests until the load balancer has noticed, waits
+/// for requests in flight, then stores the tombstone.
+fn shut_down(settings: &Settings, handle: &Handle, stop: &watch::Sender<bool>, exit: &Receiver<()>) {
     tracing::info!(event = "stopping", in_flight = handle.in_flight());
     handle.stopping.store(true, Ordering::SeqCst);
-    handle.tell(Event::Stop);
+    handle.notify(Event::Stop);
     thread::sleep(settings.linger);
     let _ = stop.send(true);
-    let until = Instant::now() + settings.drain;
-    while handle.in_flight() > 0 && Instant::now() < until {
+    let deadline = Instant::now() + settings.drain;
+    while handle.in_flight() > 0 && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(20));
     }
     if handle.in_flight() > 0 {
         tracing::warn!(event = "drain-limit-reached", in_flight = handle.in_flight());
     }
-    handle.tell(Event::Drained);
-    let _ = exit.recv_timeout(HAND_BACK);
-    // One more turn of heartbeats carries the last usage and the tombstone.
+    handle.notify(Event::Drained);
+    let _ = exit.recv_timeout(EXIT_TIMEOUT);
+    // Allows one more heartbeat, which contains the last usage and the tombstone.
     thread::sleep(Duration::from_millis(100));
 }
 
@@ -105,10 +105,10 @@
 ) -> Result<Receiver<()>> {
     let setup = Setup {
         identity: Identity {
-            incarnation: handle.me,
+            incarnation: handle.incarnation,
             host: settings.host.clone(),
             zone: settings.zone.clone(),
-            address: settings.advertised().to_string(),
+            address: settings.advertised_address().to_string(),
         },
         seeds: settings.peers.iter().map(ToString::to_string).collect(),
         secret: rand::random(),
@@ -116,32 +116,36 @@
         policy: settings.policy,
     };
     let kernel = Kernel::new(handle.clock.now(), setup);
-    let (jobs, job_line) = unbounded();
-    let (watches, watch_line) = unbounded();
+    let (jobs, job_queue) = unbounded();
+    let (watches, watch_queue) = unbounded();
     let (exit, exited) = bounded(1);
-    let lines = Lines {
+    let outputs = Outputs {
         jobs,
         watches,
         peers,
         exit,
     };
-    let control = Control::new(handle.clone(), kernel, lines);
-    spawn("control", move || control.run(&inputs))?;
+    let control = Control::new(handle.clone(), kernel, outputs);
+    spawn_thread("control", move || control.run(&inputs))?;
     let client = Client::new(&settings.platform.to_string());
-    let leases = Arc::new(Leases::default());
-    for _ in 0..WORKERS {
-        let (handle, client, leases, line) =
-            (handle.clone(), client.clone(), leases.clone(), job_line.clone());
-        spawn("platform", move || {
-            platform::work(&handle, &client, &leases, &line)
+    let record_lease = Arc::new(RecordLease::default());
+    for _ in 0..WORKER_THREADS {
+        let (handle, client, record_lease, queue) = (
+            handle.clone(),
+            client.clone(),
+            record_lease.clone(),
+            job_queue.clone(),
+        );
+        spawn_thread("platform", move || {
+            platform::run_worker(&handle, &client, &record_lease, &queue)
         })?;
     }
     let (watcher, watch_client) = (handle.clone(), client.clone());
-    spawn("watch", move || {
-        platform::work(&watcher, &watch_client, &leases, &watch_line)
+    spawn_thread("watch", move || {
+        platform::run_worker(&watcher, &watch_client, &record_lease, &watch_queue)
     })?;
     let handle = handle.clone();
-    spawn("list", move || platform::watch_list(&handle, &client))?;
+    spawn_thread("list", move || platform::poll_runners(&handle, &client))?;
     Ok(exited)
 }
 
@@ -151,15 +155,15 @@
     token: Token,
     outbox: mpsc::UnboundedReceiver<Message>,
     traffic: &Runtime,
-    calls: Arc<call::Caller>,
+    calls: Arc<call::Service>,
 ) -> Result<()> {
-    let runtime = runtime(1, "peers")?;
-    let links = Arc::new(Links::new(token));
-    let (listen, text) = (settings.peer_listen, settings.peer_token.clone());
+    let runtime = start_runtime(1, "peers")?;
+    let dialer = Arc::new(Dialer::new(token));
+    let (listen, token_text) = (settings.peer_listen, settings.peer_token.clone());
     let (handle, traffic) = (handle.clone(), traffic.handle().clone());
-    let server = peers::serve::run(handle.clone(), listen, text, traffic, calls);
-    spawn("peers", move || {
-        runtime.spawn(peers::send(handle, links, outbox));
+    let server = peers::serve::run(handle.clone(), listen, token_text, traffic, calls);
+    spawn_thread("peers", move || {
+        runtime.spawn(peers::run_sender(handle, dialer, outbox));
         if let Err(err) = runtime.block_on(server) {
             tracing::error!(event = "peers-not-served", reason = %format!("{err:#}"));
             std::process::exit(1);
@@ -167,7 +171,7 @@
     })
 }
 
-fn runtime(threads: usize, name: &str) -> Result<Runtime> {
+fn start_runtime(threads: usize, name: &str) -> Result<Runtime> {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
         .thread_name(name)
@@ -176,7 +180,7 @@
         .with_context(|| format!("starting the {name} threads"))
 }
 
-fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> Result<()> {
+fn spawn_thread(name: &str, run: impl FnOnce() + Send + 'static) -> Result<()> {
     thread::Builder::new()
         .name(name.to_string())
         .spawn(run)
