--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -302,7 +302,7 @@
     let seed = digest(prompt.as_bytes());
     let prefix = digest(&prompt.as_bytes()[..prompt.len().min(64)]);
     tokio::time::sleep(engine.prefill(prefix)).await;
-    let length = model::length(&prompt, chat.max_tokens);
+    let length = model::completion_tokens(&prompt, chat.max_tokens);
     let cut = {
         let mut state = engine.lock();
         let cut = state.fault.cut_at.filter(|_| state.fault.cuts > 0);
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -6,7 +6,7 @@
 use radishstair_core::id::digest;
 
 /// Longest answer when the caller sets no limit.
-pub const MOST: u32 = 512;
+pub const DEFAULT_MAX_TOKENS: u32 = 512;
 
 /// Token `at` of the answer to a prompt.
 pub fn token(prompt: u64, at: u32) -> String {
@@ -17,14 +17,14 @@
 }
 
 /// The whole answer.
-pub fn answer(prompt: u64, tokens: u32) -> String {
+pub fn completion(prompt: u64, tokens: u32) -> String {
     (0..tokens).map(|at| token(prompt, at)).collect()
 }
 
 /// How many tokens the answer has: the caller cannot know. A prompt may fix
 /// it by the words `len=N`; else it is heavy-tailed.
-pub fn length(prompt: &str, most: Option<u32>) -> u32 {
-    let most = most.unwrap_or(MOST);
+pub fn completion_tokens(prompt: &str, most: Option<u32>) -> u32 {
+    let most = most.unwrap_or(DEFAULT_MAX_TOKENS);
     let fixed = prompt
         .split_whitespace()
         .find_map(|word| word.strip_prefix("len=")?.parse().ok());
--- a/tests/suite/docs.rs
+++ b/tests/suite/docs.rs
@@ -82,7 +82,7 @@
     let caller = Caller::new("");
     let engine = site.addresses.engines[0];
     let rest = caller.chat(engine, "", &example(&page, "resume"));
-    let whole = model::answer(digest(b"go on len=8"), 8);
+    let whole = model::completion(digest(b"go on len=8"), 8);
     let first: String = (0..3)
         .map(|at| model::token(digest(b"go on len=8"), at))
         .collect();
--- a/tests/suite/duties_live.rs
+++ b/tests/suite/duties_live.rs
@@ -203,7 +203,7 @@
     });
     let mut whole = 0;
     for (key, prompt, tokens, answer) in &history {
-        let expected = model::answer(digest(prompt.as_bytes()), *tokens);
+        let expected = model::completion(digest(prompt.as_bytes()), *tokens);
         if answer.done {
             whole += 1;
             assert_eq!(answer.text, expected, "{key}: {prompt}");
--- a/tests/suite/live.rs
+++ b/tests/suite/live.rs
@@ -161,7 +161,7 @@
     site.fault(&site.addresses.engines, &json!({ "cut_at": 5, "cuts": 1 }));
     let body = site.chat("resume me", 40);
     let prompt = body["messages"][0]["content"].as_str().expect("a prompt");
-    let whole = model::answer(digest(prompt.as_bytes()), 40);
+    let whole = model::completion(digest(prompt.as_bytes()), 40);
     let answer = site.caller().chat(site.entry(0), "chat", &body);
     assert!(answer.done, "{answer:?}");
     assert_eq!(answer.text, whole);
@@ -202,7 +202,7 @@
     site.fault(&site.addresses.engines[..1], &json!({ "cross": 1 }));
     let body = site.chat("crossed", 10);
     let prompt = body["messages"][0]["content"].as_str().expect("a prompt");
-    let whole = model::answer(digest(prompt.as_bytes()), 10);
+    let whole = model::completion(digest(prompt.as_bytes()), 10);
     for entry in 0..4 {
         let answer = site.caller().chat(site.entry(entry), "chat", &body);
         assert_eq!(
--- a/tests/suite/live_broken.rs
+++ b/tests/suite/live_broken.rs
@@ -18,7 +18,7 @@
     let engine = site.addresses.engines[0];
     site.fault(&[engine], &json!({ "cut_at": 5, "cuts": 1 }));
     let answer = site.caller().chat(engine, "chat", &site.chat("cut me", 40));
-    assert_ne!(answer.text, model::answer(digest(b"cut me len=40"), 40));
+    assert_ne!(answer.text, model::completion(digest(b"cut me len=40"), 40));
 }
 
 /// A caller that goes to an engine by itself shows it its key: the engine's
