--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::model;
-use crate::serve::{self, Answer, header, json};
+use crate::server::{self, Answer, header, json};
 
 #[serde_as]
 /// Settings of the stand-in.
@@ -226,7 +226,7 @@
         settings,
         state: Mutex::default(),
     });
-    serve::run(listen, move |request| handle(engine.clone(), request)).await
+    server::run(listen, move |request| handle(engine.clone(), request)).await
 }
 
 async fn handle(engine: Arc<Engine>, request: Request<Incoming>) -> Answer {
@@ -243,7 +243,7 @@
             Ok(json(200, &load))
         }
         (&Method::POST, "/control/fault") => {
-            let fault = serde_json::from_slice(&serve::read(request).await).unwrap_or_default();
+            let fault = serde_json::from_slice(&server::read(request).await).unwrap_or_default();
             engine.lock().fault = fault;
             Ok(json(200, &serde_json::json!({})))
         }
@@ -256,7 +256,7 @@
     let id = header(&request, http::REQUEST_ID);
     let priority = header(&request, http::PRIORITY).parse().unwrap_or(u8::MAX);
     let saw_key = request.headers().contains_key("authorization");
-    let Ok(chat) = serde_json::from_slice::<Chat>(&serve::read(request).await) else {
+    let Ok(chat) = serde_json::from_slice::<Chat>(&server::read(request).await) else {
         return Ok(json(400, &serde_json::json!({ "error": "malformed body" })));
     };
     let (id, leaving) = {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -7,4 +7,4 @@
 pub mod model;
 pub mod plain;
 pub mod platform;
-pub mod serve;
+pub mod server;
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -14,7 +14,7 @@
 use radishstair_wire::http;
 use serde_with::serde_as;
 
-use crate::serve::{self, Answer, Cut, header, json};
+use crate::server::{self, Answer, Cut, header, json};
 
 #[serde_as]
 /// Settings of the stand-in.
@@ -85,7 +85,7 @@
 pub async fn run(settings: Settings) -> Result<()> {
     let state = Arc::new(Mutex::new(State::default()));
     let listen = settings.listen;
-    serve::run(listen, move |request| {
+    server::run(listen, move |request| {
         handle(settings.clone(), state.clone(), request)
     })
     .await
@@ -99,7 +99,7 @@
             Ok(json(200, &runs))
         }
         (&Method::POST, "/control/fault") => {
-            let fault = serde_json::from_slice(&serve::read(request).await).unwrap_or_default();
+            let fault = serde_json::from_slice(&server::read(request).await).unwrap_or_default();
             lock(&state).fault = fault;
             Ok(json(200, &serde_json::json!({})))
         }
@@ -112,7 +112,7 @@
     let id = header(&request, http::REQUEST_ID);
     let path = request.uri().path().to_string();
     let saw_key = request.headers().contains_key("authorization");
-    let text = serve::read(request).await;
+    let text = server::read(request).await;
     let body: serde_json::Value = serde_json::from_slice(&text).unwrap_or_default();
     let (delay, cut, entry, cross, leaving) = {
         let mut state = lock(state);
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/server.rs
@@ -94,7 +94,7 @@
 /// # Errors
 ///
 /// When the server cannot start.
-pub fn until_stopped(server: impl Future<Output = Result<()>> + Send + 'static) -> Result<()> {
+pub fn run_until_signal(server: impl Future<Output = Result<()>> + Send + 'static) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
--- a/src/bin/standin-engine.rs
+++ b/src/bin/standin-engine.rs
@@ -8,6 +8,6 @@
     radishstair::start(
         "standin-engine",
         |_| Ok(()),
-        |settings| radishstair_standin::serve::until_stopped(engine::run(settings)),
+        |settings| radishstair_standin::server::run_until_signal(engine::run(settings)),
     )
 }
--- a/src/bin/standin-plain.rs
+++ b/src/bin/standin-plain.rs
@@ -8,6 +8,6 @@
     radishstair::start(
         "standin-plain",
         |_| Ok(()),
-        |settings| radishstair_standin::serve::until_stopped(plain::run(settings)),
+        |settings| radishstair_standin::server::run_until_signal(plain::run(settings)),
     )
 }
