--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -14,7 +14,7 @@
 use radishstair_wire::http;
 use serde_with::serde_as;
 
-use crate::server::{self, Answer, Cut, header, json};
+use crate::server::{self, Answer, Disconnect, header, json};
 
 #[serde_as]
 /// Settings of the stand-in.
@@ -117,7 +117,7 @@
     let (delay, cut, entry, cross, leaving) = {
         let mut state = lock(state);
         if take(&mut state.fault.cut_before) {
-            return Err(Cut);
+            return Err(Disconnect);
         }
         state.runs.push(Run {
             path,
@@ -132,7 +132,7 @@
     };
     tokio::time::sleep(delay).await;
     if cut {
-        return Err(Cut);
+        return Err(Disconnect);
     }
     let mut answer = json(
         200,
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -15,19 +15,19 @@
 /// Body of any answer.
 pub type Body = BoxBody<Bytes, Infallible>;
 /// An answer, or the wish to cut the connection without one.
-pub type Answer = Result<Response<Body>, Cut>;
+pub type Answer = Result<Response<Body>, Disconnect>;
 
 /// Cuts the connection: the caller gets no answer.
 #[derive(Debug)]
-pub struct Cut;
+pub struct Disconnect;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for Disconnect {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the connection is cut on purpose")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Disconnect {}
 
 /// A whole JSON answer.
 pub fn json(status: u16, value: &serde_json::Value) -> Response<Body> {
