--- a/crates/ctl/src/cmd.rs
+++ b/crates/ctl/src/cmd.rs
@@ -109,7 +109,7 @@
         return;
     }
     for zone in host::await_version(&context.settings.hosts, entry.version, IN_FORCE) {
-        match host::confirms(&zone, entry.version) {
+        match host::has_version(&zone, entry.version) {
             true => println!("in-force zone={} hosts={}", zone.zone, zone.hosts),
             false => println!(
                 "not-confirmed zone={} last-version={} heard-ms-ago={}",
--- a/crates/ctl/src/cmd/status.rs
+++ b/crates/ctl/src/cmd/status.rs
@@ -22,7 +22,7 @@
 /// When output fails.
 pub fn run(context: &Context, args: &Args) -> Result<()> {
     for address in &context.settings.hosts {
-        let Some(status) = host::status(*address) else {
+        let Some(status) = host::fetch_status(*address) else {
             println!("host={address} state=no-answer");
             continue;
         };
@@ -48,8 +48,8 @@
             println!("host={address} tier={tier} waiting={waiting}");
         }
     }
-    for zone in host::zones(&context.settings.hosts) {
-        let state = if zone.age_ms <= host::STALE_MS {
+    for zone in host::zone_summaries(&context.settings.hosts) {
+        let state = if zone.age_ms <= host::MAX_SUMMARY_AGE_MS {
             "heard"
         } else {
             "silent"
--- a/crates/ctl/src/host.rs
+++ b/crates/ctl/src/host.rs
@@ -6,12 +6,12 @@
 use radishstair_core::kernel::{Status, ZoneStatus};
 
 /// Age past which a zone's summary is no confirmation.
-pub const STALE_MS: u64 = 10_000;
+pub const MAX_SUMMARY_AGE_MS: u64 = 10_000;
 /// Pause between looks.
-const PAUSE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Status of one host; `None` when it does not answer.
-pub fn status(address: SocketAddr) -> Option<Status> {
+pub fn fetch_status(address: SocketAddr) -> Option<Status> {
     let config = ureq::Agent::config_builder()
         .timeout_global(Some(Duration::from_secs(3)))
         .proxy(None)
@@ -26,11 +26,11 @@
 }
 
 /// The newest summary of each zone that any host has.
-pub fn zones(hosts: &[SocketAddr]) -> Vec<ZoneStatus> {
+pub fn zone_summaries(hosts: &[SocketAddr]) -> Vec<ZoneStatus> {
     let mut zones: Vec<ZoneStatus> = Vec::new();
     for zone in hosts
         .iter()
-        .filter_map(|host| status(*host))
+        .filter_map(|host| fetch_status(*host))
         .flat_map(|status| status.zones)
     {
         match zones.binary_search_by(|have| have.zone.cmp(&zone.zone)) {
@@ -46,16 +46,16 @@
 pub fn await_version(hosts: &[SocketAddr], version: u64, limit: Duration) -> Vec<ZoneStatus> {
     let until = Instant::now() + limit;
     loop {
-        let zones = zones(hosts);
-        let confirmed = !zones.is_empty() && zones.iter().all(|zone| confirms(zone, version));
+        let zones = zone_summaries(hosts);
+        let confirmed = !zones.is_empty() && zones.iter().all(|zone| has_version(zone, version));
         if confirmed || Instant::now() >= until {
             return zones;
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
 /// Whether a zone's summary confirms a version.
-pub fn confirms(zone: &ZoneStatus, version: u64) -> bool {
-    zone.version >= version && zone.age_ms <= STALE_MS
+pub fn has_version(zone: &ZoneStatus, version: u64) -> bool {
+    zone.version >= version && zone.age_ms <= MAX_SUMMARY_AGE_MS
 }
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -290,7 +290,7 @@
 
     /// Status of an entry host.
     pub fn status(&self, at: usize) -> Option<Status> {
-        radishstair_ctl::host::status(self.addresses.admin[at])
+        radishstair_ctl::host::fetch_status(self.addresses.admin[at])
     }
 
     /// A metric of an entry host that has no labels.
