--- a/crates/ctl/src/cmd.rs
+++ b/crates/ctl/src/cmd.rs
@@ -99,7 +99,7 @@
 }
 
 /// Says what became of a change: accepted, and where it is in force.
-pub fn tell(context: &Context, entry: Option<&Entry>) {
+pub fn print_outcome(context: &Context, entry: Option<&Entry>) {
     let Some(entry) = entry else {
         println!("nothing to change");
         return;
--- a/crates/ctl/src/cmd/apply.rs
+++ b/crates/ctl/src/cmd/apply.rs
@@ -7,7 +7,7 @@
 use radishstair_core::config::change::{self, Op};
 use radishstair_core::config::{Document, check};
 
-use super::{Context, tell};
+use super::{Context, print_outcome};
 use crate::commit::commit;
 
 /// Apply a document; sections that the file lacks stay as they are.
@@ -28,12 +28,12 @@
 ///
 /// When the file is wrong, another operator was faster, or the store is away.
 pub fn run(context: &Context, args: &Args) -> Result<()> {
-    let text = read(&args.file)?;
+    let text = read_file(&args.file)?;
     let note = if args.note.is_empty() { "apply" } else { &args.note };
     let entry = commit(&context.client, &context.settings.who, note, false, |current| {
         plan(current, &text)
     })?;
-    tell(context, entry.as_ref());
+    print_outcome(context, entry.as_ref());
     Ok(())
 }
 
@@ -42,7 +42,7 @@
 /// # Errors
 ///
 /// When it cannot be read.
-pub fn read(file: &Path) -> Result<String> {
+pub fn read_file(file: &Path) -> Result<String> {
     std::fs::read_to_string(file).with_context(|| format!("reading {}", file.display()))
 }
 
--- a/crates/ctl/src/cmd/audit.rs
+++ b/crates/ctl/src/cmd/audit.rs
@@ -36,7 +36,10 @@
             entry.note
         );
         if args.full {
-            entry.ops.iter().for_each(|op| println!("  {}", diff::line(op)));
+            entry
+                .ops
+                .iter()
+                .for_each(|op| println!("  {}", diff::format_op(op)));
         }
     }
     Ok(())
--- a/crates/ctl/src/cmd/check.rs
+++ b/crates/ctl/src/cmd/check.rs
@@ -23,7 +23,7 @@
 ///
 /// Names the key that is wrong and what is allowed there.
 pub fn run(args: &Args) -> Result<()> {
-    let document = check::parse(&apply::read(&args.file)?)?;
+    let document = check::parse(&apply::read_file(&args.file)?)?;
     println!(
         "ok tiers={} classes={} customers={} keys={} pools={} selectors={}",
         document.tiers.len(),
--- a/crates/ctl/src/cmd/diff.rs
+++ b/crates/ctl/src/cmd/diff.rs
@@ -25,16 +25,16 @@
 /// When the file is wrong or the store is away.
 pub fn run(context: &Context, args: &Args) -> Result<()> {
     let current = load(&context.client)?;
-    let ops = apply::plan(&current.document, &apply::read(&args.file)?)?;
+    let ops = apply::plan(&current.document, &apply::read_file(&args.file)?)?;
     println!("against version={} changes={}", current.version, ops.len());
     for op in &ops {
-        println!("{}", line(op));
+        println!("{}", format_op(op));
     }
     Ok(())
 }
 
 /// One operation as a line.
-pub fn line(op: &Op) -> String {
+pub fn format_op(op: &Op) -> String {
     let section = serde_json::to_string(&op.section).unwrap_or_default();
     let section = section.trim_matches('"');
     match &op.value {
--- a/crates/ctl/src/cmd/key.rs
+++ b/crates/ctl/src/cmd/key.rs
@@ -6,7 +6,7 @@
 use radishstair_core::config::{Document, Key, Labels};
 use sha2::{Digest, Sha256};
 
-use super::{Context, tell};
+use super::{Context, print_outcome};
 use crate::commit::commit;
 
 /// Give a customer a key; it is printed once and only its hash is kept.
@@ -44,7 +44,7 @@
         plan_give(document, args, &hash)
     })?;
     println!("key={key}");
-    tell(context, entry.as_ref());
+    print_outcome(context, entry.as_ref());
     Ok(())
 }
 
@@ -77,7 +77,7 @@
     let entry = commit(&context.client, &context.settings.who, &note, true, |document| {
         plan_withdraw(document, args)
     })?;
-    tell(context, entry.as_ref());
+    print_outcome(context, entry.as_ref());
     Ok(())
 }
 
--- a/crates/ctl/src/cmd/label.rs
+++ b/crates/ctl/src/cmd/label.rs
@@ -5,7 +5,7 @@
 use radishstair_core::config::change::{Op, Section};
 use radishstair_core::config::{Document, Labels};
 
-use super::{Context, tell};
+use super::{Context, print_outcome};
 use crate::commit::commit;
 
 /// Label a customer, class, key or pool.
@@ -36,7 +36,7 @@
     let entry = commit(&context.client, &context.settings.who, &note, true, |document| {
         plan(document, args, label, value)
     })?;
-    tell(context, entry.as_ref());
+    print_outcome(context, entry.as_ref());
     Ok(())
 }
 
