--- a/crates/ctl/src/cmd/audit.rs
+++ b/crates/ctl/src/cmd/audit.rs
@@ -4,7 +4,7 @@
 use argh::FromArgs;
 
 use super::{Context, diff};
-use crate::commit::log;
+use crate::commit::load_log;
 
 /// Show the audit trail.
 #[derive(Debug, FromArgs)]
@@ -24,7 +24,7 @@
 ///
 /// When the store is away.
 pub fn run(context: &Context, args: &Args) -> Result<()> {
-    for entry in log(&context.client, args.after)? {
+    for entry in load_log(&context.client, args.after)? {
         println!(
             "when={} who={} from={} to={} id={} changes={} note=\"{}\"",
             entry.when,
--- a/crates/ctl/src/cmd/diff.rs
+++ b/crates/ctl/src/cmd/diff.rs
@@ -7,7 +7,7 @@
 use radishstair_core::config::change::Op;
 
 use super::{Context, apply};
-use crate::commit::load;
+use crate::commit::load_snapshot;
 
 /// Show what applying a document would change.
 #[derive(Debug, FromArgs)]
@@ -24,7 +24,7 @@
 ///
 /// When the file is wrong or the store is away.
 pub fn run(context: &Context, args: &Args) -> Result<()> {
-    let current = load(&context.client)?;
+    let current = load_snapshot(&context.client)?;
     let ops = apply::plan(&current.document, &apply::read_file(&args.file)?)?;
     println!("against version={} changes={}", current.version, ops.len());
     for op in &ops {
--- a/crates/ctl/src/commit.rs
+++ b/crates/ctl/src/commit.rs
@@ -22,7 +22,7 @@
 /// # Errors
 ///
 /// When the store cannot be read.
-pub fn load(client: &Client) -> Result<Snapshot> {
+pub fn load_snapshot(client: &Client) -> Result<Snapshot> {
     let entries = read(
         client,
         &Call::Get {
@@ -33,7 +33,7 @@
         Some(entry) => serde_json::from_str(&entry.value).context("reading the stored snapshot")?,
         None => Snapshot::default(),
     };
-    for entry in log(client, snapshot.version)? {
+    for entry in load_log(client, snapshot.version)? {
         if entry.version != snapshot.version + 1 {
             break;
         }
@@ -49,7 +49,7 @@
 /// # Errors
 ///
 /// When the store cannot be read.
-pub fn log(client: &Client, after: u64) -> Result<Vec<Entry>> {
+pub fn load_log(client: &Client, after: u64) -> Result<Vec<Entry>> {
     let mut all = Vec::new();
     let mut from = change::log_key(after);
     loop {
@@ -84,7 +84,7 @@
     make: impl Fn(&Document) -> Result<Vec<Op>>,
 ) -> Result<Option<Entry>> {
     for _ in 0..RACES {
-        let current = load(client)?;
+        let current = load_snapshot(client)?;
         let ops = make(&current.document)?;
         if ops.is_empty() {
             return Ok(None);
