--- a/crates/ctl/src/commit.rs
+++ b/crates/ctl/src/commit.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration from the store and adding changes to it.
+//! Reads the configuration from the store and appends changes to its log.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -8,22 +8,23 @@
 use radishstair_core::store::{self, Answer, Call};
 use radishstair_wire::platform::Client;
 
-/// Tries of one call that gets no answer.
-const TRIES: u32 = 20;
-/// Pause between tries.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Entries read at once.
-const BATCH: u32 = 500;
-/// Times that a small change is made anew after losing a race.
-const RACES: u32 = 8;
+/// Attempts of one store call before the store counts as unreachable.
+const MAX_ATTEMPTS: u32 = 20;
+/// Pause between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Log entries read by one call.
+const PAGE_ENTRIES: u32 = 500;
+/// Attempts of a change that conflicts with those of other operators.
+const MAX_CONFLICTS: u32 = 8;
 
-/// The newest configuration in the store.
+/// Newest configuration: the stored snapshot with the later log entries
+/// applied.
 ///
 /// # Errors
 ///
-/// When the store cannot be read.
+/// When the store does not answer or an entry cannot be read.
 pub fn load_snapshot(client: &Client) -> Result<Snapshot> {
-    let entries = read(
+    let entries = read_entries(
         client,
         &Call::Get {
             key: SNAPSHOT_KEY.into(),
@@ -44,48 +45,50 @@
     Ok(snapshot)
 }
 
-/// All entries after a version.
+/// All log entries after a version, in order.
 ///
 /// # Errors
 ///
-/// When the store cannot be read.
+/// When the store does not answer or an entry cannot be read.
 pub fn load_log(client: &Client, after: u64) -> Result<Vec<Entry>> {
     let mut all = Vec::new();
-    let mut from = change::log_key(after);
+    let mut cursor = change::log_key(after);
     loop {
         let call = Call::Range {
             prefix: LOG_PREFIX.into(),
-            after: from.clone(),
-            limit: BATCH,
+            after: cursor.clone(),
+            limit: PAGE_ENTRIES,
         };
-        let entries = read(client, &call)?;
+        let entries = read_entries(client, &call)?;
         let Some(last) = entries.last() else {
             return Ok(all);
         };
-        from = last.key.clone();
+        cursor = last.key.clone();
         for entry in &entries {
             all.push(serde_json::from_str(&entry.value).with_context(|| format!("reading {}", entry.key))?);
         }
     }
 }
 
-/// Makes a change; what `make` decides is decided anew if another operator
-/// was faster and `again` allows it. `None` when there is nothing to change.
+/// Appends the change that `plan` computes from the current document. If
+/// another operator's change is accepted first, `plan` runs again on the new
+/// document if `retry` is set. `None` if there is nothing to change.
 ///
 /// # Errors
 ///
-/// When the race was lost, the change does not pass the checks, or the store
-/// gives no answer; the last says that it is not known.
+/// When another operator's change was accepted first, the change does not pass
+/// the checks, or the store does not answer; in the last case the message says
+/// that the outcome is unknown.
 pub fn commit(
     client: &Client,
     who: &str,
     note: &str,
-    again: bool,
-    make: impl Fn(&Document) -> Result<Vec<Op>>,
+    retry: bool,
+    plan: impl Fn(&Document) -> Result<Vec<Op>>,
 ) -> Result<Option<Entry>> {
-    for _ in 0..RACES {
+    for _ in 0..MAX_CONFLICTS {
         let current = load_snapshot(client)?;
-        let ops = make(&current.document)?;
+        let ops = plan(&current.document)?;
         if ops.is_empty() {
             return Ok(None);
         }
@@ -95,14 +98,14 @@
             version: current.version + 1,
             id: uuid::Uuid::now_v7().to_string(),
             who: who.to_string(),
-            when: now(),
+            when: unix_millis(),
             note: note.to_string(),
             ops,
         };
-        match offer(client, &entry)? {
+        match append(client, &entry)? {
             None => return Ok(Some(entry)),
-            Some(other) if !again => bail!(
-                "not accepted: {} was faster with version {} ({}); look at it with `diff` and apply again",
+            Some(other) if !retry => bail!(
+                "not accepted: {} applied version {} first ({}); compare with `diff` and apply again",
                 other.who,
                 other.version,
                 other.note
@@ -110,52 +113,57 @@
             Some(_) => {}
         }
     }
-    bail!("not accepted: others were faster {RACES} times in a row")
+    bail!("not accepted: {MAX_CONFLICTS} conflicts in a row with changes by other operators")
 }
 
-/// Offers an entry; gives back the one that stands there instead, if any.
-fn offer(client: &Client, entry: &Entry) -> Result<Option<Entry>> {
+/// Appends an entry to the log; `Some` is another operator's entry that has the
+/// version already.
+fn append(client: &Client, entry: &Entry) -> Result<Option<Entry>> {
     let key = change::log_key(entry.version);
     let value = serde_json::to_string(entry)?;
     ensure!(
         value.len() < 900_000,
-        "the change is too large for one value of the store"
+        "the change is too large for one value of the store: 900000 bytes or more"
     );
     let call = Call::CompareAndSwap {
         key,
         expect: 0,
         value,
     };
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match client.store(&call, None) {
             Answer::Written(_) => return Ok(None),
-            Answer::Conflict(stands) => {
-                let stands: Entry =
-                    serde_json::from_str(&stands.value).context("reading the entry that stands")?;
-                // After a lost answer the entry that stands may be our own.
-                return Ok((stands.id != entry.id).then_some(stands));
+            Answer::Conflict(existing) => {
+                let existing: Entry =
+                    serde_json::from_str(&existing.value).context("reading the existing entry")?;
+                // If an answer was lost, the existing entry may come from an earlier attempt.
+                return Ok((existing.id != entry.id).then_some(existing));
+            }
+            Answer::Refused | Answer::Lost | Answer::Found(_) | Answer::Same => {
+                std::thread::sleep(RETRY_DELAY)
             }
-            Answer::Refused | Answer::Lost | Answer::Found(_) | Answer::Same => std::thread::sleep(PAUSE),
         }
     }
     bail!(
-        "not known whether version {} was accepted: the store gives no answer; \
-         run the same command again, it changes nothing that already stands",
+        "not known whether version {} was accepted: the store does not answer; \
+         run the same command again, it does not repeat an accepted change",
         entry.version
     )
 }
 
-fn read(client: &Client, call: &Call) -> Result<Vec<store::Entry>> {
-    for _ in 0..TRIES {
+/// Makes a call that reads entries, with retries.
+fn read_entries(client: &Client, call: &Call) -> Result<Vec<store::Entry>> {
+    for _ in 0..MAX_ATTEMPTS {
         if let Answer::Found(entries) = client.store(call, None) {
             return Ok(entries);
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(RETRY_DELAY);
     }
-    bail!("the store gives no answer")
+    bail!("the store does not answer")
 }
 
-fn now() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    since.as_millis() as u64
+/// Wall-clock time, in milliseconds since the Unix epoch.
+fn unix_millis() -> u64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    since_epoch.as_millis() as u64
 }
