--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,5 @@
-//! What operators do: apply, compare, label, give and withdraw keys, look.
+//! Library of the operators' command `radishctl`: configuration, labels, API
+//! keys, status and the audit trail.
 
 pub mod cmd;
 pub mod commit;
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -1,16 +1,16 @@
-//! Settings of the operators' command.
+//! Settings file of `radishctl`.
 
 use std::net::SocketAddr;
 
-/// Where the platform and the hosts are, and who is asking.
+/// Addresses of the platform and of entry hosts, and the operator's name.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The platform's service.
+    /// IP address and port of the platform's service.
     pub platform: SocketAddr,
-    /// Name that goes into the audit trail.
+    /// Operator's name for the audit trail.
     pub who: String,
-    /// Operators' addresses of some entry hosts, best one a zone.
+    /// Admin addresses of some entry hosts, preferably one per zone.
     #[serde(default)]
     pub hosts: Vec<SocketAddr>,
 }
