--- a/crates/ctl/src/cmd.rs
+++ b/crates/ctl/src/cmd.rs
@@ -1,4 +1,4 @@
-//! Subcommands of `radishctl`, one file each.
+//! Command line of `radishctl`; each subcommand has a module.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -19,51 +19,51 @@
 pub mod label;
 pub mod status;
 
-/// How long to wait for a change to be in force.
-const IN_FORCE: Duration = Duration::from_secs(14);
+/// Longest wait for a change to be in force in all zones.
+const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(14);
 
-/// Operates radishstair: configuration, keys, status and the audit trail.
+/// Manages radishstair: configuration, API keys, status and the audit trail.
 #[derive(Debug, FromArgs)]
 pub struct Args {
     /// settings file (JSON)
     #[argh(option, default = "PathBuf::from(\"radishctl.json\")")]
     pub settings: PathBuf,
-    /// print the version and end
+    /// print the version and exit
     #[argh(switch)]
     pub version: bool,
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What to do.
+/// A subcommand and its arguments.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
     /// Apply a document.
     Apply(apply::Args),
-    /// Compare a document.
+    /// Compare a document with the stored configuration.
     Diff(diff::Args),
     /// Check a document.
     Check(check::Args),
-    /// Label something.
+    /// Set or remove a label.
     Label(label::Args),
-    /// Give a key.
+    /// Issue an API key.
     Give(key::Give),
-    /// Withdraw a key.
+    /// Withdraw an API key.
     Withdraw(key::Withdraw),
-    /// Show how things stand.
+    /// Show the status of hosts and zones.
     Status(status::Args),
     /// Show the audit trail.
     Audit(audit::Args),
 }
 
-/// What every command that talks to the platform holds.
+/// Settings and client that the commands share.
 #[derive(Debug)]
 pub struct Context {
-    /// Settings.
+    /// Settings of `radishctl`.
     pub settings: Settings,
-    /// The platform.
+    /// Client of the platform.
     pub client: Client,
 }
 
@@ -71,7 +71,8 @@
 ///
 /// # Errors
 ///
-/// What went wrong, in one line.
+/// When there is no command, the settings cannot be read or the command fails;
+/// the message is one line.
 pub fn run(args: Args) -> Result<()> {
     if args.version {
         println!("radishctl {}", env!("CARGO_PKG_VERSION"));
@@ -98,7 +99,8 @@
     }
 }
 
-/// Says what became of a change: accepted, and where it is in force.
+/// Prints the version of an accepted change, and for each zone whether the
+/// change is in force there.
 pub fn print_outcome(context: &Context, entry: Option<&Entry>) {
     let Some(entry) = entry else {
         println!("nothing to change");
@@ -108,7 +110,7 @@
     if context.settings.hosts.is_empty() {
         return;
     }
-    for zone in host::await_version(&context.settings.hosts, entry.version, IN_FORCE) {
+    for zone in host::await_version(&context.settings.hosts, entry.version, ROLLOUT_TIMEOUT) {
         match host::has_version(&zone, entry.version) {
             true => println!("in-force zone={} hosts={}", zone.zone, zone.hosts),
             false => println!(
--- a/crates/ctl/src/cmd/apply.rs
+++ b/crates/ctl/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `radishctl apply`: makes the stored configuration like a file.
+//! `radishctl apply`: applies a document to the stored configuration.
 
 use std::path::{Path, PathBuf};
 
@@ -10,14 +10,14 @@
 use super::{Context, print_outcome};
 use crate::commit::commit;
 
-/// Apply a document; sections that the file lacks stay as they are.
+/// Apply a document; sections that are not in the file stay unchanged.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct Args {
-    /// document (JSON)
+    /// document file (JSON)
     #[argh(positional)]
     pub file: PathBuf,
-    /// why, for the audit trail
+    /// reason for the change, for the audit trail
     #[argh(option, default = "String::new()")]
     pub note: String,
 }
@@ -26,7 +26,8 @@
 ///
 /// # Errors
 ///
-/// When the file is wrong, another operator was faster, or the store is away.
+/// When the file cannot be read or is invalid, another operator's change was
+/// accepted first, or the store does not answer.
 pub fn run(context: &Context, args: &Args) -> Result<()> {
     let text = read_file(&args.file)?;
     let note = if args.note.is_empty() { "apply" } else { &args.note };
@@ -41,25 +42,25 @@
 ///
 /// # Errors
 ///
-/// When it cannot be read.
+/// When the file cannot be read.
 pub fn read_file(file: &Path) -> Result<String> {
     std::fs::read_to_string(file).with_context(|| format!("reading {}", file.display()))
 }
 
-/// What would change.
+/// Operations that bring the current document to the sections of a file.
 ///
 /// # Errors
 ///
-/// Names the key that is wrong.
+/// When the file is invalid; the message names the key.
 pub fn plan(current: &Document, text: &str) -> Result<Vec<Op>> {
-    let mut wanted = serde_json::to_value(current)?;
+    let mut merged = serde_json::to_value(current)?;
     let file: serde_json::Value = serde_json::from_str(text).context("reading the document")?;
-    let (Some(wanted), Some(file)) = (wanted.as_object_mut(), file.as_object()) else {
+    let (Some(merged), Some(file)) = (merged.as_object_mut(), file.as_object()) else {
         bail!("the document must be a JSON object");
     };
     for (section, value) in file {
-        wanted.insert(section.clone(), value.clone());
+        merged.insert(section.clone(), value.clone());
     }
-    let wanted = check::parse(&serde_json::to_string(wanted)?)?;
-    Ok(change::diff(current, &wanted))
+    let merged = check::parse(&serde_json::to_string(merged)?)?;
+    Ok(change::diff(current, &merged))
 }
--- a/crates/ctl/src/cmd/audit.rs
+++ b/crates/ctl/src/cmd/audit.rs
@@ -1,4 +1,5 @@
-//! `radishctl audit`: who changed what, when, from which version to which.
+//! `radishctl audit`: prints who made each change, when, and the versions before
+//! and after it.
 
 use anyhow::Result;
 use argh::FromArgs;
@@ -10,10 +11,10 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "audit")]
 pub struct Args {
-    /// only changes after this version
+    /// show only changes after this version
     #[argh(option, default = "0")]
     pub after: u64,
-    /// what was put and removed, too
+    /// show the operations of each change
     #[argh(switch)]
     pub full: bool,
 }
@@ -22,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// When the store is away.
+/// When the store does not answer or an entry cannot be read.
 pub fn run(context: &Context, args: &Args) -> Result<()> {
     for entry in load_log(&context.client, args.after)? {
         println!(
--- a/crates/ctl/src/cmd/check.rs
+++ b/crates/ctl/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `radishctl check`: checks a document without the platform.
+//! `radishctl check`: checks a document without contacting the platform.
 
 use std::path::PathBuf;
 
@@ -12,7 +12,7 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct Args {
-    /// document (JSON)
+    /// document file (JSON)
     #[argh(positional)]
     pub file: PathBuf,
 }
@@ -21,7 +21,8 @@
 ///
 /// # Errors
 ///
-/// Names the key that is wrong and what is allowed there.
+/// When the file cannot be read or is invalid; the message names the key and
+/// the allowed values.
 pub fn run(args: &Args) -> Result<()> {
     let document = check::parse(&apply::read_file(&args.file)?)?;
     println!(
--- a/crates/ctl/src/cmd/diff.rs
+++ b/crates/ctl/src/cmd/diff.rs
@@ -1,4 +1,4 @@
-//! `radishctl diff`: shows what `apply` would change.
+//! `radishctl diff`: prints the operations that `apply` would make.
 
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub struct Args {
-    /// document (JSON)
+    /// document file (JSON)
     #[argh(positional)]
     pub file: PathBuf,
 }
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 ///
-/// When the file is wrong or the store is away.
+/// When the file cannot be read or is invalid, or the store does not answer.
 pub fn run(context: &Context, args: &Args) -> Result<()> {
     let current = load_snapshot(&context.client)?;
     let ops = apply::plan(&current.document, &apply::read_file(&args.file)?)?;
@@ -33,7 +33,7 @@
     Ok(())
 }
 
-/// One operation as a line.
+/// An operation as one line of text.
 pub fn format_op(op: &Op) -> String {
     let section = serde_json::to_string(&op.section).unwrap_or_default();
     let section = section.trim_matches('"');
--- a/crates/ctl/src/cmd/status.rs
+++ b/crates/ctl/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `radishctl status`: how things stand, by host and by zone.
+//! `radishctl status`: prints the status of each host and zone.
 
 use anyhow::Result;
 use argh::FromArgs;
@@ -6,11 +6,11 @@
 use super::Context;
 use crate::host;
 
-/// Show how things stand.
+/// Show the status of hosts and zones.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct Args {
-    /// print JSON
+    /// print the hosts' status as JSON
     #[argh(switch)]
     pub json: bool,
 }
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 ///
-/// When output fails.
+/// When a status cannot be written as JSON.
 pub fn run(context: &Context, args: &Args) -> Result<()> {
     for address in &context.settings.hosts {
         let Some(status) = host::fetch_status(*address) else {
