--- a/crates/ctl/src/cmd/key.rs
+++ b/crates/ctl/src/cmd/key.rs
@@ -1,4 +1,4 @@
-//! `radishctl give` and `radishctl withdraw`: callers' keys.
+//! `radishctl give` and `radishctl withdraw`: API keys of customers.
 
 use anyhow::{Result, bail, ensure};
 use argh::FromArgs;
@@ -9,11 +9,11 @@
 use super::{Context, print_outcome};
 use crate::commit::commit;
 
-/// Give a customer a key; it is printed once and only its hash is kept.
+/// Issue an API key to a customer; it is printed once and only its hash is stored.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "give")]
 pub struct Give {
-    /// customer
+    /// name of the customer
     #[argh(positional)]
     pub customer: String,
     /// public name of the key
@@ -21,7 +21,7 @@
     pub name: String,
 }
 
-/// Withdraw a key.
+/// Withdraw an API key.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "withdraw")]
 pub struct Withdraw {
@@ -30,11 +30,12 @@
     pub name: String,
 }
 
-/// Gives a key.
+/// Issues an API key and prints it.
 ///
 /// # Errors
 ///
-/// When there is no such customer, the name is taken, or the store is away.
+/// When the customer does not exist, the name is taken, or the store does not
+/// answer.
 pub fn give(context: &Context, args: &Give) -> Result<()> {
     let secret: [u8; 32] = rand::random();
     let key = format!("rsk-{}", hex::encode(secret));
@@ -51,11 +52,11 @@
 fn plan_give(document: &Document, args: &Give, hash: &str) -> Result<Vec<Op>> {
     ensure!(
         document.customers.get(&args.customer).is_some(),
-        "no customer `{}`",
+        "customer `{}` does not exist",
         args.customer
     );
     if document.keys.get(&args.name).is_some_and(|key| key.hash != hash) {
-        bail!("the key name `{}` is taken", args.name);
+        bail!("key `{}` already exists", args.name);
     }
     let key = Key {
         name: args.name.clone(),
@@ -64,14 +65,14 @@
         labels: Labels::new(),
         withdrawn: false,
     };
-    put(key)
+    put_op(key)
 }
 
-/// Withdraws a key.
+/// Withdraws an API key.
 ///
 /// # Errors
 ///
-/// When there is no such key or the store is away.
+/// When the key does not exist or the store does not answer.
 pub fn withdraw(context: &Context, args: &Withdraw) -> Result<()> {
     let note = format!("withdraw key {}", args.name);
     let entry = commit(&context.client, &context.settings.who, &note, true, |document| {
@@ -83,18 +84,18 @@
 
 fn plan_withdraw(document: &Document, args: &Withdraw) -> Result<Vec<Op>> {
     let Some(key) = document.keys.get(&args.name) else {
-        bail!("no key `{}`", args.name);
+        bail!("key `{}` does not exist", args.name);
     };
     if key.withdrawn {
         return Ok(Vec::new());
     }
-    put(Key {
+    put_op(Key {
         withdrawn: true,
         ..key.clone()
     })
 }
 
-fn put(key: Key) -> Result<Vec<Op>> {
+fn put_op(key: Key) -> Result<Vec<Op>> {
     Ok(vec![Op {
         section: Section::Keys,
         name: key.name.clone(),
--- a/crates/ctl/src/cmd/label.rs
+++ b/crates/ctl/src/cmd/label.rs
@@ -1,4 +1,4 @@
-//! `radishctl label`: sets or takes away one label.
+//! `radishctl label`: sets or removes a label of a record.
 
 use anyhow::{Result, bail};
 use argh::FromArgs;
@@ -8,17 +8,17 @@
 use super::{Context, print_outcome};
 use crate::commit::commit;
 
-/// Label a customer, class, key or pool.
+/// Set or remove a label of a customer, class, key or pool.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "label")]
 pub struct Args {
-    /// customer, class, key or pool
+    /// kind of the record: customer, class, key or pool
     #[argh(positional)]
     pub kind: String,
-    /// its name
+    /// name of the record
     #[argh(positional)]
     pub name: String,
-    /// label=value, or label= to take it away
+    /// label=value, or label= to remove it
     #[argh(positional)]
     pub label: String,
 }
@@ -27,7 +27,8 @@
 ///
 /// # Errors
 ///
-/// When there is no such thing or the store is away.
+/// When the label is malformed, the record does not exist, or the store does
+/// not answer.
 pub fn run(context: &Context, args: &Args) -> Result<()> {
     let Some((label, value)) = args.label.split_once('=') else {
         bail!("`{}` is not of the form label=value", args.label);
@@ -40,15 +41,17 @@
     Ok(())
 }
 
+/// Section, whether the labels change, and new value of the record to label; a
+/// macro because the tables have different record types.
 macro_rules! relabel {
     ($table:expr, $section:ident, $args:expr, $label:expr, $value:expr) => {{
-        let Some(item) = $table.get(&$args.name) else {
-            bail!("no {} `{}`", $args.kind, $args.name);
+        let Some(record) = $table.get(&$args.name) else {
+            bail!("{} `{}` does not exist", $args.kind, $args.name);
         };
-        let mut next = item.clone();
-        set(&mut next.labels, $label, $value);
-        let changed = next != *item;
-        (Section::$section, changed, serde_json::to_value(next)?)
+        let mut updated = record.clone();
+        set_label(&mut updated.labels, $label, $value);
+        let changed = updated != *record;
+        (Section::$section, changed, serde_json::to_value(updated)?)
     }};
 }
 
@@ -58,7 +61,7 @@
         "class" => relabel!(document.classes, Classes, args, label, value),
         "key" => relabel!(document.keys, Keys, args, label, value),
         "pool" => relabel!(document.pools, Pools, args, label, value),
-        other => bail!("`{other}`: allowed are customer, class, key and pool"),
+        other => bail!("unknown kind `{other}`: allowed are customer, class, key and pool"),
     };
     let op = Op {
         section,
@@ -68,7 +71,8 @@
     Ok(if changed { vec![op] } else { Vec::new() })
 }
 
-fn set(labels: &mut Labels, label: &str, value: &str) {
+/// Sets a label, or removes it if the value is empty.
+fn set_label(labels: &mut Labels, label: &str, value: &str) {
     match value {
         "" => labels.remove(label),
         _ => labels.insert(label.to_string(), value.to_string()),
