--- a/crates/codegen/src/main.rs
+++ b/crates/codegen/src/main.rs
@@ -1,16 +1,16 @@
-//! Writes the gRPC service code of the peers' protocol into the wire crate.
+//! Generates the gRPC client and server of the peer protocol into the wire crate.
 //!
-//! The messages are `prost` structs of the core crate; only clients and
-//! servers are generated. Run it after changing a method, and commit the
-//! result: `cargo run -p radishstair-codegen`.
+//! The messages are `prost` structs in the core crate, so no code is generated
+//! for them. After a change to a method, run `cargo run -p radishstair-codegen`
+//! and commit the result.
 
 use tonic_build::manual::{Builder, Method, Service};
 
-const OUT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../wire/src/generated");
-const CODEC: &str = "tonic_prost::ProstCodec";
+const OUT_DIR: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../wire/src/generated");
+const CODEC_PATH: &str = "tonic_prost::ProstCodec";
 
 fn main() -> anyhow::Result<()> {
-    std::fs::create_dir_all(OUT)?;
+    std::fs::create_dir_all(OUT_DIR)?;
     let service = Service::builder()
         .name("Peer")
         .package("radishstair.v1")
@@ -19,7 +19,7 @@
         .method(method("collect", "Collect", "Collect", "Collected"))
         .method(method("forward", "Forward", "Forward", "Forwarded"))
         .build();
-    Builder::new().out_dir(OUT).compile(&[service]);
+    Builder::new().out_dir(OUT_DIR).compile(&[service]);
     Ok(())
 }
 
@@ -29,6 +29,6 @@
         .route_name(route)
         .input_type(format!("radishstair_core::peer::{input}"))
         .output_type(format!("radishstair_core::peer::{output}"))
-        .codec_path(CODEC)
+        .codec_path(CODEC_PATH)
         .build()
 }
