--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,5 +1,5 @@
-//! A model engine: batches continuously, honours priorities, caches prefixes,
-//! streams tokens, resumes and cancels.
+//! Stand-in for a model engine: continuous batching, request priorities, a cache
+//! of prompt prefixes, token streams that can be resumed, and cancellation.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -21,29 +21,29 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::model;
-use crate::server::{self, Answer, header, json};
+use crate::server::{self, Outcome, header_value, json_response};
 
 #[serde_as]
 /// Settings of the stand-in.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Its name.
+    /// Name of the runner.
     pub name: String,
-    /// IP address and port.
+    /// IP address and port to listen on.
     pub listen: SocketAddr,
-    /// Requests that it decodes together.
+    /// Number of requests decoded at the same time.
     #[serde(default = "default_slots")]
     pub slots: usize,
-    /// Time a token when alone; twice that when full.
+    /// Time per token at no load; twice that when all slots are in use.
     #[serde_as(as = "DurationText")]
     #[serde(default = "default_pace")]
     pub pace: Duration,
-    /// Time to read a prompt that is not cached.
+    /// Prefill time of a prompt; a tenth of it if the prefix is cached.
     #[serde_as(as = "DurationText")]
     #[serde(default = "default_prefill")]
     pub prefill: Duration,
-    /// Prompt prefixes that fit in its cache.
+    /// Number of prompt prefixes that fit in the cache.
     #[serde(default = "default_cache")]
     pub cache: usize,
 }
@@ -65,69 +65,72 @@
 }
 
 record! {
-    /// A message of the chat.
+    /// A chat message.
     pub struct Message {
-        /// Role.
+        /// Role of the author.
         pub role: String,
-        /// Text.
+        /// Text of the message.
         pub content: String,
     }
 }
 
-/// Body of a chat completion, as far as the engine reads it.
+/// Body of a chat completion request; only the fields that the engine reads.
 #[derive(Clone, Debug, serde::Deserialize)]
 pub struct Chat {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Messages.
+    /// Messages so far.
     pub messages: Vec<Message>,
-    /// Most tokens.
+    /// Largest number of tokens in the completion.
     #[serde(default)]
     pub max_tokens: Option<u32>,
-    /// Tokens that the caller has already.
+    /// Number of tokens that the caller already has; the stream starts after
+    /// them.
     #[serde(default)]
     pub resume_from: u32,
 }
 
 record! {
-    /// Ways to fail.
+    /// Faults to inject.
     #[derive(Default)]
     pub struct Fault {
-        /// Cut each stream after this many of its tokens.
+        /// Number of tokens after which a stream is cut off.
         #[serde(default)]
         pub cut_at: Option<u32>,
-        /// Streams to cut; more pass.
+        /// Number of streams to cut off; later ones are complete.
         #[serde(default)]
         pub cuts: u32,
-        /// Streams whose chunks carry another request's id.
+        /// Number of streams to send with another request's id in the chunks.
         #[serde(default)]
         pub cross: u32,
-        /// Slowness as a factor.
+        /// Factor by which the time per token is multiplied.
         #[serde(default)]
         pub slow: Option<u32>,
-        /// Whether answers carry the notice of leaving.
+        /// Whether responses have the `x-leaving` header, which announces that
+        /// the runner drains.
         #[serde(default)]
         pub leaving: bool,
     }
 }
 
 record! {
-    /// What it has done.
+    /// Counts of streams, tokens and cache hits.
     #[derive(Default)]
     pub struct Tally {
-        /// Streams begun.
+        /// Requests for a stream.
         pub begun: u64,
-        /// Streams ended whole.
+        /// Streams sent to their end.
         pub whole: u64,
-        /// Streams that their caller cancelled.
+        /// Streams cancelled because the caller closed the connection.
         pub cancelled: u64,
         /// Tokens generated.
         pub tokens: u64,
-        /// Tokens generated for streams that did not end whole.
+        /// Tokens generated for streams that were cancelled or cut off.
         pub wasted: u64,
-        /// Prompts found in the cache.
+        /// Prompts whose prefix was cached.
         pub hits: u64,
-        /// Whether any header carried a caller's key.
+        /// Whether any request had an `authorization` header, which holds a
+        /// caller's API key.
         pub saw_key: bool,
     }
 }
@@ -135,8 +138,11 @@
 #[derive(Debug, Default)]
 struct State {
     running: usize,
+    /// Priority, order of arrival, and sender that hands over a slot.
     waiting: Vec<(u8, u64, oneshot::Sender<()>)>,
+    /// Requests that had to wait so far.
     arrivals: u64,
+    /// Digests of prompt prefixes, the least recently used first.
     cache: VecDeque<u64>,
     fault: Fault,
     tally: Tally,
@@ -148,7 +154,8 @@
     state: Mutex<State>,
 }
 
-/// Gives the slot back when the stream ends, however it ends.
+/// Slot of a stream. On drop, it passes to the waiting request with the lowest
+/// priority number; among equal ones, to the oldest.
 struct Slot(Arc<Engine>);
 
 impl Drop for Slot {
@@ -173,7 +180,8 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    async fn admit(self: &Arc<Self>, priority: u8) -> Option<Slot> {
+    /// Waits for a slot.
+    async fn acquire_slot(self: &Arc<Self>, priority: u8) -> Option<Slot> {
         let wait = {
             let mut state = self.lock();
             if state.running < self.settings.slots {
@@ -189,15 +197,15 @@
         wait.await.ok().map(|()| Slot(self.clone()))
     }
 
-    /// Time to read the prompt; remembers its prefix.
-    fn prefill(&self, prefix: u64) -> Duration {
+    /// Prefill time of a prompt, whose prefix is then cached.
+    fn prefill_time(&self, prefix_digest: u64) -> Duration {
         let mut state = self.lock();
-        let hit = state.cache.iter().position(|have| *have == prefix);
-        if let Some(at) = hit {
-            state.cache.remove(at);
+        let hit = state.cache.iter().position(|cached| *cached == prefix_digest);
+        if let Some(index) = hit {
+            state.cache.remove(index);
             state.tally.hits += 1;
         }
-        state.cache.push_back(prefix);
+        state.cache.push_back(prefix_digest);
         while state.cache.len() > self.settings.cache {
             state.cache.pop_front();
         }
@@ -207,15 +215,16 @@
         }
     }
 
-    fn pace(&self) -> Duration {
+    /// Time per token under the current load.
+    fn token_time(&self) -> Duration {
         let state = self.lock();
-        let full = state.running as f64 / self.settings.slots.max(1) as f64;
-        let slow = f64::from(state.fault.slow.unwrap_or(1));
-        self.settings.pace.mul_f64((1.0 + full) * slow)
+        let utilization = state.running as f64 / self.settings.slots.max(1) as f64;
+        let slowdown = f64::from(state.fault.slow.unwrap_or(1));
+        self.settings.pace.mul_f64((1.0 + utilization) * slowdown)
     }
 }
 
-/// Serves until the process ends.
+/// Serves requests until the process ends.
 ///
 /// # Errors
 ///
@@ -229,44 +238,47 @@
     server::run(listen, move |request| handle(engine.clone(), request)).await
 }
 
-async fn handle(engine: Arc<Engine>, request: Request<Incoming>) -> Answer {
+async fn handle(engine: Arc<Engine>, request: Request<Incoming>) -> Outcome {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/healthz") => Ok(json(200, &serde_json::json!({}))),
+        (&Method::GET, "/healthz") => Ok(json_response(200, &serde_json::json!({}))),
         (&Method::GET, "/control/log") => {
             let tally = serde_json::json!(engine.lock().tally);
-            Ok(json(200, &tally))
+            Ok(json_response(200, &tally))
         }
         (&Method::GET, "/load") => {
             let state = engine.lock();
             let load = serde_json::json!({ "running": state.running, "waiting": state.waiting.len() });
             drop(state);
-            Ok(json(200, &load))
+            Ok(json_response(200, &load))
         }
         (&Method::POST, "/control/fault") => {
-            let fault = serde_json::from_slice(&server::read(request).await).unwrap_or_default();
+            let fault = serde_json::from_slice(&server::read_body(request).await).unwrap_or_default();
             engine.lock().fault = fault;
-            Ok(json(200, &serde_json::json!({})))
+            Ok(json_response(200, &serde_json::json!({})))
         }
         (&Method::POST, "/v1/chat/completions") => chat(engine, request).await,
-        _ => Ok(json(404, &serde_json::json!({ "error": "not found" }))),
+        _ => Ok(json_response(404, &serde_json::json!({ "error": "not found" }))),
     }
 }
 
-async fn chat(engine: Arc<Engine>, request: Request<Incoming>) -> Answer {
-    let id = header(&request, http::REQUEST_ID);
-    let priority = header(&request, http::PRIORITY).parse().unwrap_or(u8::MAX);
+async fn chat(engine: Arc<Engine>, request: Request<Incoming>) -> Outcome {
+    let id = header_value(&request, http::REQUEST_ID);
+    let priority = header_value(&request, http::PRIORITY).parse().unwrap_or(u8::MAX);
     let saw_key = request.headers().contains_key("authorization");
-    let Ok(chat) = serde_json::from_slice::<Chat>(&server::read(request).await) else {
-        return Ok(json(400, &serde_json::json!({ "error": "malformed body" })));
+    let Ok(chat) = serde_json::from_slice::<Chat>(&server::read_body(request).await) else {
+        return Ok(json_response(
+            400,
+            &serde_json::json!({ "error": "malformed body" }),
+        ));
     };
     let (id, leaving) = {
         let mut state = engine.lock();
         state.tally.begun += 1;
         state.tally.saw_key |= saw_key;
-        let cross = state.fault.cross > 0;
+        let other_id = state.fault.cross > 0;
         state.fault.cross = state.fault.cross.saturating_sub(1);
         (
-            if cross { "another-request".into() } else { id },
+            if other_id { "another-request".into() } else { id },
             state.fault.leaving,
         )
     };
@@ -274,20 +286,21 @@
     tokio::spawn(generate(engine, chat, id, priority, sender));
     let stream = tokio_stream::wrappers::ReceiverStream::new(receiver);
     let body = BodyExt::boxed(StreamBody::new(stream));
-    let mut answer = Response::new(body);
-    let headers = answer.headers_mut();
+    let mut response = Response::new(body);
+    let headers = response.headers_mut();
     headers.insert("content-type", HeaderValue::from_static("text/event-stream"));
     if leaving {
         headers.insert(http::LEAVING, HeaderValue::from_static("true"));
     }
-    Ok(answer)
+    Ok(response)
 }
 
 type Chunks = mpsc::Sender<Result<Frame<Bytes>, Infallible>>;
 
+/// Generates the completion and sends it as server-sent events.
 async fn generate(engine: Arc<Engine>, chat: Chat, id: String, priority: u8, chunks: Chunks) {
     let slot = tokio::select! {
-        slot = engine.admit(priority) => slot,
+        slot = engine.acquire_slot(priority) => slot,
         () = chunks.closed() => None,
     };
     let Some(_slot) = slot else {
@@ -299,34 +312,34 @@
         .iter()
         .map(|message| message.content.as_str())
         .collect();
-    let seed = digest(prompt.as_bytes());
-    let prefix = digest(&prompt.as_bytes()[..prompt.len().min(64)]);
-    tokio::time::sleep(engine.prefill(prefix)).await;
-    let length = model::completion_tokens(&prompt, chat.max_tokens);
-    let cut = {
+    let prompt_digest = digest(prompt.as_bytes());
+    let prefix_digest = digest(&prompt.as_bytes()[..prompt.len().min(64)]);
+    tokio::time::sleep(engine.prefill_time(prefix_digest)).await;
+    let total_tokens = model::completion_tokens(&prompt, chat.max_tokens);
+    let cut_at = {
         let mut state = engine.lock();
-        let cut = state.fault.cut_at.filter(|_| state.fault.cuts > 0);
-        state.fault.cuts = state.fault.cuts.saturating_sub(u32::from(cut.is_some()));
-        cut
+        let cut_at = state.fault.cut_at.filter(|_| state.fault.cuts > 0);
+        state.fault.cuts = state.fault.cuts.saturating_sub(u32::from(cut_at.is_some()));
+        cut_at
     };
-    let mut made = 0;
-    for at in chat.resume_from..length {
-        tokio::time::sleep(engine.pace()).await;
-        made += 1;
-        let last = at + 1 == length;
-        let text = chunk(
+    let mut generated = 0;
+    for index in chat.resume_from..total_tokens {
+        tokio::time::sleep(engine.token_time()).await;
+        generated += 1;
+        let last = index + 1 == total_tokens;
+        let event = format_chunk(
             &id,
             &chat.model,
-            &model::token(seed, at),
-            last.then_some((prompt.len(), length)),
+            &model::token(prompt_digest, index),
+            last.then_some((prompt.len(), total_tokens)),
         );
-        let sent = chunks.send(Ok(Frame::data(Bytes::from(text)))).await;
-        let cut = cut.is_some_and(|cut| made >= cut && !last);
-        if sent.is_err() || cut {
+        let sent = chunks.send(Ok(Frame::data(Bytes::from(event)))).await;
+        let cut_off = cut_at.is_some_and(|tokens| generated >= tokens && !last);
+        if sent.is_err() || cut_off {
             let mut state = engine.lock();
-            state.tally.cancelled += u64::from(!cut);
-            state.tally.tokens += u64::from(made);
-            state.tally.wasted += u64::from(made);
+            state.tally.cancelled += u64::from(!cut_off);
+            state.tally.tokens += u64::from(generated);
+            state.tally.wasted += u64::from(generated);
             return;
         }
     }
@@ -335,12 +348,15 @@
         .await;
     let mut state = engine.lock();
     state.tally.whole += 1;
-    state.tally.tokens += u64::from(made);
+    state.tally.tokens += u64::from(generated);
 }
 
-fn chunk(id: &str, model: &str, text: &str, last: Option<(usize, u32)>) -> String {
-    let usage = last.map(|(prompt, tokens)| {
-        serde_json::json!({ "prompt_tokens": prompt / 4 + 1, "completion_tokens": tokens })
+/// A chunk as a server-sent event. The last chunk states the usage: the length of
+/// the prompt in bytes, from which its tokens are estimated at four bytes each,
+/// and the number of tokens in the completion.
+fn format_chunk(id: &str, model: &str, text: &str, totals: Option<(usize, u32)>) -> String {
+    let usage = totals.map(|(prompt_bytes, tokens)| {
+        serde_json::json!({ "prompt_tokens": prompt_bytes / 4 + 1, "completion_tokens": tokens })
     });
     let body = serde_json::json!({
         "id": id,
@@ -349,7 +365,7 @@
         "choices": [{
             "index": 0,
             "delta": { "content": text },
-            "finish_reason": last.map(|_| "stop"),
+            "finish_reason": totals.map(|_| "stop"),
         }],
         "usage": usage,
     });
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for what surrounds the router, for tests and experiments.
+//! Stand-ins for the services around the router, for tests and experiments.
 //!
-//! They speak the same protocols as the real ones, keep a history of what they
-//! did for checkers, and take orders to fail in the ways the real ones do.
+//! They implement the protocols of the real services and record their calls, so
+//! that a test can check them. On request, they inject faults that the real
+//! services can have.
 
 pub mod engine;
 pub mod model;
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -1,7 +1,8 @@
-//! A plain service whose calls may not be repeated: it runs what it gets.
+//! Stand-in for a plain service whose calls must not be repeated.
 //!
-//! It does not deduplicate. Its history says how often it ran each body, which
-//! is what an at-most-once checker needs to know.
+//! It runs every call that it receives, without deduplication, and records the
+//! runs. From the record, a test counts how often each body ran, and so checks
+//! that calls run at most once.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -14,18 +15,18 @@
 use radishstair_wire::http;
 use serde_with::serde_as;
 
-use crate::server::{self, Answer, Disconnect, header, json};
+use crate::server::{self, Disconnect, Outcome, header_value, json_response};
 
 #[serde_as]
 /// Settings of the stand-in.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Its name.
+    /// Name of the runner.
     pub name: String,
-    /// IP address and port.
+    /// IP address and port to listen on.
     pub listen: SocketAddr,
-    /// Time that a call takes.
+    /// Duration of a call.
     #[serde_as(as = "DurationText")]
     #[serde(default = "default_delay")]
     pub delay: Duration,
@@ -36,36 +37,38 @@
 }
 
 record! {
-    /// One run.
+    /// One execution of a call.
     pub struct Run {
-        /// Path.
+        /// Path of the request.
         pub path: String,
-        /// Request id that came with it.
+        /// Request id from the `x-request-id` header.
         pub request: String,
-        /// Body.
+        /// Body; null if it was not JSON.
         pub body: serde_json::Value,
-        /// Whether any header carried a caller's key.
+        /// Whether the request had an `authorization` header, which holds a
+        /// caller's API key.
         pub saw_key: bool,
     }
 }
 
 record! {
-    /// Ways to fail, for the calls that come next.
+    /// Faults to inject into the next calls.
     #[derive(Default)]
     pub struct Fault {
-        /// Time that a call takes instead, in milliseconds.
+        /// Duration of a call, in milliseconds; overrides the settings.
         #[serde(default)]
         pub delay_ms: Option<u64>,
-        /// Calls to run and then cut without an answer.
+        /// Calls to end by closing the connection after they ran.
         #[serde(default)]
         pub cut_after: u32,
-        /// Calls to cut before they run.
+        /// Calls to end by closing the connection before they run.
         #[serde(default)]
         pub cut_before: u32,
-        /// Calls answered under another request's id.
+        /// Responses to send with another request's id.
         #[serde(default)]
         pub cross: u32,
-        /// Whether answers carry the notice of leaving.
+        /// Whether responses have the `x-leaving` header, which announces that
+        /// the runner drains.
         #[serde(default)]
         pub leaving: bool,
     }
@@ -91,32 +94,32 @@
     .await
 }
 
-async fn handle(settings: Settings, state: Arc<Mutex<State>>, request: Request<Incoming>) -> Answer {
+async fn handle(settings: Settings, state: Arc<Mutex<State>>, request: Request<Incoming>) -> Outcome {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/healthz") => Ok(json(200, &serde_json::json!({}))),
+        (&Method::GET, "/healthz") => Ok(json_response(200, &serde_json::json!({}))),
         (&Method::GET, "/control/log") => {
             let runs = serde_json::json!({ "runs": lock(&state).runs });
-            Ok(json(200, &runs))
+            Ok(json_response(200, &runs))
         }
         (&Method::POST, "/control/fault") => {
-            let fault = serde_json::from_slice(&server::read(request).await).unwrap_or_default();
+            let fault = serde_json::from_slice(&server::read_body(request).await).unwrap_or_default();
             lock(&state).fault = fault;
-            Ok(json(200, &serde_json::json!({})))
+            Ok(json_response(200, &serde_json::json!({})))
         }
-        (&Method::POST, _) => call(&settings, &state, request).await,
-        _ => Ok(json(404, &serde_json::json!({ "error": "not found" }))),
+        (&Method::POST, _) => run_call(&settings, &state, request).await,
+        _ => Ok(json_response(404, &serde_json::json!({ "error": "not found" }))),
     }
 }
 
-async fn call(settings: &Settings, state: &Mutex<State>, request: Request<Incoming>) -> Answer {
-    let id = header(&request, http::REQUEST_ID);
+async fn run_call(settings: &Settings, state: &Mutex<State>, request: Request<Incoming>) -> Outcome {
+    let id = header_value(&request, http::REQUEST_ID);
     let path = request.uri().path().to_string();
     let saw_key = request.headers().contains_key("authorization");
-    let text = server::read(request).await;
-    let body: serde_json::Value = serde_json::from_slice(&text).unwrap_or_default();
-    let (delay, cut, entry, cross, leaving) = {
+    let bytes = server::read_body(request).await;
+    let body: serde_json::Value = serde_json::from_slice(&bytes).unwrap_or_default();
+    let (delay, disconnect, run_number, other_id, leaving) = {
         let mut state = lock(state);
-        if take(&mut state.fault.cut_before) {
+        if take_one(&mut state.fault.cut_before) {
             return Err(Disconnect);
         }
         state.runs.push(Run {
@@ -126,34 +129,39 @@
             saw_key,
         });
         let delay = state.fault.delay_ms.map_or(settings.delay, Duration::from_millis);
-        let cut = take(&mut state.fault.cut_after);
-        let cross = take(&mut state.fault.cross);
-        (delay, cut, state.runs.len(), cross, state.fault.leaving)
+        let disconnect = take_one(&mut state.fault.cut_after);
+        let other_id = take_one(&mut state.fault.cross);
+        (delay, disconnect, state.runs.len(), other_id, state.fault.leaving)
     };
     tokio::time::sleep(delay).await;
-    if cut {
+    if disconnect {
         return Err(Disconnect);
     }
-    let mut answer = json(
+    let mut response = json_response(
         200,
-        &serde_json::json!({ "runner": settings.name, "entry": entry, "echo": body }),
+        &serde_json::json!({ "runner": settings.name, "entry": run_number, "echo": body }),
     );
-    let id = if cross { "another-request".to_string() } else { id };
+    let id = if other_id {
+        "another-request".to_string()
+    } else {
+        id
+    };
     if let Ok(id) = id.parse() {
-        answer.headers_mut().insert(http::REQUEST_ID, id);
+        response.headers_mut().insert(http::REQUEST_ID, id);
     }
     if leaving {
-        answer
+        response
             .headers_mut()
             .insert(http::LEAVING, hyper::header::HeaderValue::from_static("true"));
     }
-    Ok(answer)
+    Ok(response)
 }
 
-fn take(count: &mut u32) -> bool {
-    let some = *count > 0;
+/// Decrements a counter; whether it was above zero.
+fn take_one(count: &mut u32) -> bool {
+    let available = *count > 0;
     *count = count.saturating_sub(1);
-    some
+    available
 }
 
 fn lock(state: &Mutex<State>) -> std::sync::MutexGuard<'_, State> {
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A small hyper server shared by the streaming stand-ins.
+//! HTTP server of the stand-ins for engines and plain services, based on hyper.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -12,37 +12,37 @@
 use hyper::{Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
 
-/// Body of any answer.
+/// Body of a response.
 pub type Body = BoxBody<Bytes, Infallible>;
-/// An answer, or the wish to cut the connection without one.
-pub type Answer = Result<Response<Body>, Disconnect>;
+/// A response, or an injected fault instead of it.
+pub type Outcome = Result<Response<Body>, Disconnect>;
 
-/// Cuts the connection: the caller gets no answer.
+/// Fault that closes the connection without a response.
 #[derive(Debug)]
 pub struct Disconnect;
 
 impl std::fmt::Display for Disconnect {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the connection is cut on purpose")
+        f.write_str("connection closed by an injected fault")
     }
 }
 
 impl std::error::Error for Disconnect {}
 
-/// A whole JSON answer.
-pub fn json(status: u16, value: &serde_json::Value) -> Response<Body> {
+/// A response with a JSON body.
+pub fn json_response(status: u16, value: &serde_json::Value) -> Response<Body> {
     let body = Full::new(Bytes::from(value.to_string())).boxed();
-    let mut answer = Response::new(body);
-    *answer.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
-    answer.headers_mut().insert(
+    let mut response = Response::new(body);
+    *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
+    response.headers_mut().insert(
         "content-type",
         hyper::header::HeaderValue::from_static("application/json"),
     );
-    answer
+    response
 }
 
-/// Reads a whole body; an unreadable one is empty.
-pub async fn read(request: Request<Incoming>) -> Bytes {
+/// Reads the body of a request; empty if that fails.
+pub async fn read_body(request: Request<Incoming>) -> Bytes {
     request
         .into_body()
         .collect()
@@ -51,13 +51,13 @@
         .unwrap_or_default()
 }
 
-/// Value of a header as text.
-pub fn header(request: &Request<Incoming>, name: &str) -> String {
+/// Value of a header; empty if it is absent or not visible ASCII.
+pub fn header_value(request: &Request<Incoming>, name: &str) -> String {
     let value = request.headers().get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default().to_string()
 }
 
-/// Serves until the process ends.
+/// Accepts connections and serves them until the process ends.
 ///
 /// # Errors
 ///
@@ -65,7 +65,7 @@
 pub async fn run<F, R>(listen: SocketAddr, handle: F) -> Result<()>
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
-    R: Future<Output = Answer> + Send + 'static,
+    R: Future<Output = Outcome> + Send + 'static,
 {
     let listener = tokio::net::TcpListener::bind(listen)
         .await
@@ -83,27 +83,28 @@
                 .serve_connection(TokioIo::new(stream), service_fn(handle))
                 .await;
             if let Err(err) = served {
-                tracing::debug!(event = "connection-ended", reason = %err);
+                tracing::debug!(event = "connection-failed", reason = %err);
             }
         });
     }
 }
 
-/// Runs a server on threads of its own until the process is told to stop.
+/// Runs a server on threads of its own until SIGTERM or SIGINT; if it fails, the
+/// process exits with status 1.
 ///
 /// # Errors
 ///
-/// When the server cannot start.
+/// When the runtime or the signal handlers cannot be set up.
 pub fn run_until_signal(server: impl Future<Output = Result<()>> + Send + 'static) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
         .build()
-        .context("starting threads")?;
+        .context("starting the runtime")?;
     let served = runtime.spawn(server);
     std::thread::spawn(move || {
         if let Ok(Err(err)) = runtime.block_on(served) {
-            tracing::error!(event = "not-served", reason = %format!("{err:#}"));
+            tracing::error!(event = "server-failed", reason = %format!("{err:#}"));
             std::process::exit(1);
         }
     });
