--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,8 +1,9 @@
-//! The platform: key-value service, host list, ordering and usage.
+//! Stand-in for the platform: key-value service, runner list, orders and usage
+//! reports.
 //!
-//! One state behind several ports, so that one zone can be cut off while the
-//! others go on. Built on oxhttp, whose thread a connection suits the few
-//! callers of a test.
+//! All ports serve the same state, so that a test can cut off the zone that uses
+//! one port while the others continue. The server is oxhttp: it runs a thread for
+//! each connection, which is enough for the few clients of a test.
 
 mod store;
 
@@ -21,37 +22,39 @@
 use radishstair_wire::platform::{Get, Hosts, Item, Lease, Report};
 use serde_with::serde_as;
 
-/// Largest value, in bytes.
-const VALUE_BYTES: usize = 1024 * 1024;
+/// Largest value of a key.
+const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
 #[serde_as]
 /// Settings of the stand-in.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// IP addresses and ports, all with the same state behind them.
+    /// IP addresses and ports to listen on; all serve the same state.
     pub listen: Vec<SocketAddr>,
-    /// Writes a second; more are refused.
+    /// Limit of writes per second; further ones get status 429.
     #[serde(default = "default_writes")]
     pub writes: u32,
-    /// Reads a second, waiting watches included; more are refused.
+    /// Limit of reads per second, including watches; further ones get status
+    /// 429.
     #[serde(default = "default_reads")]
     pub reads: u32,
-    /// How late the host list is.
+    /// Time until a change of the runner list is visible.
     #[serde_as(as = "DurationText")]
     #[serde(default = "default_lag")]
     pub lag: Duration,
-    /// Time from an order to its runners' being listed.
+    /// Time from an order until the list shows its effect.
     #[serde_as(as = "DurationText")]
     #[serde(default = "default_lag")]
     pub boot: Duration,
-    /// Runners that are listed from the start.
+    /// Runners in the list at the start.
     #[serde(default)]
     pub runners: Vec<Listing>,
-    /// Runners that an order may add.
+    /// Runners that an order may add to the list or remove from it.
     #[serde(default)]
     pub spares: Vec<Listing>,
-    /// Pools whose orders are checked for fencing numbers.
+    /// Pools whose orders are refused if their fencing number is lower than that
+    /// of an accepted order.
     #[serde(default)]
     pub fenced: Vec<String>,
 }
@@ -69,60 +72,61 @@
 }
 
 record! {
-    /// How a port behaves.
+    /// Behaviour of a port.
     #[derive(Copy, Eq, Default)]
     pub enum Mode {
-        /// As it should.
+        /// Calls are carried out.
         #[default]
         Up,
-        /// No call is carried out.
+        /// No call is carried out; the response has status 500.
         Down,
-        /// Calls take effect and their answers are lost.
+        /// Calls take effect, but their responses are lost: status 500 instead.
         Lossy,
-        /// Writes take effect; reads give what stood when this began.
+        /// Writes take effect; reads return the values at the start of the fault.
         Stale,
     }
 }
 
 record! {
-    /// A fault of one port, or of all.
+    /// A fault to inject at one port or at all.
     #[derive(Default)]
     pub struct Fault {
-        /// Which port of the settings; all when absent.
+        /// Index of the port in the settings; all ports if absent.
         #[serde(default)]
         pub port: Option<usize>,
-        /// How it behaves.
+        /// Behaviour of the port.
         pub mode: Mode,
-        /// Calls that it applies to; all that come when absent.
+        /// Number of calls affected; unlimited if absent.
         #[serde(default)]
         pub calls: Option<u32>,
-        /// Extra time a call, in milliseconds.
+        /// Additional delay of a call, in milliseconds.
         #[serde(default)]
         pub delay_ms: u64,
-        /// Only calls whose path starts so.
+        /// Prefix of the paths of affected calls.
         #[serde(default)]
         pub path: String,
-        /// Only calls whose body holds this text.
+        /// Text contained in the bodies of affected calls.
         #[serde(default)]
         pub text: String,
     }
 }
 
 record! {
-    /// What was asked of the platform, for checkers.
+    /// Record of the calls, for the checks of tests.
     #[derive(Default)]
     pub struct Log {
-        /// Orders, with whether they were accepted.
+        /// Orders, and whether each was accepted.
         pub orders: Vec<(Order, bool)>,
-        /// Usage reports.
+        /// Usage reports, in order of arrival.
         pub reports: Vec<Report>,
         /// Writes to keys under `duty/`, in order of effect.
         pub duties: Vec<Item>,
-        /// Calls by path.
+        /// Number of calls by path.
         pub calls: BTreeMap<String, u64>,
     }
 }
 
+/// Value of a key.
 #[derive(Clone, Debug)]
 struct Value {
     version: u64,
@@ -133,27 +137,37 @@
 #[derive(Debug, Default)]
 struct State {
     keys: BTreeMap<String, Value>,
-    stale: Option<BTreeMap<String, Value>>,
-    version: u64,
+    /// Copy of `keys` from the start of a [`Mode::Stale`] fault.
+    stale_keys: Option<BTreeMap<String, Value>>,
+    /// Last number given to a write or a lease.
+    last_version: u64,
+    /// Lifetime and expiry of each lease, by id.
     leases: BTreeMap<u64, (Duration, Instant)>,
-    list: Vec<(Instant, u64, Vec<Listing>)>,
-    revision: u64,
+    /// Runner lists by revision, each with the time from which it is visible.
+    listings: Vec<(Instant, u64, Vec<Listing>)>,
+    /// Revision of the newest runner list.
+    last_revision: u64,
+    /// Fencing number of the last accepted order, by pool and zone.
     fences: BTreeMap<(String, String), u64>,
+    /// Faults by index of the port.
     faults: BTreeMap<usize, Fault>,
     log: Log,
-    second: (u64, u32, u32),
+    /// Current second since the start, and the writes and reads in it.
+    call_counts: (u64, u32, u32),
 }
 
 struct Platform {
     settings: Settings,
     state: Mutex<State>,
-    changed: Condvar,
-    began: Instant,
+    /// Notified when a key is written, for watches.
+    key_written: Condvar,
+    started: Instant,
 }
 
+/// Status and body of a response.
 type Reply = (u16, serde_json::Value);
 
-/// Starts serving; returns at once.
+/// Starts the servers and returns without waiting for them.
 ///
 /// # Errors
 ///
@@ -161,8 +175,8 @@
 pub fn start(settings: Settings) -> Result<()> {
     let platform = Arc::new(Platform {
         state: Mutex::default(),
-        changed: Condvar::new(),
-        began: Instant::now(),
+        key_written: Condvar::new(),
+        started: Instant::now(),
         settings: settings.clone(),
     });
     let runners = settings.runners.clone();
@@ -190,28 +204,29 @@
         let query = request.uri().query().unwrap_or_default().to_string();
         let body = std::mem::take(request.body_mut()).to_vec().unwrap_or_default();
         if path.starts_with("/control/") || path == "/healthz" {
-            return answer(self.control(&path, &body));
+            return build_response(self.handle_control(&path, &body));
         }
-        let fault = self.fault(port, &path, &body);
+        let fault = self.fault_for(port, &path, &body);
         std::thread::sleep(Duration::from_millis(fault.delay_ms));
         if fault.mode == Mode::Down {
-            return answer((500, serde_json::json!({})));
+            return build_response((500, serde_json::json!({})));
         }
-        let reply = self.call(&path, &query, &body, fault.mode == Mode::Stale);
+        let reply = self.handle_call(&path, &query, &body, fault.mode == Mode::Stale);
         match fault.mode {
-            Mode::Lossy => answer((500, serde_json::json!({}))),
-            _ => answer(reply),
+            Mode::Lossy => build_response((500, serde_json::json!({}))),
+            _ => build_response(reply),
         }
     }
 
-    fn fault(&self, port: usize, path: &str, body: &[u8]) -> Fault {
+    /// Counts a call, and returns the fault to inject into it.
+    fn fault_for(&self, port: usize, path: &str, body: &[u8]) -> Fault {
         let mut state = self.lock();
         *state.log.calls.entry(path.to_string()).or_default() += 1;
         let Some(fault) = state.faults.get_mut(&port) else {
             return Fault::default();
         };
-        let held = String::from_utf8_lossy(body);
-        if !path.starts_with(&fault.path) || !held.contains(&fault.text) || fault.calls == Some(0) {
+        let body_text = String::from_utf8_lossy(body);
+        if !path.starts_with(&fault.path) || !body_text.contains(&fault.text) || fault.calls == Some(0) {
             return Fault::default();
         }
         if let Some(calls) = &mut fault.calls {
@@ -220,14 +235,15 @@
         fault.clone()
     }
 
-    fn control(&self, path: &str, body: &[u8]) -> Reply {
+    /// Carries out a request of a test.
+    fn handle_control(&self, path: &str, body: &[u8]) -> Reply {
         let mut state = self.lock();
         match path {
             "/control/fault" => {
                 let Ok(fault) = serde_json::from_slice::<Fault>(body) else {
                     return (400, serde_json::json!({ "error": "not a fault" }));
                 };
-                state.stale = (fault.mode == Mode::Stale).then(|| state.keys.clone());
+                state.stale_keys = (fault.mode == Mode::Stale).then(|| state.keys.clone());
                 for port in 0..self.settings.listen.len() {
                     if fault.port.is_none_or(|only| only == port) {
                         state.faults.insert(port, fault.clone());
@@ -246,64 +262,70 @@
         (200, serde_json::json!({}))
     }
 
-    fn call(&self, path: &str, query: &str, body: &[u8], stale: bool) -> Reply {
-        let write = matches!(
+    /// Carries out a request to the platform.
+    fn handle_call(&self, path: &str, query: &str, body: &[u8], stale: bool) -> Reply {
+        let is_write = matches!(
             path,
             "/kv/swap" | "/kv/remove" | "/lease/grant" | "/lease/keep" | "/lease/revoke"
         );
         if path.starts_with("/kv/") || path.starts_with("/lease/") {
-            if !self.admit(write) {
+            if !self.within_rate_limit(is_write) {
                 return (429, serde_json::json!({ "error": "rate limit" }));
             }
-            self.expire();
+            self.expire_leases();
         }
         match path {
-            "/kv/swap" => typed(body, |swap| self.swap(swap)),
-            "/kv/remove" => typed(body, |remove| self.remove(remove)),
-            "/kv/get" => typed(body, |get: Get| self.get(&get.key, stale)),
-            "/kv/range" => typed(body, |range| (200, serde_json::json!(self.range(&range, stale)))),
-            "/kv/watch" => typed(body, |range| self.watch(&range, stale)),
-            "/lease/grant" => typed(body, |grant| self.grant(&grant)),
-            "/lease/keep" => typed(body, |lease: Lease| self.keep(lease.id)),
-            "/lease/revoke" => typed(body, |lease: Lease| self.revoke(lease.id)),
-            "/hosts" => self.hosts(query),
-            "/orders" => typed(body, |order| self.order(order)),
-            "/usage" => typed(body, |report| self.report(report)),
+            "/kv/swap" => parse_body(body, |swap| self.compare_and_swap(swap)),
+            "/kv/remove" => parse_body(body, |remove| self.remove(remove)),
+            "/kv/get" => parse_body(body, |get: Get| self.get(&get.key, stale)),
+            "/kv/range" => parse_body(body, |range| (200, serde_json::json!(self.range(&range, stale)))),
+            "/kv/watch" => parse_body(body, |range| self.watch(&range, stale)),
+            "/lease/grant" => parse_body(body, |grant| self.grant_lease(&grant)),
+            "/lease/keep" => parse_body(body, |lease: Lease| self.renew_lease(lease.id)),
+            "/lease/revoke" => parse_body(body, |lease: Lease| self.revoke_lease(lease.id)),
+            "/hosts" => self.list_runners(query),
+            "/orders" => parse_body(body, |order| self.handle_order(order)),
+            "/usage" => parse_body(body, |report| self.handle_report(report)),
             _ => (404, serde_json::json!({ "error": "not found" })),
         }
     }
 
-    /// Counts calls within the current second.
-    fn admit(&self, write: bool) -> bool {
+    /// Counts a call; whether the limit for the current second allows it.
+    fn within_rate_limit(&self, is_write: bool) -> bool {
         let mut state = self.lock();
-        let second = self.began.elapsed().as_secs();
-        if state.second.0 != second {
-            state.second = (second, 0, 0);
+        let second = self.started.elapsed().as_secs();
+        if state.call_counts.0 != second {
+            state.call_counts = (second, 0, 0);
         }
-        if write {
-            state.second.1 += 1;
-            state.second.1 <= self.settings.writes
+        if is_write {
+            state.call_counts.1 += 1;
+            state.call_counts.1 <= self.settings.writes
         } else {
-            state.second.2 += 1;
-            state.second.2 <= self.settings.reads
+            state.call_counts.2 += 1;
+            state.call_counts.2 <= self.settings.reads
         }
     }
 
-    /// A new list, to be seen after a while.
-    fn publish(&self, state: &mut State, runners: Vec<Listing>, after: Duration) {
-        state.revision += 1;
-        let revision = state.revision;
-        state.list.push((Instant::now() + after, revision, runners));
+    /// Adds a runner list that becomes visible after a delay.
+    fn publish(&self, state: &mut State, runners: Vec<Listing>, delay: Duration) {
+        state.last_revision += 1;
+        let revision = state.last_revision;
+        state.listings.push((Instant::now() + delay, revision, runners));
     }
 
-    fn hosts(&self, query: &str) -> Reply {
+    /// Newest visible runner list, unless the caller already has its revision.
+    fn list_runners(&self, query: &str) -> Reply {
         let after: u64 = query
             .strip_prefix("after=")
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
         let now = Instant::now();
         let state = self.lock();
-        let visible = state.list.iter().rev().find(|(when, ..)| *when <= now);
+        let visible = state
+            .listings
+            .iter()
+            .rev()
+            .find(|(visible_from, ..)| *visible_from <= now);
         let hosts = match visible {
             Some((_, revision, runners)) => Hosts {
                 revision: *revision,
@@ -317,61 +339,65 @@
         (200, serde_json::json!(hosts))
     }
 
-    fn order(&self, order: Order) -> Reply {
+    fn handle_order(&self, order: Order) -> Reply {
         let mut state = self.lock();
-        let place = (order.pool.clone(), order.zone.clone());
-        let newest = state.fences.get(&place).copied().unwrap_or(0);
-        let accepted = !self.settings.fenced.contains(&order.pool) || order.fence >= newest;
+        let pool_zone = (order.pool.clone(), order.zone.clone());
+        let last_fence = state.fences.get(&pool_zone).copied().unwrap_or(0);
+        let accepted = !self.settings.fenced.contains(&order.pool) || order.fence >= last_fence;
         state.log.orders.push((order.clone(), accepted));
         if !accepted {
             return (409, serde_json::json!({ "error": "old fencing number" }));
         }
-        state.fences.insert(place, order.fence);
-        let runners = self.ordered(&state, &order);
+        state.fences.insert(pool_zone, order.fence);
+        let runners = self.apply_order(&state, &order);
         self.publish(&mut state, runners, self.settings.boot);
         (200, serde_json::json!({}))
     }
 
-    /// The list after an order: spares join until the count is met, and the
-    /// last of the pool in that zone go.
-    fn ordered(&self, state: &State, order: &Order) -> Vec<Listing> {
+    /// Runner list after an order: spares of the pool and zone are added up to the
+    /// count, or removed down to it, the last in the list first.
+    fn apply_order(&self, state: &State, order: &Order) -> Vec<Listing> {
         let mut runners = state
-            .list
+            .listings
             .last()
             .map_or(Vec::new(), |(.., runners)| runners.clone());
-        let belongs = |item: &Listing| item.pool == order.pool && item.zone == order.zone;
-        let mut have = runners.iter().filter(|item| belongs(item)).count();
-        for spare in self.settings.spares.iter().filter(|item| belongs(item)) {
-            if have < order.count as usize && !runners.iter().any(|item| item.name == spare.name) {
+        let matches_order = |runner: &Listing| runner.pool == order.pool && runner.zone == order.zone;
+        let mut count = runners.iter().filter(|runner| matches_order(runner)).count();
+        for spare in self.settings.spares.iter().filter(|spare| matches_order(spare)) {
+            if count < order.count as usize && !runners.iter().any(|runner| runner.name == spare.name) {
                 runners.push(spare.clone());
-                have += 1;
+                count += 1;
             }
         }
-        let spare = |item: &Listing| self.settings.spares.iter().any(|spare| spare.name == item.name);
-        while have > order.count as usize {
-            let Some(at) = runners.iter().rposition(|item| belongs(item) && spare(item)) else {
+        let is_spare = |runner: &Listing| self.settings.spares.iter().any(|spare| spare.name == runner.name);
+        while count > order.count as usize {
+            let Some(index) = runners
+                .iter()
+                .rposition(|runner| matches_order(runner) && is_spare(runner))
+            else {
                 break;
             };
-            runners.remove(at);
-            have -= 1;
+            runners.remove(index);
+            count -= 1;
         }
         runners
     }
 
-    fn report(&self, report: Report) -> Reply {
+    fn handle_report(&self, report: Report) -> Reply {
         self.lock().log.reports.push(report);
         (200, serde_json::json!({}))
     }
 }
 
-fn typed<T: serde::de::DeserializeOwned>(body: &[u8], handle: impl FnOnce(T) -> Reply) -> Reply {
+/// Parses a body as JSON and handles it.
+fn parse_body<T: serde::de::DeserializeOwned>(body: &[u8], handle: impl FnOnce(T) -> Reply) -> Reply {
     match serde_json::from_slice(body) {
         Ok(value) => handle(value),
         Err(err) => (400, serde_json::json!({ "error": err.to_string() })),
     }
 }
 
-fn answer((status, body): Reply) -> Response<Body> {
+fn build_response((status, body): Reply) -> Response<Body> {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     Response::builder()
         .status(status)
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,24 +1,24 @@
-//! The key-value service: compare-and-swap, ranges, watches, leases.
+//! Key-value service: compare-and-swap, ranges, watches and leases.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use radishstair_wire::platform::{Found, Grant, Item, Range, Remove, Swap, Written};
 
-use super::{Platform, Reply, State, VALUE_BYTES, Value};
+use super::{MAX_VALUE_BYTES, Platform, Reply, State, Value};
 
 impl Platform {
-    pub(super) fn swap(&self, swap: Swap) -> Reply {
-        if swap.value.len() > VALUE_BYTES {
+    pub(super) fn compare_and_swap(&self, swap: Swap) -> Reply {
+        if swap.value.len() > MAX_VALUE_BYTES {
             return (413, serde_json::json!({ "error": "value too large" }));
         }
         let mut state = self.lock();
-        let have = state.keys.get(&swap.key).map_or(0, |value| value.version);
-        if have != swap.expect {
-            return (409, serde_json::json!(found(&state.keys, &swap.key)));
+        let current = state.keys.get(&swap.key).map_or(0, |value| value.version);
+        if current != swap.expect {
+            return (409, serde_json::json!(lookup(&state.keys, &swap.key)));
         }
-        state.version += 1;
-        let version = state.version;
+        state.last_version += 1;
+        let version = state.last_version;
         if swap.key.starts_with("duty/") {
             state.log.duties.push(Item {
                 key: swap.key.clone(),
@@ -34,15 +34,15 @@
                 lease: swap.lease,
             },
         );
-        self.changed.notify_all();
+        self.key_written.notify_all();
         (200, serde_json::json!(Written { version }))
     }
 
     pub(super) fn remove(&self, remove: Remove) -> Reply {
         let mut state = self.lock();
-        let have = state.keys.get(&remove.key).map_or(0, |value| value.version);
-        if have != remove.expect {
-            return (409, serde_json::json!(found(&state.keys, &remove.key)));
+        let current = state.keys.get(&remove.key).map_or(0, |value| value.version);
+        if current != remove.expect {
+            return (409, serde_json::json!(lookup(&state.keys, &remove.key)));
         }
         state.keys.remove(&remove.key);
         (200, serde_json::json!(Written { version: 0 }))
@@ -50,94 +50,104 @@
 
     pub(super) fn get(&self, key: &str, stale: bool) -> Reply {
         let state = self.lock();
-        let keys = state.stale.as_ref().filter(|_| stale).unwrap_or(&state.keys);
-        (200, serde_json::json!(found(keys, key)))
+        let keys = state.stale_keys.as_ref().filter(|_| stale).unwrap_or(&state.keys);
+        (200, serde_json::json!(lookup(keys, key)))
     }
 
     pub(super) fn range(&self, range: &Range, stale: bool) -> Found {
         let state = self.lock();
         scan(
-            state.stale.as_ref().filter(|_| stale).unwrap_or(&state.keys),
+            state.stale_keys.as_ref().filter(|_| stale).unwrap_or(&state.keys),
             range,
         )
     }
 
+    /// Waits until the range contains a key, or until the wait of the request is
+    /// over.
     pub(super) fn watch(&self, range: &Range, stale: bool) -> Reply {
-        let until = Instant::now() + Duration::from_millis(range.wait_ms.min(30_000));
+        let deadline = Instant::now() + Duration::from_millis(range.wait_ms.min(30_000));
         let mut state = self.lock();
         loop {
-            let keys = state.stale.as_ref().filter(|_| stale).unwrap_or(&state.keys);
+            let keys = state.stale_keys.as_ref().filter(|_| stale).unwrap_or(&state.keys);
             let found = scan(keys, range);
-            let left = until.saturating_duration_since(Instant::now());
-            if !found.items.is_empty() || left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if !found.items.is_empty() || remaining.is_zero() {
                 return (200, serde_json::json!(found));
             }
             state = self
-                .changed
-                .wait_timeout(state, left)
+                .key_written
+                .wait_timeout(state, remaining)
                 .unwrap_or_else(|poisoned| poisoned.into_inner())
                 .0;
         }
     }
 
-    pub(super) fn grant(&self, grant: &Grant) -> Reply {
+    pub(super) fn grant_lease(&self, grant: &Grant) -> Reply {
         let mut state = self.lock();
-        state.version += 1;
-        let id = state.version;
-        let life = Duration::from_millis(grant.ttl_ms);
-        state.leases.insert(id, (life, Instant::now() + life));
+        state.last_version += 1;
+        let id = state.last_version;
+        let ttl = Duration::from_millis(grant.ttl_ms);
+        state.leases.insert(id, (ttl, Instant::now() + ttl));
         (200, serde_json::json!(Written { version: id }))
     }
 
-    pub(super) fn keep(&self, id: u64) -> Reply {
+    pub(super) fn renew_lease(&self, id: u64) -> Reply {
         match self.lock().leases.get_mut(&id) {
-            Some((life, until)) => {
-                *until = Instant::now() + *life;
+            Some((ttl, expiry)) => {
+                *expiry = Instant::now() + *ttl;
                 (200, serde_json::json!({}))
             }
             None => (404, serde_json::json!({ "error": "no such lease" })),
         }
     }
 
-    pub(super) fn revoke(&self, id: u64) -> Reply {
+    /// Ends a lease and removes its keys.
+    pub(super) fn revoke_lease(&self, id: u64) -> Reply {
         let mut state = self.lock();
         state.leases.remove(&id);
         state.keys.retain(|_, value| value.lease != Some(id));
         (200, serde_json::json!({}))
     }
 
-    pub(super) fn expire(&self) {
+    /// Removes expired leases and their keys.
+    pub(super) fn expire_leases(&self) {
         let now = Instant::now();
         let mut state = self.lock();
-        let ended = |(_, until): &(Duration, Instant)| *until <= now;
-        if !state.leases.values().any(ended) {
+        let expired = |(_, expiry): &(Duration, Instant)| *expiry <= now;
+        if !state.leases.values().any(expired) {
             return;
         }
-        state.leases.retain(|_, lease| !ended(lease));
+        state.leases.retain(|_, lease| !expired(lease));
         let State { keys, leases, .. } = &mut *state;
         keys.retain(|_, value| value.lease.is_none_or(|id| leases.contains_key(&id)));
     }
 }
 
+/// Reads a range of keys.
 fn scan(keys: &BTreeMap<String, Value>, range: &Range) -> Found {
-    let from = range.prefix.clone().max(range.after.clone());
+    let start = range.prefix.clone().max(range.after.clone());
     let items = keys
-        .range(from..)
+        .range(start..)
         .filter(|(key, _)| **key > range.after)
         .take_while(|(key, _)| key.starts_with(&range.prefix))
         .take(range.limit as usize)
-        .map(|(key, value)| item(key, value))
+        .map(|(key, value)| to_item(key, value))
         .collect();
     Found { items }
 }
 
-fn found(keys: &BTreeMap<String, Value>, key: &str) -> Found {
+/// Reads one key.
+fn lookup(keys: &BTreeMap<String, Value>, key: &str) -> Found {
     Found {
-        items: keys.get(key).map(|value| item(key, value)).into_iter().collect(),
+        items: keys
+            .get(key)
+            .map(|value| to_item(key, value))
+            .into_iter()
+            .collect(),
     }
 }
 
-fn item(key: &str, value: &Value) -> Item {
+fn to_item(key: &str, value: &Value) -> Item {
     Item {
         key: key.to_string(),
         version: value.version,
