--- a/crates/ctl/src/cmd/apply.rs
+++ b/crates/ctl/src/cmd/apply.rs
@@ -47,7 +47,7 @@
     std::fs::read_to_string(file).with_context(|| format!("reading {}", file.display()))
 }
 
-/// Operations that bring the current document to the sections of a file.
+/// Operations that replace sections of the current document by those of a file.
 ///
 /// # Errors
 ///
--- a/crates/ctl/src/cmd/label.rs
+++ b/crates/ctl/src/cmd/label.rs
@@ -41,7 +41,7 @@
     Ok(())
 }
 
-/// Section, whether the labels change, and new value of the record to label; a
+/// Section, whether the labels change, and new value of the record. This is a
 /// macro because the tables have different record types.
 macro_rules! relabel {
     ($table:expr, $section:ident, $args:expr, $label:expr, $value:expr) => {{
--- a/crates/ctl/src/commit.rs
+++ b/crates/ctl/src/commit.rs
@@ -70,13 +70,13 @@
     }
 }
 
-/// Appends the change that `plan` computes from the current document. If
-/// another operator's change is accepted first, `plan` runs again on the new
-/// document if `retry` is set. `None` if there is nothing to change.
+/// Appends the change that `plan` computes from the current document. If another
+/// operator's change is accepted first and `retry` is set, `plan` runs again on
+/// the new document. Returns `None` if there is nothing to change.
 ///
 /// # Errors
 ///
-/// When another operator's change was accepted first, the change does not pass
+/// When other operators' changes were accepted first, the change does not pass
 /// the checks, or the store does not answer; in the last case the message says
 /// that the outcome is unknown.
 pub fn commit(
@@ -116,8 +116,8 @@
     bail!("not accepted: {MAX_CONFLICTS} conflicts in a row with changes by other operators")
 }
 
-/// Appends an entry to the log; `Some` is another operator's entry that has the
-/// version already.
+/// Appends an entry to the log. Returns the other entry if there already is one
+/// with this version.
 fn append(client: &Client, entry: &Entry) -> Result<Option<Entry>> {
     let key = change::log_key(entry.version);
     let value = serde_json::to_string(entry)?;
--- a/crates/ctl/src/host.rs
+++ b/crates/ctl/src/host.rs
@@ -7,7 +7,7 @@
 
 /// Age above which a zone's summary confirms no version.
 pub const MAX_SUMMARY_AGE_MS: u64 = 10_000;
-/// Pause between two requests for the zones' summaries.
+/// Pause between two polls of the zones' summaries.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Status of one host; `None` if it does not answer.
@@ -42,8 +42,8 @@
     zones
 }
 
-/// Waits until every known zone has a version in force, or until the timeout;
-/// the summaries of the last request.
+/// Waits until every known zone has a version in force, or until the timeout.
+/// Returns the summaries from the last poll.
 pub fn await_version(hosts: &[SocketAddr], version: u64, timeout: Duration) -> Vec<ZoneStatus> {
     let deadline = Instant::now() + timeout;
     loop {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -197,7 +197,7 @@
         wait.await.ok().map(|()| Slot(self.clone()))
     }
 
-    /// Prefill time of a prompt, whose prefix is then cached.
+    /// Prefill time of a prompt; adds its prefix to the cache.
     fn prefill_time(&self, prefix_digest: u64) -> Duration {
         let mut state = self.lock();
         let hit = state.cache.iter().position(|cached| *cached == prefix_digest);
