--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -290,7 +290,7 @@
 
     /// Status of an entry host, if it answers.
     pub fn status(&self, index: usize) -> Option<Status> {
-        radishstair_ctl::host::status(self.addresses.admin[index])
+        radishstair_ctl::host::fetch_status(self.addresses.admin[index])
     }
 
     /// Value of an entry host's metric that has no labels.
