--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -32,8 +32,8 @@
 pub struct Duty {
     shared: Arc<Shared>,
     store: Arc<Client>,
-    /// Client for the service that receives usage reports and orders.
-    desk: Client,
+    /// Client for the platform's control API, which receives usage reports and orders.
+    control_api: Client,
     started_at: Moment,
     lease: Lease,
     reporter: Reporter,
@@ -45,14 +45,14 @@
 impl Duty {
     /// Creates the state of a host that does not hold the lease.
     pub fn new(shared: Arc<Shared>, store: Arc<Client>) -> Self {
-        let terms = Timing::fenced(Duration::from_millis(shared.settings.load().bounds.lease_ms));
+        let timing = Timing::fenced(Duration::from_millis(shared.settings.load().bounds.lease_ms));
         Self {
             started_at: shared.now(),
-            lease: Lease::with_timing(shared.incarnation, format!("{KEY_PREFIX}duty"), terms),
+            lease: Lease::with_timing(shared.incarnation, format!("{KEY_PREFIX}duty"), timing),
             records: Records::new(shared.clone(), store.clone()),
             shared,
             store,
-            desk: Client::default(),
+            control_api: Client::default(),
             reporter: Reporter::default(),
             planner: Planner::default(),
             is_holder: false,
@@ -250,7 +250,7 @@
             return None;
         }
         let address = self.shared.settings.load().desk;
-        let outcome = self.desk.send(address, request, grant.max_send).await;
+        let outcome = self.control_api.send(address, request, grant.max_send).await;
         let (label, status) = match outcome {
             Outcome::Response(status, _) if status.is_success() => ("ok", Some(status.as_u16())),
             Outcome::Response(status, _) => ("refused", Some(status.as_u16())),
--- a/crates/entry/src/proxy/settings.rs
+++ b/crates/entry/src/proxy/settings.rs
@@ -23,7 +23,8 @@
     pub peer_listen: SocketAddr,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Address of the service that receives usage reports and orders for runners.
+    /// Address of the platform's control API, which receives usage reports and orders for
+    /// runners.
     pub desk: SocketAddr,
     /// Duties for which the platform accepts calls.
     pub duties: Duties,
