--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -87,7 +87,7 @@
     /// Notified when a read of the store returned changes, to announce them to peers.
     store_changed: Notify,
     /// Notified when a peer announces that it has read changes from the store.
-    peer_notified: Notify,
+    peer_announced: Notify,
     /// Number of requests in flight.
     active_requests: in_flight::Counter,
     /// Addresses of all live hosts, this one included.
@@ -118,7 +118,7 @@
             document_requested: Notify::new(),
             document_holder: Mutex::default(),
             store_changed: Notify::new(),
-            peer_notified: Notify::new(),
+            peer_announced: Notify::new(),
             active_requests: in_flight::Counter::default(),
             peers: ArcSwap::default(),
             locations: Mutex::default(),
--- a/crates/entry/src/proxy/discovery.rs
+++ b/crates/entry/src/proxy/discovery.rs
@@ -82,16 +82,16 @@
         };
         let engines = table.services().iter().filter(|service| service.engine.is_some());
         for service in engines {
-            let pace = state.latencies.get(&service.name).cloned().unwrap_or_default();
-            let parting = state.partition(&service.name);
+            let latency = state.latencies.get(&service.name).cloned().unwrap_or_default();
+            let partition = state.partition(&service.name);
             tracing::info!(
                 event = "pace",
                 service = service.name,
-                first_ms = pace.base().as_millis() as u64,
-                thousand_tokens_ms = format!("{:.1}", pace.prefill_ms_per_1k()),
-                stall_ms = pace.stall().as_millis() as u64,
-                long_from_ms = parting.long_prompt.as_millis() as u64,
-                long_part = format!("{:.2}", parting.long_share),
+                first_ms = latency.base().as_millis() as u64,
+                thousand_tokens_ms = format!("{:.1}", latency.prefill_ms_per_1k()),
+                stall_ms = latency.stall().as_millis() as u64,
+                long_from_ms = partition.long_prompt.as_millis() as u64,
+                long_part = format!("{:.2}", partition.long_share),
                 flow = state.prefill_rate(now, &service.name).total_us
             );
         }
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -72,10 +72,10 @@
 
     fn status(&self) -> Status {
         let now = self.shared.now();
-        let reads = self.is_reader();
+        let is_reader = self.is_reader();
         let document = self.shared.document();
         Status {
-            is_reader: reads,
+            is_reader,
             is_behind: document.is_behind(),
             age: document.age(now),
         }
@@ -88,7 +88,7 @@
     }
 
     /// Checks the version in the store, or reads the text.
-    async fn read_store(&self, step: Step, reads: bool) -> Result<(), Failure> {
+    async fn read_store(&self, step: Step, is_reader: bool) -> Result<(), Failure> {
         let sent_at = self.shared.now();
         let key = self.shared.adapter.store_keys().document.to_string();
         let version = self.shared.document().version();
@@ -103,7 +103,7 @@
             Answer::Found(entries) => {
                 let entry = entries.into_iter().next();
                 let is_new = entry.is_some_and(|entry| accept(&self.shared, sent_at, entry));
-                if is_new && reads {
+                if is_new && is_reader {
                     self.shared.store_changed.notify_one();
                 }
             }
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -197,9 +197,9 @@
         let sent_at = self.shared.now();
         loop {
             let now = self.shared.now();
-            let silence = self.shared.state().fleet.liveness(now, slot.key, sent_at);
-            match silence {
-                Liveness::Recent(rest) => tokio::time::sleep(rest).await,
+            let liveness = self.shared.state().fleet.liveness(now, slot.key, sent_at);
+            match liveness {
+                Liveness::Recent(remaining) => tokio::time::sleep(remaining).await,
                 Liveness::Silent if self.is_reachable(slot).await => {}
                 Liveness::Silent => {
                     slot.record_attempt(Attempt::PathLost);
--- a/crates/entry/src/proxy/gossip.rs
+++ b/crates/entry/src/proxy/gossip.rs
@@ -34,8 +34,8 @@
         shared: shared.clone(),
         socket: socket.clone(),
         sequence: 0,
-        zone_was_sent_idle: false,
-        remote_was_sent_idle: false,
+        sent_idle_to_zone: false,
+        sent_idle_to_remote: false,
         pending_prefixes: Vec::new(),
         last_peers: Arc::default(),
     };
@@ -63,9 +63,9 @@
     socket: Arc<UdpSocket>,
     sequence: u64,
     /// Whether the last packet to this zone had no loads; such a packet is sent once.
-    zone_was_sent_idle: bool,
+    sent_idle_to_zone: bool,
     /// The same for other zones.
-    remote_was_sent_idle: bool,
+    sent_idle_to_remote: bool,
     /// Cached prefixes that were not sent to other zones yet.
     pending_prefixes: Vec<CachedPrefix>,
     /// Peers as of the last packet.
@@ -90,15 +90,15 @@
         self.pending_prefixes.extend(packet.prefixes.iter().copied());
         self.pending_prefixes.truncate(MAX_PENDING_PREFIXES);
         let is_remote = |peer: &SocketAddr| remote.binary_search(peer).is_ok();
-        if is_informative(&packet) || !self.zone_was_sent_idle {
-            self.zone_was_sent_idle = packet.loads.is_empty();
+        if is_informative(&packet) || !self.sent_idle_to_zone {
+            self.sent_idle_to_zone = packet.loads.is_empty();
             send(&self.shared, &self.socket, &packet, |peer| !is_remote(peer)).await;
         }
         if gossip::is_cross_zone(self.sequence, hosts) {
             packet.prefixes = std::mem::take(&mut self.pending_prefixes);
             packet.record = self.due_record(gossip::has_record_cross_zone(self.sequence, hosts));
-            if is_informative(&packet) || !self.remote_was_sent_idle {
-                self.remote_was_sent_idle = packet.loads.is_empty();
+            if is_informative(&packet) || !self.sent_idle_to_remote {
+                self.sent_idle_to_remote = packet.loads.is_empty();
                 send(&self.shared, &self.socket, &packet, is_remote).await;
             }
         }
@@ -112,8 +112,8 @@
     fn reset_for_new_peers(&mut self) {
         let peers = self.shared.peers.load_full();
         if !Arc::ptr_eq(&peers, &self.last_peers) && *peers != *self.last_peers {
-            self.zone_was_sent_idle = false;
-            self.remote_was_sent_idle = false;
+            self.sent_idle_to_zone = false;
+            self.sent_idle_to_remote = false;
         }
         self.last_peers = peers;
     }
@@ -176,7 +176,7 @@
         if let Ok(packet) = Packet::decode(&bytes[..length]) {
             if packet.change_hint {
                 document::on_announcement(&shared, peer, packet.document_version);
-                shared.peer_notified.notify_one();
+                shared.peer_announced.notify_one();
                 continue;
             }
             let now = shared.now();
--- a/crates/entry/src/proxy/job.rs
+++ b/crates/entry/src/proxy/job.rs
@@ -69,8 +69,8 @@
         request_head(&self.parts, &self.metadata)
     }
 
-    /// Load that the request puts on its runner; `draw` breaks ties between runners.
-    pub fn demand(&self, draw: u64) -> Demand {
+    /// Load that the request puts on its runner; `random` breaks ties between runners.
+    pub fn demand(&self, random: u64) -> Demand {
         Demand {
             service: self.admission.service.clone(),
             prompt_tokens: self.metadata.prompt_tokens,
@@ -83,7 +83,7 @@
             bytes: self.body.len() as u64,
             copies_prefix: self.admission.copies_prefix,
             at_most_once: self.is_at_most_once(),
-            random: draw,
+            random,
         }
     }
 }
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -68,7 +68,7 @@
         let fetches_from_peer = matches!(reader.source, Some(Source::Peer(_)));
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = reader.shared.peer_notified.notified(), if fetches_from_peer => {
+            () = reader.shared.peer_announced.notified(), if fetches_from_peer => {
                 tokio::time::sleep(reader.remaining(MIN_ROUND_INTERVAL, round_start)).await;
             }
         }
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -112,10 +112,10 @@
     pool: &Pool,
     now: Moment,
     assignment: &Assignment,
-    outgoing: &RunnerRequest,
+    runner_request: &RunnerRequest,
     on_new_connection: bool,
 ) -> Result<Exchange, Failure> {
-    let request = build_request(assignment, outgoing)?;
+    let request = build_request(assignment, runner_request)?;
     let address: SocketAddr = assignment.address.parse().map_err(|_| Failure::NotSent)?;
     let connected = match on_new_connection {
         true => Connection::connect(address, CONNECT_TIMEOUT).await,
@@ -146,15 +146,18 @@
     }
 }
 
-fn build_request(assignment: &Assignment, outgoing: &RunnerRequest) -> Result<Request<Full<Bytes>>, Failure> {
-    let id = HeaderValue::from_str(&outgoing.id).map_err(|_| Failure::NotSent)?;
+fn build_request(
+    assignment: &Assignment,
+    runner_request: &RunnerRequest,
+) -> Result<Request<Full<Bytes>>, Failure> {
+    let id = HeaderValue::from_str(&runner_request.id).map_err(|_| Failure::NotSent)?;
     let host = HeaderValue::from_str(&assignment.address).map_err(|_| Failure::NotSent)?;
-    Request::post(&outgoing.path)
+    Request::post(&runner_request.path)
         .header(HOST, host)
         .header(CONTENT_TYPE, HeaderValue::from_static("application/json"))
         .header(http::REQUEST_ID, id)
         .header(http::PRIORITY, HeaderValue::from(u16::from(assignment.priority)))
-        .body(Full::new(outgoing.body.clone()))
+        .body(Full::new(runner_request.body.clone()))
         .map_err(|_| Failure::NotSent)
 }
 
