--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -26,7 +26,8 @@
     pub watches: Sender<Job>,
     /// Messages to peers.
     pub peers: mpsc::UnboundedSender<Message>,
-    /// Notified once, when a stopping process has stored its tombstone.
+    /// Notified once, when the write of a stopping process's tombstone has succeeded or
+    /// failed.
     pub exit: Sender<()>,
 }
 
--- a/crates/entry/src/front/chat.rs
+++ b/crates/entry/src/front/chat.rs
@@ -30,7 +30,8 @@
 
 use job::Job;
 
-/// Bytes at the start of the prompt that select a runner with a cached prefix.
+/// Bytes at the start of the prompt whose hash selects a runner that has probably cached
+/// this prefix.
 const PREFIX_BYTES: usize = 64;
 /// Length of the answer, in tokens, that dispatch assumes if the caller sets no
 /// `max_tokens`.
--- a/crates/entry/src/front/sse.rs
+++ b/crates/entry/src/front/sse.rs
@@ -12,7 +12,7 @@
 }
 
 impl Splitter {
-    /// Adds received bytes; false if an event is longer than the limit.
+    /// Adds received bytes; false if the bytes not yet taken exceed the limit of one event.
     pub fn push(&mut self, bytes: &Bytes) -> bool {
         self.buffer.extend_from_slice(bytes);
         self.buffer.len() <= MAX_EVENT_BYTES
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -22,8 +22,8 @@
 
 /// Longest wait for an answer to a control message.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Limit of unanswered heartbeats to one peer; further ones are dropped, as newer
-/// ones follow.
+/// Number of unanswered heartbeats to one peer above which further ones are dropped, as
+/// newer ones follow.
 const MAX_HEARTBEATS_IN_FLIGHT: usize = 2;
 
 /// A message to a peer's address.
@@ -51,7 +51,8 @@
                 let Some((channel, in_flight)) = dialer.channel(&address) else {
                     continue;
                 };
-                // Bounds the memory used for a peer that does not answer.
+                // Bounds the memory used for a peer that does not answer. Two of the
+                // references are the dialer's and this one.
                 if Arc::strong_count(&in_flight) > 2 + MAX_HEARTBEATS_IN_FLIGHT {
                     continue;
                 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -26,7 +26,7 @@
 use crate::settings::Settings;
 use crate::upstream::pool::Pool;
 
-/// Longest wait at a stop until the control thread has stored the tombstone.
+/// Longest wait at a stop for the write of the tombstone.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs an entry host until SIGTERM or SIGINT.
@@ -76,8 +76,8 @@
     Ok(())
 }
 
-/// Stops gracefully: accepts requests until the load balancer has noticed, waits
-/// for requests in flight, then stores the tombstone.
+/// Stops gracefully: releases the duties and accepts requests until the load balancer
+/// has noticed, waits for requests in flight, then stores the tombstone.
 fn shut_down(settings: &Settings, handle: &Handle, stop: &watch::Sender<bool>, exit: &Receiver<()>) {
     tracing::info!(event = "stopping", in_flight = handle.in_flight());
     handle.stopping.store(true, Ordering::SeqCst);
--- a/crates/entry/src/upstream/attempts.rs
+++ b/crates/entry/src/upstream/attempts.rs
@@ -17,7 +17,7 @@
 
 /// A request that may be attempted at several runners.
 pub trait Attempts {
-    /// A slot at a runner, released on drop.
+    /// A slot at a runner; the attempt for which it was acquired releases it.
     type Permit: Send;
     /// The answer for the caller.
     type Answer: Send;
