--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -17,7 +17,9 @@
 pub struct RequestLabels {
     /// Request class.
     pub class: String,
-    /// `ok`, `answered`, `caller-gone` or the kind of the refusal.
+    /// `ok`, `answered`, the kind of the refusal, or how a stream ended without its last
+    /// event: `caller-gone` or `left` if the caller disconnected, `broken`, or `over` if its
+    /// time ran out.
     pub outcome: String,
 }
 
