--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Stores a host's zone and link; hosts that are no longer peers are dropped.
+    /// Stores a host's zone and link. If the host is new, hosts that are no longer peers are
+    /// dropped.
     fn record_location(&self, host: Host) {
         let mut locations = self.locations.lock().unwrap_or_else(PoisonError::into_inner);
         match locations.binary_search_by_key(&host.address, |other| other.address) {
--- a/crates/entry/src/proxy/document.rs
+++ b/crates/entry/src/proxy/document.rs
@@ -227,8 +227,8 @@
 
 /// Handles a peer's announcement that it has read changes and has this version.
 ///
-/// Of several hosts that read the store, the one with the fastest link announces first.
-/// Changes are fetched from it while the others may still be reading.
+/// Of several hosts that read the store, the one with the fastest link announces first. A
+/// short text or delta is fetched from it while the others may still be reading.
 pub fn on_announcement(shared: &Shared, peer: SocketAddr, version: u64) {
     if version > shared.document().newest_version() {
         *shared.document_holder() = Some(peer);
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -1,10 +1,10 @@
 //! Forwarding of one request to a runner.
 //!
-//! Once a byte of a request may have been sent, it counts as possibly run,
-//! whether the connection is reset, closed or silent. Only a statement of the
-//! runner that the request did not run allows the refusal to say "not run", or
-//! a request that runs at most once to be sent to a second runner. The
-//! retries are in [`buffered`](super::buffered) for buffered requests and in
+//! Once a byte of a request may have been sent, the request counts as possibly
+//! run, even if the connection is then reset, closed or silent. Only the
+//! runner's own statement that the request did not run allows the refusal to
+//! say "not run", or a request that runs at most once to be sent to a second
+//! runner. The retries are in [`buffered`](super::buffered) for buffered requests and in
 //! [`stream`](super::stream) for streams.
 
 use std::sync::Arc;
--- a/crates/entry/src/proxy/gossip.rs
+++ b/crates/entry/src/proxy/gossip.rs
@@ -123,7 +123,7 @@
         if !is_due {
             return Vec::new();
         }
-        // Writing text and numbers as JSON cannot fail.
+        // Serializing strings and numbers to JSON cannot fail.
         serde_json::to_vec(&self.shared.usage_record(false)).unwrap_or_default()
     }
 }
--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -203,7 +203,7 @@
         self.read_window = window;
     }
 
-    /// Removes the keys of runs that ended long ago.
+    /// Removes the keys of runs that have shown no sign of life for long.
     pub async fn remove_forgotten(&mut self) {
         let now = self.shared.now();
         let forgotten = self.shared.state().ledger.remove_expired(now);
