--- a/tests/suite/duties_live.rs
+++ b/tests/suite/duties_live.rs
@@ -16,7 +16,7 @@
 fn find_holder(cluster: &Cluster, duty: &str) -> Option<usize> {
     (0..4).find(|index| {
         let duties = cluster.status(*index).map_or(Vec::new(), |status| status.duties);
-        duties.iter().any(|(have, _)| have == duty)
+        duties.iter().any(|(name, _)| name == duty)
     })
 }
 
@@ -245,7 +245,7 @@
     let complete_answers = |key: &str| {
         history
             .iter()
-            .filter(|(have, .., answer)| *have == key && answer.done)
+            .filter(|(caller_key, .., answer)| *caller_key == key && answer.done)
             .count() as u64
     };
     let (coop, other) = (complete_answers("rsk-coop"), complete_answers("rsk-other"));
--- a/tests/suite/live.rs
+++ b/tests/suite/live.rs
@@ -486,7 +486,7 @@
         // sent too early waits in the queue until all others are served, so each
         // probe has a thread of its own.
         std::thread::sleep(Duration::from_millis(1_500));
-        let (sender, promised) = std::sync::mpsc::channel();
+        let (sender, refusals) = std::sync::mpsc::channel();
         let until = Instant::now() + Duration::from_secs(20);
         let mut found = None;
         while found.is_none() && Instant::now() < until {
@@ -502,9 +502,9 @@
                     let _ = sender.send(answer);
                 }
             });
-            found = promised.recv_timeout(Duration::from_millis(300)).ok();
+            found = refusals.recv_timeout(Duration::from_millis(300)).ok();
         }
-        (found.expect("a refusal with a promise"), 1)
+        (found.expect("a refusal with a reservation token"), 1)
     });
     assert_eq!((refused.kind(), refused.ran()), ("overloaded", "not-run"));
     let after = refused.body["error"]["retry_after_ms"].as_u64().expect("a time");
