--- a/crates/entry/src/proxy/records.rs
+++ b/crates/entry/src/proxy/records.rs
@@ -27,7 +27,7 @@
 const PRESENCE_PREFIX: &str = "radishstair/host/";
 /// Prefix of the usage count keys.
 pub const COUNT_PREFIX: &str = "radishstair/count/";
-/// Key that no host writes; reading it checks cheaply whether the store answers.
+/// Key that no host writes; a read of it shows, in few bytes, whether the store answers.
 pub const PROBE_KEY: &str = "radishstair/nothing";
 /// Delay after a window's end before its counts are written, in milliseconds, so that
 /// they are complete. Between writes, peers have the newer counts.
