--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -81,8 +81,8 @@
 /// Share of the revocation bound for which a confirmed document may be used. The rest covers the
 /// time on the network to the runner and a pause of this process between the check and the write.
 const MAX_AGE_RATIO: f64 = 0.6;
-/// Maximum age at which the document may reject an unknown key or path; a newer document may
-/// contain it.
+/// Age of the document up to which it decides that a key or path is unknown; past it, a newer
+/// document may exist that contains the key or path.
 const MAX_REJECTION_AGE: Duration = Duration::from_millis(1_700);
 
 /// Time without an answer from the store after which this host hands off its callers: two probes
@@ -98,10 +98,10 @@
 /// Maximum number of prefixes in one packet.
 const MAX_ANNOUNCED: usize = 256;
 
-/// Ratio to the usual slowdown from which a runner counts as a straggler.
+/// Ratio to the median slowdown of the service from which a runner counts as a straggler.
 const STRAGGLER_RATIO: f64 = 1.6;
 
-/// Least urgent rank; engines have ten of them.
+/// Least urgent rank; engines support ten ranks.
 pub const LAST_RANK: u8 = 9;
 
 impl Bounds {
@@ -178,7 +178,7 @@
     partitions: Services<Partition>,
     /// Rate of prefill work that this host sends to each service.
     pub meter: Meter,
-    /// Prefixes placed since the last packet.
+    /// Long prefixes sent to runners since the last packet.
     announcements: Vec<CachedPrefix>,
     /// Retry budgets of the services.
     pub budgets: Budgets,
@@ -213,7 +213,8 @@
         }
     }
 
-    /// Replaces the routing table unless the current one is as new; returns whether it did.
+    /// Replaces the routing table unless the current one is as new or newer; returns whether it
+    /// did.
     ///
     /// Reads may complete out of order. Without this check, a slow answer would bring back an
     /// older document with its routes and keys.
@@ -238,9 +239,9 @@
     ///
     /// A host that gets no answer from the store can still serve requests, because its peers
     /// confirm the document. If it loses them too, it has to refuse every caller at once. It
-    /// therefore sends callers elsewhere while it can still serve them. If the store answers no
-    /// host at all, the peers cannot confirm the document either, and no caller is sent
-    /// elsewhere.
+    /// therefore sends callers elsewhere while it can still serve them, and refuses none of those
+    /// that come meanwhile. If the store answers no host at all, the peers cannot confirm the
+    /// document either, and no caller is sent elsewhere.
     pub fn should_hand_off(&self, now: Moment) -> bool {
         self.is_fresh(now) && !self.reaches_store(now)
     }
@@ -251,8 +252,8 @@
 
     /// Whether requests with a key may be forwarded.
     ///
-    /// A host that is cut off never learns that a key was withdrawn, and would accept it forever.
-    /// It stops as soon as its document has not been confirmed for too long, whatever the reason.
+    /// A host that is cut off receives no withdrawals, and would accept a withdrawn key forever. It
+    /// stops as soon as its document has not been confirmed for too long, whatever the reason.
     pub fn is_fresh(&self, now: Moment) -> bool {
         self.freshness.is_within(now, self.bounds.max_age())
     }
@@ -260,8 +261,8 @@
     /// Refuses requests if a newer document is known but has not been read in time.
     ///
     /// Requests without a key need no fresh document, since they are served during a store
-    /// outage. But a host that knows of a change without knowing its content might send them to a
-    /// service that the change removes.
+    /// outage. But while a change is known to exist and has not been read, they might be sent to a
+    /// service that should no longer get them.
     fn refuse_superseded(&self, now: Moment) -> Result<(), Refusal> {
         match self.is_behind && !self.freshness.is_within(now, self.bounds.max_superseded_age()) {
             true => Err(Refusal::new(Kind::Stale).detail("a newer configuration has yet to come")),
