--- a/crates/core/src/proxy/backoff.rs
+++ b/crates/core/src/proxy/backoff.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-/// First pause.
-const MIN_PAUSE: Duration = Duration::from_millis(150);
-/// Maximum pause; long enough that hosts which the store rejects for their request rate
+/// Pause after the first failure, before jitter.
+const FIRST_PAUSE: Duration = Duration::from_millis(150);
+/// Maximum pause before jitter; long enough that hosts which the store rejects for their request rate
 /// do not keep it at its limit.
 const MAX_PAUSE: Duration = Duration::from_millis(600);
 
@@ -15,10 +15,10 @@
 }
 
 impl Backoff {
-    /// Pause after one more failure. `draw` adds jitter, so that hosts which failed together do
-    /// not retry together.
+    /// Pause after one more failure, with jitter from the random number `draw`, so that hosts
+    /// which failed together do not retry together.
     pub fn pause(&mut self, draw: u32) -> Duration {
-        let pause = MIN_PAUSE * 2u32.saturating_pow(self.failures);
+        let pause = FIRST_PAUSE * 2u32.saturating_pow(self.failures);
         self.failures = (self.failures + 1).min(4);
         let jitter = 0.5 + f64::from(draw) / f64::from(u32::MAX);
         pause.min(MAX_PAUSE).mul_f64(jitter)
