--- a/crates/core/src/proxy/placement.rs
+++ b/crates/core/src/proxy/placement.rs
@@ -8,14 +8,14 @@
 //!   for the other kind of prompt costs as much as the stalls that it causes.
 //! - Requests often share a prompt prefix. A runner copies a prefix from another runner's cache,
 //!   if hosts have announced it, at a fraction of the cost of computing it again, so requests
-//!   with a popular prefix spread by load. A prefix that no runner has cached goes to a home
-//!   runner that all hosts of a zone compute alike (rendezvous hashing), until it is cached.
+//!   with a popular prefix spread by load. A prefix that no runner has cached goes to the runner
+//!   that rendezvous hashing selects, the same on all hosts of a zone, until it is cached.
 //! - Some runners are slow, or fail part of their requests, while they report that they are
-//!   healthy. What this host measures itself is added to the cost.
+//!   healthy. What this host measures itself counts in the cost.
 //! - Many hosts choose at the same time from outdated load reports. Work that was sent but not
 //!   yet prefilled therefore counts at once, not when a runner reports it.
-//! - Traffic between zones costs money and time. A request leaves its zone only if waiting there
-//!   costs more.
+//! - Traffic between zones costs money and time. A request leaves its zone only if waiting in the
+//!   zone costs more.
 
 use std::time::Duration;
 
@@ -162,14 +162,14 @@
 
 /// Chooses a runner that is not in `tried`.
 pub fn choose(inputs: Inputs<'_>, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
-    let open: Vec<(Key, &Runner)> = inputs
+    let eligible: Vec<(Key, &Runner)> = inputs
         .fleet
         .available(now, &demand.service)
         .filter(|(key, _)| !tried.contains(key))
         .collect();
-    let count = open.len() as u32;
+    let count = eligible.len() as u32;
     if demand.prompt_tokens == 0 {
-        let key = nearest(now, inputs.fleet, &open, demand)?;
+        let key = nearest(now, inputs.fleet, &eligible, demand)?;
         return Some(Choice {
             key,
             prefill_us: 0,
@@ -185,16 +185,16 @@
     let is_long = inputs
         .partition
         .is_long(inputs.latency.prefill(demand.prompt_tokens, 0));
-    let home = match cached.has_all(shared) {
+    let selected = match cached.has_all(shared) {
         true => None,
-        false => home(inputs, &open, demand, is_long),
+        false => rendezvous_runner(inputs, &eligible, demand, is_long),
     };
     let median_slowdown = inputs.fleet.median_slowdown(&demand.service);
-    let candidates = open.iter().map(|(key, runner)| {
+    let candidates = eligible.iter().map(|(key, runner)| {
         let cached_tokens = cached.cached_tokens(*key);
         let available = cached_tokens.max(cached.longest);
         let prefill = inputs.latency.prefill(demand.prompt_tokens, available);
-        let recomputed = if home == Some(*key) { 0 } else { shared - available };
+        let recomputed = if selected == Some(*key) { 0 } else { shared - available };
         let prefix_cost = COPY_FACTOR * (available - cached_tokens) as f64 + RECOMPUTE_FACTOR * recomputed as f64;
         let cost = prefix_cost / 1e3 * inputs.latency.prefill_ms_per_1k()
             // Relative to the median, as the latency model already contains the common slowdown.
@@ -291,7 +291,7 @@
         self.runners.iter().any(|(_, tokens)| *tokens == shared)
     }
 
-    /// Runner to copy from what the chosen runner lacks or has evicted.
+    /// Runner from which to copy what the chosen runner lacks or has evicted.
     ///
     /// A runner in the same zone is preferred: a copy across a network cut delays the request by
     /// a fraction of a second. A runner in another zone is used only for a prefix that the chosen
@@ -331,25 +331,31 @@
     if has_idle { 0.0 } else { CONNECTION_MS }
 }
 
-/// Home runner of the request's shared prefix; the same on all hosts of the zone that have the
-/// same list of runners.
+/// Runner that rendezvous hashing selects for the request's shared prefix; the same on all hosts of
+/// the zone that have the same list of runners.
 ///
 /// A runner of the callers' zone is preferred, so that later requests with this prefix find it
 /// nearby.
-fn home(inputs: Inputs<'_>, open: &[(Key, &Runner)], demand: &Demand, is_long: bool) -> Option<Key> {
+fn rendezvous_runner(
+    inputs: Inputs<'_>,
+    eligible: &[(Key, &Runner)],
+    demand: &Demand,
+    is_long: bool,
+) -> Option<Key> {
     let prefix = demand.shared_prefix()?.id;
     let order = |runner: &Runner| {
         let same_zone = runner.listed.zone == inputs.fleet.zone;
         let matches_kind = runner.for_long_prompts == is_long;
         (same_zone, matches_kind, rendezvous_weight(prefix, runner.hash))
     };
-    let home = open.iter().max_by_key(|(_, runner)| order(runner));
-    home.map(|(key, _)| *key)
+    let selected = eligible.iter().max_by_key(|(_, runner)| order(runner));
+    selected.map(|(key, _)| *key)
 }
 
-/// Runner for a short plain request: one in this zone that is less than half busy, or else any.
-fn nearest(now: Moment, fleet: &Fleet, open: &[(Key, &Runner)], demand: &Demand) -> Option<Key> {
-    let same_zone: Vec<(Key, &Runner)> = open
+/// Runner for a plain request, which is short: the least loaded one in this zone if it is less than
+/// half busy, or else the least loaded one of all.
+fn nearest(now: Moment, fleet: &Fleet, eligible: &[(Key, &Runner)], demand: &Demand) -> Option<Key> {
+    let same_zone: Vec<(Key, &Runner)> = eligible
         .iter()
         .filter(|(_, runner)| runner.listed.zone == fleet.zone && runner.running() < runner.listed.slots / 2)
         .copied()
@@ -357,7 +363,11 @@
     least_loaded(
         now,
         fleet,
-        if same_zone.is_empty() { open } else { &same_zone },
+        if same_zone.is_empty() {
+            eligible
+        } else {
+            &same_zone
+        },
         demand,
     )
 }
