--- a/crates/core/src/proxy/fleet.rs
+++ b/crates/core/src/proxy/fleet.rs
@@ -259,8 +259,8 @@
         zone != self.zone && found.is_ok_and(|at| now.reached(self.zone_deadlines[at].1))
     }
 
-    /// Counts a failure to reach a runner of another zone, and avoids the zone if there are
-    /// several.
+    /// Avoids the zone of a runner that could not be reached, if it is another zone and several of
+    /// its runners are backing off.
     ///
     /// When a zone is cut off, each of its runners would cost one request a connection timeout,
     /// and a caller that hits four of them is refused. After the second runner, the whole zone is
@@ -269,10 +269,10 @@
         if zone == self.zone {
             return;
         }
-        let unreachable = self.arena.iter().filter(|runner| {
+        let backing_off = self.arena.iter().filter(|runner| {
             runner.listed.zone == zone && runner.is_listed() && !now.reached(runner.retry_at)
         });
-        if unreachable.count() < ZONE_FAILURES {
+        if backing_off.count() < ZONE_FAILURES {
             return;
         }
         self.avoided_zones.retain(|(have, _)| have != zone);
--- a/crates/core/src/proxy/fleet/runner.rs
+++ b/crates/core/src/proxy/fleet/runner.rs
@@ -95,9 +95,9 @@
 /// Safety margin of the runner's idle timeout: its timer starts when it writes the answer, and
 /// the next request takes some time to arrive.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
-/// Fraction of the idle timeout (one third) after which a request that may run at most once gets
-/// a new connection. The runner may close the old one just then, and it would be unknown whether
-/// the request ran.
+/// Divisor of the idle timeout: after a third of it, a request that may run at most once gets a
+/// new connection. The runner may close the old one just then, and it would be unknown whether the
+/// request ran.
 const ONCE_DIVISOR: u32 = 3;
 
 impl Idle {
