--- a/crates/core/src/proxy/gossip.rs
+++ b/crates/core/src/proxy/gossip.rs
@@ -17,12 +17,13 @@
 /// Number of hosts up to which that interval holds. With more it grows in proportion, so that a
 /// host receives at most 50 datagrams a second.
 const FULL_RATE_HOSTS: u32 = 10;
-/// One in this many packets is sent to other zones as well, if there are
-/// more than [`FULL_RATE_HOSTS`] hosts.
+/// One in this many packets is sent to other zones as well, if there are more than
+/// [`FULL_RATE_HOSTS`] hosts.
 const CROSS_ZONE_EVERY: u64 = 4;
-/// Number of packets per usage record.
+/// One in this many packets includes the usage record.
 const RECORD_EVERY: u64 = 5;
-/// Number of packets to other zones per usage record.
+/// One in this many packets to other zones includes the usage record, if there are more than
+/// [`FULL_RATE_HOSTS`] hosts.
 const CROSS_ZONE_RECORD_EVERY: u64 = 3;
 /// Intervals without a packet after which a zone may be cut off.
 const ZONE_SILENCE_INTERVALS: u32 = 3;
@@ -88,7 +89,7 @@
     /// Run of the sender.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// Sequence number; packets that arrive out of order are ignored.
+    /// Sequence number; a packet that arrives after a later one is ignored.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
     /// Load on each runner that has any.
@@ -195,8 +196,8 @@
     pub fn prefill_rate(&self, service: &str) -> PrefillRate {
         let service = digest(service.as_bytes());
         let rates = self.peers.iter().flat_map(|peer| &peer.packet.prefill_rates);
-        let own = rates.filter(|rate| rate.service == service);
-        own.fold(
+        let of_service = rates.filter(|rate| rate.service == service);
+        of_service.fold(
             PrefillRate {
                 service,
                 total_us: 0,
@@ -221,8 +222,8 @@
         loads.sort_unstable_by_key(|load| load.runner);
         fleet.set_peer_loads(|hash| {
             let from = loads.partition_point(|load| load.runner < hash);
-            let own = loads[from..].iter().take_while(|load| load.runner == hash);
-            own.fold(fleet::Load::default(), |sum, load| fleet::Load {
+            let of_runner = loads[from..].iter().take_while(|load| load.runner == hash);
+            of_runner.fold(fleet::Load::default(), |sum, load| fleet::Load {
                 running: sum.running + load.running,
                 prefill_us: sum.prefill_us + load.prefill_us,
                 kv_tokens: sum.kv_tokens + load.kv_tokens,
