--- a/crates/core/src/proxy/document.rs
+++ b/crates/core/src/proxy/document.rs
@@ -118,8 +118,8 @@
         self.old_texts.drain(..excess);
     }
 
-    /// Notice for a host that has version `base_version`. A newer text or its difference is included if
-    /// it has at most `max_bytes` bytes. `None` if there is no text yet.
+    /// Notice for a host that has version `base_version`. A newer text or its difference is
+    /// included if it has at most `max_bytes` bytes. `None` if there is no text yet.
     pub fn notice(&mut self, now: Moment, base_version: u64, max_bytes: usize) -> Option<Notice> {
         let (entry, as_of) = (self.entry.clone()?, self.as_of?);
         let mut notice = Notice {
--- a/crates/core/src/proxy/mirror.rs
+++ b/crates/core/src/proxy/mirror.rs
@@ -2,14 +2,14 @@
 //!
 //! Each host keeps all keys except the operator's [document](super::document). A host that reads
 //! the store adds the pages of its listings; a host that asks a peer applies the changes it gets.
-//! Each knows up to which revision of the store its replica is complete, and as of which moment,
-//! so each can answer other hosts.
+//! Each keeps the store revision up to which its replica is complete, and the moment as of which
+//! it is, so each can answer other hosts.
 //!
 //! A paged listing is not a snapshot: it is complete up to the revision of its first page. A key
-//! that is written and removed between two listings is never seen by the host that lists, but the
-//! host that asks it may have the key from elsewhere and would get no removal. Each answer
-//! therefore includes a checksum over all keys of the sender. If the receiver's differs after
-//! applying the changes, it requests all keys.
+//! that is written and removed between two listings is in neither of them, but a host that asks
+//! for the changes may have the key from elsewhere and would get no removal. Each answer therefore
+//! includes a checksum over all keys of the sender. If the receiver's differs after applying the
+//! changes, it requests all keys.
 
 use std::time::Duration;
 
--- a/crates/core/src/proxy/refresh.rs
+++ b/crates/core/src/proxy/refresh.rs
@@ -1,8 +1,8 @@
 //! Schedule of a host's requests for the operator's document.
 //!
 //! A host that reads the store asks in each round whether its version is still the newest. Other
-//! hosts learn this from their peers, and ask the store if they get no confirmation for too long.
-//! A host that knows of a newer text reads it at once.
+//! hosts get this confirmation from their peers, and ask the store if it is missing for too long.
+//! A newer text is read as soon as it is known to exist.
 
 use std::time::Duration;
 
