--- a/crates/core/src/proxy/budget.rs
+++ b/crates/core/src/proxy/budget.rs
@@ -14,8 +14,8 @@
 /// Share of the bound that is used. The window slides, but requests are counted in buckets of
 /// half a second, a twentieth of the usual window.
 const USED_SHARE: f64 = 0.8;
-/// Hosts that may be alive but unknown: one that has just started, and one that is considered
-/// dead.
+/// Number of hosts that may be alive but are not counted, such as one that has just started or
+/// one that is considered dead.
 const UNKNOWN_HOSTS: u32 = 1;
 
 plain! {
--- a/crates/core/src/proxy/latency.rs
+++ b/crates/core/src/proxy/latency.rs
@@ -28,6 +28,7 @@
 /// Prior gap between two events of a stream that runs alone, and what each concurrent request
 /// adds, in milliseconds.
 const GAP_PRIOR_MS: [f64; 2] = [30.0, 1.0];
+/// Weight of each prior, in samples.
 const GAP_WEIGHT: [f64; 2] = [5.0, 500.0];
 /// Prior time that a request stays on its runner, in milliseconds.
 const RESIDENCE_PRIOR_MS: f64 = 1_000.0;
@@ -52,7 +53,7 @@
     pub struct Conditions {
         /// Length of the prompt in tokens.
         pub prompt_tokens: u64,
-        /// Tokens of the prompt that the runner had cached.
+        /// Tokens of the prompt that the runner had cached or could copy.
         pub cached_tokens: u64,
         /// Prefill work queued ahead of the request.
         pub backlog: Duration,
@@ -123,8 +124,8 @@
         self.first_event.coefficient(CROSS_ZONE)
     }
 
-    /// Gap between two events of a stream with this number of concurrent requests, while no prompt is
-    /// prefilled.
+    /// Gap between two events of a stream with this number of concurrent requests, while no prompt
+    /// is prefilled.
     pub fn event_gap(&self, concurrent: f64) -> Duration {
         millis(self.gap.predict(&[1.0, concurrent]))
     }
--- a/crates/core/src/proxy/partition.rs
+++ b/crates/core/src/proxy/partition.rs
@@ -12,7 +12,8 @@
 use super::latency::{Latency, ms};
 use super::route::Table;
 
-/// Share of the allowed gap that the prefill of a long prompt takes at least.
+/// Share of the allowed gap, less the usual gap of a stream that runs alone, from which a prompt's
+/// prefill counts as long.
 const LONG_RATIO: f64 = 0.3;
 /// Allowed gap between events if no route sets one.
 const DEFAULT_GAP: Duration = Duration::from_millis(250);
--- a/crates/core/src/proxy/readers.rs
+++ b/crates/core/src/proxy/readers.rs
@@ -22,10 +22,11 @@
 const HOSTS_PER_READER: usize = 24;
 /// Time for which a host that could not help is not asked again.
 const UNRESPONSIVE_PAUSE: Duration = Duration::from_secs(2);
-/// Maximum age of a peer's data if it is no newer than the last; readers read every 0.6 s.
+/// Maximum age of a peer's data that is no newer than the data known before; readers read every
+/// 0.6 s.
 const MAX_SAME_AGE: Duration = Duration::from_millis(750);
-/// Maximum age of a peer's data if it is newer than the last; a small host takes most of a second
-/// to list thousands of keys.
+/// Maximum age of a peer's data that is newer than the data known before; a small host takes most
+/// of a second to list thousands of keys.
 const MAX_NEW_AGE: Duration = Duration::from_millis(1_300);
 
 plain! {
--- a/crates/core/src/proxy/scaling.rs
+++ b/crates/core/src/proxy/scaling.rs
@@ -28,7 +28,8 @@
 const HIGH_PREFILL_LOAD: f64 = 0.6;
 /// Target share of a runner's slots that are taken in normal operation.
 const SLOT_USE: f64 = 0.6;
-/// Reserve of reclaimable runners, as the cost of on-demand runners per runner needed.
+/// Cost of the reserve of reclaimable runners, as a share of what the needed runners would cost
+/// on demand.
 const RESERVE_COST: f64 = 0.05;
 /// Maximum reserve, relative to the runners needed.
 const MAX_RESERVE: f64 = 0.5;
@@ -116,7 +117,7 @@
 struct Peak {
     current: SlidingMax,
     standby: SlidingMax,
-    /// When the planner started, and the number of runners then.
+    /// Time of the planner's first tick, and the number of runners then.
     initial: Option<(Moment, u32)>,
 }
 
@@ -190,7 +191,8 @@
 impl Planner {
     /// Next order to send, while this host holds the duty.
     ///
-    /// `prefill_rate` returns the prefill work that is sent to a service, in microseconds per second.
+    /// `prefill_rate` returns the prefill work that is sent to a service, in microseconds per
+    /// second.
     pub fn tick(
         &mut self,
         now: Moment,
