--- a/crates/core/src/proxy/backoff.rs
+++ b/crates/core/src/proxy/backoff.rs
@@ -4,8 +4,8 @@
 
 /// Pause after the first failure, before jitter.
 const FIRST_PAUSE: Duration = Duration::from_millis(150);
-/// Maximum pause before jitter; long enough that hosts which the store rejects for their request rate
-/// do not keep it at its limit.
+/// Maximum pause before jitter; long enough that hosts which the store rejects for their request
+/// rate do not keep it at its limit.
 const MAX_PAUSE: Duration = Duration::from_millis(600);
 
 /// Pauses that double with each consecutive failure.
