--- a/tests/suite/proxy/latency.rs
+++ b/tests/suite/proxy/latency.rs
@@ -150,15 +150,15 @@
 fn reclaimable_runners_are_taken_only_while_they_are_cheap() {
     let fleet = Fleet::new("zone-a");
     let at = Moment::at_ms(100_000);
-    let (cheap, on_demand) = ordered(&mut Planner::default(), at, &fleet, 0.2, 3_000_000);
+    let (reclaimable, on_demand) = ordered(&mut Planner::default(), at, &fleet, 0.2, 3_000_000);
     assert!(
-        cheap >= 9 && on_demand <= 6,
-        "{cheap} reclaimable, {on_demand} on-demand"
+        reclaimable >= 9 && on_demand <= 6,
+        "{reclaimable} reclaimable, {on_demand} on-demand"
     );
-    let (cheap, on_demand) = ordered(&mut Planner::default(), at, &fleet, 0.9, 3_000_000);
+    let (reclaimable, on_demand) = ordered(&mut Planner::default(), at, &fleet, 0.9, 3_000_000);
     assert!(
-        cheap == 0 && on_demand >= 6,
-        "{cheap} reclaimable, {on_demand} on-demand"
+        reclaimable == 0 && on_demand >= 6,
+        "{reclaimable} reclaimable, {on_demand} on-demand"
     );
 }
 
@@ -187,9 +187,9 @@
     assert!(on_demand >= 4, "{on_demand} on-demand runners");
 }
 
-/// Two bursts at once, one of them on a single prefix, fill its home runner and the others
-/// reserved for long prompts. Nine of ten requests are on time, as their cost makes the burst
-/// spread.
+/// Two bursts at once, one of them on a single prefix, fill the runner that has it cached and the
+/// others reserved for long prompts. Nine of ten requests are on time, as their cost makes the
+/// burst spread.
 #[test]
 fn a_burst_on_a_hot_subject_spreads_in_time() {
     for seed in 0..5 {
--- a/tests/suite/proxy/limits.rs
+++ b/tests/suite/proxy/limits.rs
@@ -136,27 +136,36 @@
         item
     });
     fleet.update(at(0), listed.collect());
-    let cheap = |orders: &[Order]| {
+    let reclaimable = |orders: &[Order]| {
         let of_zone = orders
             .iter()
             .find(|order| order.zone == "zone-b" && order.reclaimable);
         of_zone.map(|order| order.count)
     };
     assert_eq!(
-        cheap(&orders(&mut planner, 0, &fleet, 0)),
+        reclaimable(&orders(&mut planner, 0, &fleet, 0)),
         Some(4),
         "as many as at the start"
     );
-    assert_eq!(cheap(&orders(&mut planner, 5_000, &fleet, 4_000_000)), Some(8));
-    assert_eq!(cheap(&orders(&mut planner, 20_000, &fleet, 700_000)), Some(8));
-    assert_eq!(cheap(&orders(&mut planner, 36_000, &fleet, 700_000)), Some(2));
+    assert_eq!(
+        reclaimable(&orders(&mut planner, 5_000, &fleet, 4_000_000)),
+        Some(8)
+    );
+    assert_eq!(
+        reclaimable(&orders(&mut planner, 20_000, &fleet, 700_000)),
+        Some(8)
+    );
+    assert_eq!(
+        reclaimable(&orders(&mut planner, 36_000, &fleet, 700_000)),
+        Some(2)
+    );
 }
 
 /// Both zones lose their reclaimable runners under load. On-demand runners are ordered for all
 /// that are missing, in more than one zone, and given up when the reclaimable ones are back.
 #[test]
 fn lost_cheap_runners_are_made_up_for() {
-    let cheap = |zones: &[&str]| {
+    let fleet_in = |zones: &[&str]| {
         let mut fleet = Fleet::new("zone-a");
         let listed = zones.iter().flat_map(|zone| {
             (0..6).map(move |at| {
@@ -169,17 +178,17 @@
         fleet
     };
     let mut planner = Planner::default();
-    let calm = orders(&mut planner, 0, &cheap(&["zone-a", "zone-b"]), 4_700_000);
-    let dependable = |orders: &[Order], zone: &str| {
+    let calm = orders(&mut planner, 0, &fleet_in(&["zone-a", "zone-b"]), 4_700_000);
+    let on_demand = |orders: &[Order], zone: &str| {
         let found = orders
             .iter()
             .find(|order| order.zone == zone && !order.reclaimable);
         found.map(|order| order.count)
     };
-    assert_eq!(dependable(&calm, "zone-a"), Some(0));
-    let lost = orders(&mut planner, 2_000, &cheap(&[]), 4_700_000);
-    assert_eq!(dependable(&lost, "zone-b"), Some(4));
-    assert_eq!(dependable(&lost, "zone-a"), Some(4));
-    let back = orders(&mut planner, 12_000, &cheap(&["zone-a", "zone-b"]), 4_700_000);
-    assert_eq!(dependable(&back, "zone-b"), Some(0));
+    assert_eq!(on_demand(&calm, "zone-a"), Some(0));
+    let lost = orders(&mut planner, 2_000, &fleet_in(&[]), 4_700_000);
+    assert_eq!(on_demand(&lost, "zone-b"), Some(4));
+    assert_eq!(on_demand(&lost, "zone-a"), Some(4));
+    let back = orders(&mut planner, 12_000, &fleet_in(&["zone-a", "zone-b"]), 4_700_000);
+    assert_eq!(on_demand(&back, "zone-b"), Some(0));
 }
