--- a/tests/suite/proxy/placement.rs
+++ b/tests/suite/proxy/placement.rs
@@ -33,13 +33,13 @@
 }
 
 fn choose(fleet: &Fleet, index: &Index, now: Moment, demand: &Demand, tried: &[Key]) -> Option<Choice> {
-    let known = Inputs {
+    let inputs = Inputs {
         fleet,
         prefixes: index,
         latency: &Latency::default(),
         partition: &Partition::default(),
     };
-    placement::choose(known, now, demand, tried)
+    placement::choose(inputs, now, demand, tried)
 }
 
 fn host(runners: usize) -> State {
@@ -116,7 +116,7 @@
     }
 }
 
-/// Guards against moving prefixes when a runner joins that would be the home of some of them:
+/// Guards against moving prefixes when a runner joins that hashing would select for some of them:
 /// thousands of tokens would be computed again for nothing. A prefix stays on the runner that has
 /// it cached, on all hosts that got the announcement, until that runner leaves.
 #[test]
@@ -138,14 +138,14 @@
     };
     let first: Vec<_> = demands.iter().map(|demand| place(&mut one, demand, 1)).collect();
     let packet = one.packet(at(2), Incarnation(1), 1);
-    let mut announced: Vec<u64> = packet.prefixes.iter().map(|holder| holder.prefix).collect();
+    let mut announced: Vec<u64> = packet.prefixes.iter().map(|cached| cached.prefix).collect();
     announced.sort_unstable();
     announced.dedup();
     // The first segment, which all of them share, is announced as well.
-    let subjects = std::iter::once(1).chain(100..200);
+    let expected = std::iter::once(1).chain(100..200);
     assert_eq!(
         announced,
-        subjects.collect::<Vec<u64>>(),
+        expected.collect::<Vec<u64>>(),
         "each prefix is announced"
     );
     other.receive(at(3), Incarnation(2), packet);
@@ -171,7 +171,7 @@
     );
 }
 
-/// One prefix gets most of the traffic, and its home runner falls behind. Requests leave it when
+/// One prefix gets most of the traffic, and its runner falls behind. Requests leave it when
 /// waiting there costs more than computing the prefix again, and later ones find the second
 /// runner.
 #[test]
@@ -268,12 +268,12 @@
         .place(at(2_100), &demand(12_000, 5), &far)
         .expect("a runner is available");
     assert_eq!(heard.source, Some(first.key), "while its hosts send packets");
-    let mut restarted = host(4);
-    receive(&mut restarted, 1, 0);
-    restarted
+    let mut unheard = host(4);
+    receive(&mut unheard, 1, 0);
+    unheard
         .place(at(1), &demand(12_000, 5), &same_zone)
         .expect("a runner is available");
-    let silent = restarted
+    let silent = unheard
         .place(at(2_100), &demand(12_000, 5), &far)
         .expect("a runner is available");
     assert_eq!(silent.source, None, "once its hosts are silent");
@@ -283,20 +283,20 @@
         ..demand(1_000, 5)
     };
     for key in same_zone {
-        // No slot is free in the zone.
-        (0..20).for_each(|_| restarted.fleet.start_request(key, 0, 0));
+        // Both runners of the zone are more than half busy.
+        (0..20).for_each(|_| unheard.fleet.start_request(key, 0, 0));
     }
     let runner = |state: &State, key| state.fleet.get(key).expect("it is known").listed.zone.clone();
-    let choice = restarted
+    let choice = unheard
         .place(at(2_200), &plain, &[])
         .expect("a runner is available");
-    assert_eq!(runner(&restarted, choice.key), "zone-0");
-    receive(&mut restarted, 3, 2_300);
-    let choice = restarted
+    assert_eq!(runner(&unheard, choice.key), "zone-0");
+    receive(&mut unheard, 3, 2_300);
+    let choice = unheard
         .place(at(2_301), &plain, &[])
         .expect("a runner is available");
     assert_eq!(
-        runner(&restarted, choice.key),
+        runner(&unheard, choice.key),
         "zone-1",
         "its hosts are heard again"
     );
@@ -304,7 +304,7 @@
 
 /// Guards against reports that are seconds old because eighty hosts in three zones send to all
 /// others alike, so that all choose the same runners. A host sends more often within its zone
-/// than to others, and no host receives more than twice as many packets as before.
+/// than to others, and no host receives more than twice as many packets as with equal rates.
 #[test]
 fn a_zones_own_hosts_are_told_first() {
     assert_eq!(
@@ -319,12 +319,13 @@
     let far_packets = (1..=240)
         .filter(|number| gossip::is_cross_zone(*number, hosts))
         .count() as f64;
-    let part_far = far_packets / 240.0;
-    let heard = (f64::from(same_zone - 1) + f64::from(hosts - same_zone) * part_far) / pause.as_secs_f64();
-    let alike = f64::from(hosts - 1) / gossip::interval(hosts).as_secs_f64();
+    let share_far = far_packets / 240.0;
+    let received =
+        (f64::from(same_zone - 1) + f64::from(hosts - same_zone) * share_far) / pause.as_secs_f64();
+    let uniform = f64::from(hosts - 1) / gossip::interval(hosts).as_secs_f64();
     assert!(
-        heard < alike * 2.0,
-        "{heard} packets per second, {alike} if sent to all alike"
+        received < uniform * 2.0,
+        "{received} packets per second, {uniform} if sent to all alike"
     );
     let records = (1..=240).filter(|number| gossip::has_record_cross_zone(*number, hosts));
     assert!(records.clone().count() >= 16);
@@ -404,7 +405,7 @@
                 random: draw,
                 ..Demand::default()
             },
-            // Without a shared prefix there is no home runner.
+            // Without a shared prefix, hashing selects no runner.
             _ => Demand {
                 segments: Vec::new(),
                 ..demand(prompt, draw)
