--- a/tests/suite/proxy/lease.rs
+++ b/tests/suite/proxy/lease.rs
@@ -52,8 +52,8 @@
 }
 
 fn candidate(run: u64) -> Lease {
-    let terms = Timing::fenced(Duration::from_secs(3));
-    Lease::with_timing(Incarnation(run), "duty".into(), terms)
+    let timing = Timing::fenced(Duration::from_secs(3));
+    Lease::with_timing(Incarnation(run), "duty".into(), timing)
 }
 
 /// Guards against two hosts reporting one window. The holder is frozen until its lease expires; a
--- a/tests/suite/proxy/refresh.rs
+++ b/tests/suite/proxy/refresh.rs
@@ -47,7 +47,7 @@
     StoreAnswered(Arc<Entry>, u64),
     /// The request has timed out.
     Failed(Step),
-    /// Asks a peer for news.
+    /// Asks a peer for its notice of the document.
     Round,
     /// The peer's answer has arrived: the peer, and when it was asked.
     PeerAnswered(usize, u64),
@@ -181,12 +181,12 @@
         if state.is_pending {
             return;
         }
-        let standing = Status {
+        let status = Status {
             is_reader: readers::is_reader(state.host.address, &self.hosts),
             is_behind: state.document.is_behind(),
             age: state.document.age(now),
         };
-        let step = state.schedule.step(standing);
+        let step = state.schedule.step(status);
         state.is_pending = !matches!(step, Step::Wait(_));
         if let Step::Wait(pause) = step {
             self.push_event((pause.as_millis() as u64).max(1), node, Event::Check);
--- a/tests/suite/proxy/schedule.rs
+++ b/tests/suite/proxy/schedule.rs
@@ -1,4 +1,4 @@
-//! Simulations of several hosts, one store and one desk under random schedules.
+//! Simulations of several hosts, one store and one receiver of reports under random schedules.
 //!
 //! Answers of the store are late or lost after a write, the store is away, hosts are frozen,
 //! killed and restarted, and keys are withdrawn while requests are in flight. Invariants are
@@ -116,13 +116,13 @@
 
 impl Host {
     fn start(name: &str, run: u64, ms: u64) -> Self {
-        let terms = Timing::fenced(Duration::from_secs(3));
+        let timing = Timing::fenced(Duration::from_secs(3));
         Self {
             name: name.into(),
             run,
             began: ms,
             frozen_until: 0,
-            lease: Lease::with_timing(Incarnation(run), "duty".into(), terms),
+            lease: Lease::with_timing(Incarnation(run), "duty".into(), timing),
             reporter: Reporter::default(),
             usage: Counter::default(),
             ledger: Ledger::default(),
@@ -156,7 +156,7 @@
 
 #[derive(Default)]
 struct Observed {
-    /// Totals that the desk accepted, by window.
+    /// Totals that the receiver of reports accepted, by window.
     totals: BTreeMap<u64, Vec<(String, u64)>>,
     fence: u64,
     /// Requests that started, by window.
