--- a/tests/suite/proxy/document.rs
+++ b/tests/suite/proxy/document.rs
@@ -114,13 +114,13 @@
         String::new(),
         "é}ü}".into(),
     ];
-    for (former, new) in texts
+    for (old, new) in texts
         .iter()
-        .flat_map(|former| texts.iter().map(move |new| (former, new)))
+        .flat_map(|old| texts.iter().map(move |new| (old, new)))
     {
-        let delta = Delta::between(former, new);
-        assert_eq!(delta.apply(former).as_ref(), Some(new));
-        let others = texts.iter().filter(|other| *other != former);
+        let delta = Delta::between(old, new);
+        assert_eq!(delta.apply(old).as_ref(), Some(new));
+        let others = texts.iter().filter(|other| *other != old);
         for made in others.filter_map(|other| delta.apply(other)) {
             assert_eq!(&made, new);
         }
@@ -137,10 +137,10 @@
             value,
         })
     };
-    let (former, new) = (rows(1, 4_000, None), rows(2, 4_000, Some(9)));
+    let (old, new) = (rows(1, 4_000, None), rows(2, 4_000, Some(9)));
     let (mut reader, mut asker) = (Document::default(), Document::default());
-    reader.replace(at(0), entry(6, former.clone()));
-    asker.replace(at(0), entry(6, former));
+    reader.replace(at(0), entry(6, old.clone()));
+    asker.replace(at(0), entry(6, old));
     reader.replace(at(400), entry(7, new.clone()));
     let notice = reader.notice(at(500), 6, INLINE_BYTES).expect("a text");
     assert!(notice.text.is_none() && notice.delta.is_some());
--- a/tests/suite/proxy/events.rs
+++ b/tests/suite/proxy/events.rs
@@ -33,8 +33,8 @@
             .collect();
         let mut rest = text.as_bytes();
         let mut pieces = Vec::new();
-        for split in cuts {
-            let (piece, tail) = rest.split_at(usize::from(split % 7).min(rest.len()));
+        for cut in cuts {
+            let (piece, tail) = rest.split_at(usize::from(cut % 7).min(rest.len()));
             pieces.push(piece);
             rest = tail;
         }
--- a/tests/suite/proxy/freshness.rs
+++ b/tests/suite/proxy/freshness.rs
@@ -65,6 +65,7 @@
 }
 
 /// Guards against an older document replacing a newer one when two reads complete out of order.
+/// Requests on routes or with keys that it lacks would be refused again.
 #[test]
 fn an_older_document_never_comes_back() {
     let mut state = state(at(0), vec![customer("ana", &["key-a"])]);
--- a/tests/suite/proxy/readers.rs
+++ b/tests/suite/proxy/readers.rs
@@ -14,8 +14,9 @@
     Readers::default().preferred(Moment::at_ms(1_000), me.address, hosts)
 }
 
-/// Guards against overloading the store with calls of hundreds of hosts. A few hosts read it, and
-/// all hosts choose the same ones, whatever the order of their list of peers.
+/// Guards against overloading the store with hundreds of hosts that each read it twice a second. A
+/// few hosts read it, and all hosts choose the same ones, whatever the order of their list of
+/// peers.
 #[test]
 fn a_few_hosts_read_and_all_agree_on_them() {
     for (count, expected) in [(1, 1), (2, 2), (9, 2), (73, 5), (240, 12)] {
@@ -55,17 +56,17 @@
         .find(|host| first(**host, &all) != Source::Store)
         .expect("not all hosts are readers");
     let me = me.address;
-    let mut share = Readers::default();
+    let mut choice = Readers::default();
     let now = Moment::at_ms(1_000);
     let mut asked = Vec::new();
-    while let Source::Peer(peer) = share.preferred(now, me, &all) {
+    while let Source::Peer(peer) = choice.preferred(now, me, &all) {
         assert!(!asked.contains(&peer));
         asked.push(peer);
-        share.mark_unresponsive(now, peer);
+        choice.mark_unresponsive(now, peer);
     }
     assert_eq!(asked.len(), 2);
     let later = now + Duration::from_secs(3);
-    assert_eq!(share.preferred(later, me, &all), Source::Peer(asked[0]));
+    assert_eq!(choice.preferred(later, me, &all), Source::Peer(asked[0]));
 }
 
 /// The store refuses the readers and serves other hosts. A reader without an answer asks the
@@ -75,16 +76,16 @@
     let all = hosts(4);
     let reads = |host: &&Host| first(**host, &all) == Source::Store;
     let readers: Vec<Host> = all.iter().filter(reads).copied().collect();
-    let mut share = Readers::default();
+    let mut choice = Readers::default();
     let now = Moment::at_ms(1_000);
     assert_eq!(
-        share.fallback(now, readers[0].address, &all),
+        choice.fallback(now, readers[0].address, &all),
         Some(readers[1].address)
     );
     let mut asked = Vec::new();
-    while let Some(peer) = share.fallback(now, readers[0].address, &all) {
+    while let Some(peer) = choice.fallback(now, readers[0].address, &all) {
         asked.push(peer);
-        share.mark_unresponsive(now, peer);
+        choice.mark_unresponsive(now, peer);
     }
     assert_eq!(asked.len(), 3, "all other hosts");
 }
--- a/tests/suite/proxy/usage.rs
+++ b/tests/suite/proxy/usage.rs
@@ -204,9 +204,9 @@
     assert_eq!(window.counts, vec![("ana".to_string(), 14)]);
 }
 
-/// Guards against two different totals for one window. The answer to the reporter's write is
-/// lost, and another host seals the window with another total; the report must contain the value
-/// in the store.
+/// Guards against two different totals for one window. The reporter's write gets no answer, and
+/// another host seals the window with another total; the report must contain the value in the
+/// store.
 #[test]
 fn what_stands_in_the_store_is_what_is_reported() {
     let mut ledger = Ledger::default();
@@ -238,7 +238,7 @@
 /// duty: all windows whose report is not yet due are reported.
 #[test]
 fn short_windows_are_not_left_behind() {
-    let plan = Schedule {
+    let schedule = Schedule {
         length_s: 1,
         due_s: 10,
     };
@@ -251,7 +251,7 @@
     let step = reporter.tick(
         at(7_500),
         WINDOW_START_MS + 7_500,
-        plan,
+        schedule,
         grant(at(7_500)),
         &ledger,
     );
