--- a/crates/core/src/proxy/fleet.rs
+++ b/crates/core/src/proxy/fleet.rs
@@ -84,8 +84,8 @@
     /// They count as present until the store has been back long enough for them to register
     /// again.
     pub fn update(&mut self, sent: Moment, items: Vec<Listed>) -> Vec<SocketAddr> {
-        // Does not apply to the first list after a start: entries that expired before are not in
-        // it, and an entry that is in it and later missing was removed.
+        // The first list after a start needs no such grace period: entries that expired before are
+        // not in it, and an entry that is in it and later missing was removed.
         if self.last_list.is_some_and(|last| sent.since(last) >= OUTAGE) {
             self.recovered_at = Some(sent);
         }
--- a/crates/core/src/proxy/gossip.rs
+++ b/crates/core/src/proxy/gossip.rs
@@ -86,7 +86,7 @@
 /// Load report of one host.
 #[derive(Clone, PartialEq, Message)]
 pub struct Packet {
-    /// Run of the sender.
+    /// Identifier of the sender's run.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
     /// Sequence number; a packet that arrives after a later one is ignored.
@@ -107,7 +107,7 @@
     /// Availability zone of the sender.
     #[prost(string, tag = "8")]
     pub zone: String,
-    /// Set in a packet that only says that the sender has read a change from the store.
+    /// Whether the packet only announces that the sender has just read a change from the store.
     #[prost(bool, tag = "6")]
     pub change_hint: bool,
     /// With `change_hint`: version of the sender's document.
--- a/crates/core/src/proxy/scaling.rs
+++ b/crates/core/src/proxy/scaling.rs
@@ -341,9 +341,9 @@
         let running: u32 = zones.iter().map(|zone| zone.running).sum();
         let slots = service.engine.map_or(u32::MAX, |engine| engine.slots.max(1));
         let peak = self.peaks.get_or_default(&service.name);
-        let prefill_load = (prefill_rate / 1_000) as u32;
-        let current = f64::from(peak.current.push(now, prefill_load, PEAK_WINDOW)) / 1e3;
-        let standby = f64::from(peak.standby.push(now, prefill_load, STANDBY_WINDOW)) / 1e3;
+        let prefill_permille = (prefill_rate / 1_000) as u32;
+        let current = f64::from(peak.current.push(now, prefill_permille, PEAK_WINDOW)) / 1e3;
+        let standby = f64::from(peak.standby.push(now, prefill_permille, STANDBY_WINDOW)) / 1e3;
         // The runners found were ordered by a predecessor for the usual load.
         let (started, initial) = *peak.initial.get_or_insert((now, initial));
         let initial = if now.since(started) < INITIAL_HOLD {
--- a/crates/core/src/proxy/usage.rs
+++ b/crates/core/src/proxy/usage.rs
@@ -43,7 +43,7 @@
     pub struct Record {
         /// Name of the host.
         pub host: String,
-        /// Run of the host.
+        /// Identifier of the run.
         pub incarnation: Incarnation,
         /// Start of the run, in milliseconds of Unix time; a later run of the same host implies
         /// that this one has ended.
@@ -66,7 +66,7 @@
     pub struct Presence {
         /// Name of the host.
         pub host: String,
-        /// Run of the host.
+        /// Identifier of the run.
         pub incarnation: Incarnation,
         /// Start of the run, in milliseconds of Unix time.
         pub began: u64,
