--- a/tests/suite/proxy/fleet.rs
+++ b/tests/suite/proxy/fleet.rs
@@ -10,9 +10,9 @@
     Moment::at_ms(100_000 + ms)
 }
 
-fn open(fleet: &Fleet, ms: u64) -> Vec<String> {
-    let open = fleet.available(at(ms), "engines");
-    let mut ids: Vec<String> = open.map(|(_, runner)| runner.listed.id.clone()).collect();
+fn available(fleet: &Fleet, ms: u64) -> Vec<String> {
+    let runners = fleet.available(at(ms), "engines");
+    let mut ids: Vec<String> = runners.map(|(_, runner)| runner.listed.id.clone()).collect();
     ids.sort();
     ids
 }
@@ -30,11 +30,11 @@
     fleet.update(at(0), listed(&["a", "b"]));
     fleet.update(at(1_000), listed(&["a", "b"]));
     fleet.update(at(6_000), Vec::new());
-    assert_eq!(open(&fleet, 6_100), ["a", "b"]);
+    assert_eq!(available(&fleet, 6_100), ["a", "b"]);
     fleet.update(at(7_500), listed(&["a"]));
-    assert_eq!(open(&fleet, 7_600), ["a", "b"]);
+    assert_eq!(available(&fleet, 7_600), ["a", "b"]);
     fleet.update(at(8_400), listed(&["a"]));
-    assert_eq!(open(&fleet, 8_500), ["a"]);
+    assert_eq!(available(&fleet, 8_500), ["a"]);
 }
 
 /// Guards against sending requests to a runner that left during an outage until one more list
@@ -45,7 +45,7 @@
     fleet.update(at(0), listed(&["a", "b"]));
     fleet.update(at(6_000), listed(&["a"]));
     fleet.update(at(8_200), listed(&["a"]));
-    assert_eq!(open(&fleet, 8_500), ["a"]);
+    assert_eq!(available(&fleet, 8_500), ["a"]);
 }
 
 /// Guards against sending requests to a runner that has left: an entry removed while the store is
@@ -57,7 +57,7 @@
         fleet.update(at(ms), listed(&["a", "b"]));
     }
     fleet.update(at(4_000), listed(&["b"]));
-    assert_eq!(open(&fleet, 4_001), ["b"]);
+    assert_eq!(available(&fleet, 4_001), ["b"]);
 }
 
 /// A runner that is shutting down gets no new requests but still counts as present.
@@ -67,7 +67,7 @@
     let mut items = listed(&["a", "b"]);
     items[0].stage = Stage::Draining;
     fleet.update(at(0), items);
-    assert_eq!(open(&fleet, 1), ["b"]);
+    assert_eq!(available(&fleet, 1), ["b"]);
     let a = fleet.find("a").expect("it is known");
     assert!(fleet.get(a).expect("it is there").is_leaving());
 }
@@ -80,13 +80,13 @@
     fleet.update(at(0), listed(&["a"]));
     let a = fleet.find("a").expect("it is known");
     fleet.record_attempt(at(10), a, Attempt::Unreachable);
-    assert!(open(&fleet, 100).is_empty());
-    assert_eq!(open(&fleet, 500), ["a"]);
+    assert!(available(&fleet, 100).is_empty());
+    assert_eq!(available(&fleet, 500), ["a"]);
     fleet.record_attempt(at(500), a, Attempt::Unreachable);
-    assert!(open(&fleet, 1_200).is_empty());
+    assert!(available(&fleet, 1_200).is_empty());
     fleet.record_attempt(at(1_400), a, Attempt::Succeeded);
     fleet.record_attempt(at(1_500), a, Attempt::Unreachable);
-    assert_eq!(open(&fleet, 2_000), ["a"]);
+    assert_eq!(available(&fleet, 2_000), ["a"]);
 }
 
 /// Guards against an answer from the wrong service: a runner has gone, and another process
@@ -98,7 +98,7 @@
     let a = fleet.find("a").expect("it is known");
     fleet.record_attempt(at(10), a, Attempt::Replaced);
     fleet.update(at(1_000), listed(&["a"]));
-    assert!(open(&fleet, 9_000).is_empty());
+    assert!(available(&fleet, 9_000).is_empty());
     let mut again = listed(&["a"]);
     again[0].started_ms = 2;
     let address = again[0].address;
@@ -108,7 +108,7 @@
         [address, address],
         "its connections belong to another process"
     );
-    assert_eq!(open(&fleet, 9_600), ["a"]);
+    assert_eq!(available(&fleet, 9_600), ["a"]);
 }
 
 /// Guards against a request that may run at most once being sent on a connection that the runner
@@ -137,14 +137,14 @@
     fleet.update(at(0), items);
     let key = |fleet: &Fleet, id: &str| fleet.find(id).expect("it is known");
     fleet.record_attempt(at(10), key(&fleet, "b1"), Attempt::Unreachable);
-    assert_eq!(open(&fleet, 20), ["a", "b2", "b3"]);
+    assert_eq!(available(&fleet, 20), ["a", "b2", "b3"]);
     fleet.record_attempt(at(30), key(&fleet, "b2"), Attempt::Unreachable);
-    assert_eq!(open(&fleet, 40), ["a"]);
+    assert_eq!(available(&fleet, 40), ["a"]);
     fleet.record_attempt(at(50), key(&fleet, "a"), Attempt::Unreachable);
-    assert_eq!(open(&fleet, 60), ["b3"], "no other zone is left");
+    assert_eq!(available(&fleet, 60), ["b3"], "no other zone is left");
     fleet.record_attempt(at(70), key(&fleet, "b3"), Attempt::Succeeded);
     assert_eq!(
-        open(&fleet, 500),
+        available(&fleet, 500),
         ["a", "b1", "b2", "b3"],
         "the zone is reachable again"
     );
@@ -195,5 +195,5 @@
     let mut fleet = Fleet::new("zone-a");
     fleet.update(at(0), listed(&["a", "b"]));
     fleet.update(at(1_000), listed(&["a"]));
-    assert_eq!(open(&fleet, 1_100), ["a"]);
+    assert_eq!(available(&fleet, 1_100), ["a"]);
 }
--- a/tests/suite/proxy/mirror.rs
+++ b/tests/suite/proxy/mirror.rs
@@ -75,14 +75,14 @@
     /// Whether each key of a replica is in a state that the store had at or after the replica's
     /// revision.
     fn is_consistent(&self, mirror: &Mirror) -> bool {
-        let upto = mirror.revision();
-        if upto > self.revision() {
+        let revision = mirror.revision();
+        if revision > self.revision() {
             return false;
         }
         (0..KEYS).all(|key| {
             let key = format!("k{key:02}");
             let have = mirror.find(&key).map(|entry| entry.version);
-            let mut later = self.states[upto as usize..].iter();
+            let mut later = self.states[revision as usize..].iter();
             later.any(|state| state.get(&key).copied() == have)
         })
     }
@@ -109,8 +109,8 @@
 fn simulate(seed: u64, corrupt: impl Fn(&mut Changes)) -> Result<(), String> {
     let mut store = Store::new(seed);
     let mut hosts = [Mirror::default(), Mirror::default(), Mirror::default()];
-    for (at_host, host) in hosts.iter_mut().enumerate() {
-        store.list(at(at_host as u64), host);
+    for (index, host) in hosts.iter_mut().enumerate() {
+        store.list(at(index as u64), host);
     }
     for step in 10..60 {
         let changes = store.rng.random_range(0..6);
@@ -126,9 +126,9 @@
                 assert!(hosts[asker].apply(at(step), answered), "all keys always suffice");
             }
         }
-        for (at_host, host) in hosts.iter().enumerate() {
+        for (index, host) in hosts.iter().enumerate() {
             if !store.is_consistent(host) {
-                return Err(format!("seed {seed}, step {step}: host {at_host}"));
+                return Err(format!("seed {seed}, step {step}: host {index}"));
             }
         }
     }
@@ -184,11 +184,11 @@
 fn a_host_that_has_just_started_tells_everything() {
     let mut store = Store::new(2);
     let (mut early, mut late) = (Mirror::default(), Mirror::default());
-    assert!(early.changes(at(0), 1).is_none(), "it knows nothing yet");
+    assert!(early.changes(at(0), 1).is_none(), "it has not listed yet");
     store.list(at(0), &mut early);
     store.change(30);
     store.list(at(1), &mut late);
-    let whole = |after| late.changes(at(2), after).expect("it has listed").full;
-    assert!(whole(early.revision()) && whole(0));
+    let is_full = |after| late.changes(at(2), after).expect("it has listed").full;
+    assert!(is_full(early.revision()) && is_full(0));
     assert!(!early.changes(at(2), late.revision()).expect("it has listed").full);
 }
--- a/tests/suite/proxy/usage.rs
+++ b/tests/suite/proxy/usage.rs
@@ -217,11 +217,11 @@
     let Some(Step::Store(Call::Get { key })) = read else {
         panic!("it reads back: {read:?}");
     };
-    let standing = Window {
+    let stored = Window {
         number: 200,
         counts: vec![("ana".into(), 4)],
     };
-    let value = serde_json::to_string(&standing).expect("it can be written");
+    let value = serde_json::to_string(&stored).expect("it can be written");
     let entry = Entry {
         key,
         version: 9,
@@ -231,7 +231,7 @@
     let Some(Step::Report(_, window)) = tick(&mut reporter, &ledger, 6_600) else {
         panic!("it reports");
     };
-    assert_eq!(window, standing);
+    assert_eq!(window, stored);
 }
 
 /// Guards against skipping short windows when a host needs longer than four windows to get the
