--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// Default for [`Bounds::configuration_ms`], the shorter of the two values in use.
+/// Default for [`Bounds::configuration_ms`], the shorter of the usual values.
 fn default_configuration_ms() -> u64 {
     2_000
 }
--- a/crates/core/src/proxy/scaling.rs
+++ b/crates/core/src/proxy/scaling.rs
@@ -43,11 +43,11 @@
 /// Time for which all runners found at the start count as needed, since the earlier traffic is
 /// unknown.
 const INITIAL_HOLD: Duration = Duration::from_secs(15);
-/// Pause after an order that was refused or lost.
+/// Pause before an order that was refused or lost is sent again; it doubles with each refusal.
 const RETRY_PAUSE: Duration = Duration::from_millis(1_500);
-/// Maximum pause; it doubles with each refusal.
+/// Maximum of that pause.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(6);
-/// Number of consecutive refusals up to which the pause depends on them.
+/// Maximum number of consecutive refusals that is counted.
 const MAX_REFUSALS: u32 = 8;
 /// Time after the usual boot time from which an ordered runner is no longer expected.
 const BOOT_GRACE: Duration = Duration::from_millis(1_500);
