--- a/tests/suite/proxy/latency.rs
+++ b/tests/suite/proxy/latency.rs
@@ -44,8 +44,8 @@
 }
 
 /// The busiest of six engines becomes eight times slower but reports that it is healthy, and its
-/// queue looks as short as the others'. It must get less than half of its former requests,
-/// including the time until it is detected.
+/// queue looks as short as the others', so its requests are late. It must get less than half of
+/// its former requests, including the time until it is detected.
 #[test]
 fn a_straggler_gets_few() {
     for seed in 0..5 {
@@ -162,8 +162,9 @@
     );
 }
 
-/// Guards against repeating refused orders every 1.5 s while a zone has no reclaimable runners.
-/// Orders back off, and on-demand runners are ordered meanwhile.
+/// Guards against repeating refused orders every 1.5 s for half a minute while a zone has no
+/// reclaimable runners, which only costs calls. Orders back off, and on-demand runners are ordered
+/// meanwhile.
 #[test]
 fn refused_orders_back_off() {
     let table = priced(SERVICE, 20, 0.2, &[("zone-a", 1.0)]);
--- a/tests/suite/proxy/limits.rs
+++ b/tests/suite/proxy/limits.rs
@@ -161,8 +161,9 @@
     );
 }
 
-/// Both zones lose their reclaimable runners under load. On-demand runners are ordered for all
-/// that are missing, in more than one zone, and given up when the reclaimable ones are back.
+/// Guards against callers that wait because both zones lose their reclaimable runners under load.
+/// On-demand runners are ordered for all that are missing, in more than one zone, and given up
+/// when the reclaimable ones are back.
 #[test]
 fn lost_cheap_runners_are_made_up_for() {
     let fleet_in = |zones: &[&str]| {
--- a/tests/suite/proxy/mirror.rs
+++ b/tests/suite/proxy/mirror.rs
@@ -135,9 +135,10 @@
     Ok(())
 }
 
-/// Guards against a host that asks its peers keeping a removed key, or dropping a key that was
-/// written again. Pages of a listing are seconds apart, and each host lists the store at other
-/// times; the changes after a revision must be complete and must not bring back older entries.
+/// Guards against a host that asks its peers keeping a removed key, such as that of a runner that
+/// has left and would get requests, or dropping a key that was written again. Pages of a listing
+/// are seconds apart, and each host lists the store at other times; the changes after a revision
+/// must be complete and must not bring back older entries.
 #[test]
 fn hosts_that_ask_know_what_hosts_that_read_know() {
     for seed in 0..400 {
