--- a/crates/core/src/proxy/freshness.rs
+++ b/crates/core/src/proxy/freshness.rs
@@ -17,7 +17,8 @@
 }
 
 impl Freshness {
-    /// Records an answer of the store to a request that was sent at `sent`.
+    /// Records that the data was current as of `sent`: the moment at which this host or a peer sent
+    /// the request that the store answered, or an earlier one.
     pub fn renew(&mut self, sent: Moment) {
         if self.as_of.is_none_or(|have| have < sent) {
             self.as_of = Some(sent);
