--- a/crates/core/src/proxy/placement.rs
+++ b/crates/core/src/proxy/placement.rs
@@ -192,27 +192,28 @@
     let median_slowdown = inputs.fleet.median_slowdown(&demand.service);
     let candidates = eligible.iter().map(|(key, runner)| {
         let cached_tokens = cached.cached_tokens(*key);
-        let available = cached_tokens.max(cached.longest);
-        let prefill = inputs.latency.prefill(demand.prompt_tokens, available);
-        let recomputed = if selected == Some(*key) { 0 } else { shared - available };
-        let prefix_cost = COPY_FACTOR * (available - cached_tokens) as f64 + RECOMPUTE_FACTOR * recomputed as f64;
+        let usable_tokens = cached_tokens.max(cached.longest);
+        let prefill = inputs.latency.prefill(demand.prompt_tokens, usable_tokens);
+        let recomputed = if selected == Some(*key) { 0 } else { shared - usable_tokens };
+        let prefix_cost = COPY_FACTOR * (usable_tokens - cached_tokens) as f64 + RECOMPUTE_FACTOR * recomputed as f64;
         let cost = prefix_cost / 1e3 * inputs.latency.prefill_ms_per_1k()
-            // Relative to the median, as the latency model already contains the common slowdown.
+            // Relative to the median, so that the common slowdown, which the latency model contains,
+            // is not counted twice.
             + waiting_ms(inputs, runner, prefill) * runner.slowdown / median_slowdown
             + partition::crossing_cost_ms(inputs.partition, is_long, runner.for_long_prompts, f64::from(runner.running()))
             + FAILURE_MS * runner.failure_rate
             + connection_cost_ms(now, runner, demand)
             + zone_cost_ms(inputs, now, runner, demand);
-        (cost, *key, *runner, prefill, available)
+        (cost, *key, *runner, prefill, usable_tokens)
     });
-    let (_, key, runner, prefill, cached_tokens) = candidates.min_by(|a, b| a.0.total_cmp(&b.0))?;
+    let (_, key, runner, prefill, usable_tokens) = candidates.min_by(|a, b| a.0.total_cmp(&b.0))?;
     Some(Choice {
         key,
         prefill_us: prefill.as_micros() as u64,
         is_long,
         conditions: Conditions {
             prompt_tokens: demand.prompt_tokens,
-            cached_tokens,
+            cached_tokens: usable_tokens,
             backlog: runner.backlog(),
             concurrent: runner.running(),
             cross_zone: runner.listed.zone != inputs.fleet.zone,
