--- a/crates/core/src/proxy/scaling.rs
+++ b/crates/core/src/proxy/scaling.rs
@@ -28,7 +28,8 @@
 const HIGH_PREFILL_LOAD: f64 = 0.6;
 /// Target share of a runner's slots that are taken in normal operation.
 const SLOT_USE: f64 = 0.6;
-/// Reserve of reclaimable runners, as the cost of on-demand runners per runner needed.
+/// Cost of the reserve of reclaimable runners, as a share of what the needed runners would cost
+/// on demand.
 const RESERVE_COST: f64 = 0.05;
 /// Maximum reserve, relative to the runners needed.
 const MAX_RESERVE: f64 = 0.5;
@@ -42,11 +43,11 @@
 /// Time for which all runners found at the start count as needed, since the earlier traffic is
 /// unknown.
 const INITIAL_HOLD: Duration = Duration::from_secs(15);
-/// Pause after an order that was refused or lost.
+/// Pause before an order that was refused or lost is sent again; it doubles with each refusal.
 const RETRY_PAUSE: Duration = Duration::from_millis(1_500);
-/// Maximum pause; it doubles with each refusal.
+/// Maximum of that pause.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(6);
-/// Number of consecutive refusals up to which the pause depends on them.
+/// Maximum number of consecutive refusals that is counted.
 const MAX_REFUSALS: u32 = 8;
 /// Time after the usual boot time from which an ordered runner is no longer expected.
 const BOOT_GRACE: Duration = Duration::from_millis(1_500);
@@ -116,7 +117,7 @@
 struct Peak {
     current: SlidingMax,
     standby: SlidingMax,
-    /// When the planner started, and the number of runners then.
+    /// Time of the planner's first tick, and the number of runners then.
     initial: Option<(Moment, u32)>,
 }
 
@@ -190,7 +191,8 @@
 impl Planner {
     /// Next order to send, while this host holds the duty.
     ///
-    /// `prefill_rate` returns the prefill work that is sent to a service, in microseconds per second.
+    /// `prefill_rate` returns the prefill work that is sent to a service, in microseconds per
+    /// second.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -339,9 +341,9 @@
         let running: u32 = zones.iter().map(|zone| zone.running).sum();
         let slots = service.engine.map_or(u32::MAX, |engine| engine.slots.max(1));
         let peak = self.peaks.get_or_default(&service.name);
-        let prefill_load = (prefill_rate / 1_000) as u32;
-        let current = f64::from(peak.current.push(now, prefill_load, PEAK_WINDOW)) / 1e3;
-        let standby = f64::from(peak.standby.push(now, prefill_load, STANDBY_WINDOW)) / 1e3;
+        let prefill_permille = (prefill_rate / 1_000) as u32;
+        let current = f64::from(peak.current.push(now, prefill_permille, PEAK_WINDOW)) / 1e3;
+        let standby = f64::from(peak.standby.push(now, prefill_permille, STANDBY_WINDOW)) / 1e3;
         // The runners found were ordered by a predecessor for the usual load.
         let (started, initial) = *peak.initial.get_or_insert((now, initial));
         let initial = if now.since(started) < INITIAL_HOLD {
--- a/tests/suite/proxy/latency.rs
+++ b/tests/suite/proxy/latency.rs
@@ -44,8 +44,8 @@
 }
 
 /// The busiest of six engines becomes eight times slower but reports that it is healthy, and its
-/// queue looks as short as the others'. It must get less than half of its former requests,
-/// including the time until it is detected.
+/// queue looks as short as the others', so its requests are late. It must get less than half of
+/// its former requests, including the time until it is detected.
 #[test]
 fn a_straggler_gets_few() {
     for seed in 0..5 {
@@ -150,20 +150,21 @@
 fn reclaimable_runners_are_taken_only_while_they_are_cheap() {
     let fleet = Fleet::new("zone-a");
     let at = Moment::at_ms(100_000);
-    let (cheap, on_demand) = ordered(&mut Planner::default(), at, &fleet, 0.2, 3_000_000);
+    let (reclaimable, on_demand) = ordered(&mut Planner::default(), at, &fleet, 0.2, 3_000_000);
     assert!(
-        cheap >= 9 && on_demand <= 6,
-        "{cheap} reclaimable, {on_demand} on-demand"
+        reclaimable >= 9 && on_demand <= 6,
+        "{reclaimable} reclaimable, {on_demand} on-demand"
     );
-    let (cheap, on_demand) = ordered(&mut Planner::default(), at, &fleet, 0.9, 3_000_000);
+    let (reclaimable, on_demand) = ordered(&mut Planner::default(), at, &fleet, 0.9, 3_000_000);
     assert!(
-        cheap == 0 && on_demand >= 6,
-        "{cheap} reclaimable, {on_demand} on-demand"
+        reclaimable == 0 && on_demand >= 6,
+        "{reclaimable} reclaimable, {on_demand} on-demand"
     );
 }
 
-/// Guards against repeating refused orders every 1.5 s while a zone has no reclaimable runners.
-/// Orders back off, and on-demand runners are ordered meanwhile.
+/// Guards against repeating refused orders every 1.5 s for half a minute while a zone has no
+/// reclaimable runners, which only costs calls. Orders back off, and on-demand runners are ordered
+/// meanwhile.
 #[test]
 fn refused_orders_back_off() {
     let table = priced(SERVICE, 20, 0.2, &[("zone-a", 1.0)]);
@@ -187,9 +188,9 @@
     assert!(on_demand >= 4, "{on_demand} on-demand runners");
 }
 
-/// Two bursts at once, one of them on a single prefix, fill its home runner and the others
-/// reserved for long prompts. Nine of ten requests are on time, as their cost makes the burst
-/// spread.
+/// Two bursts at once, one of them on a single prefix, fill the runner that has it cached and the
+/// others reserved for long prompts. Nine of ten requests are on time, as their cost makes the
+/// burst spread.
 #[test]
 fn a_burst_on_a_hot_subject_spreads_in_time() {
     for seed in 0..5 {
--- a/tests/suite/proxy/usage.rs
+++ b/tests/suite/proxy/usage.rs
@@ -204,9 +204,9 @@
     assert_eq!(window.counts, vec![("ana".to_string(), 14)]);
 }
 
-/// Guards against two different totals for one window. The answer to the reporter's write is
-/// lost, and another host seals the window with another total; the report must contain the value
-/// in the store.
+/// Guards against two different totals for one window. The reporter's write gets no answer, and
+/// another host seals the window with another total; the report must contain the value in the
+/// store.
 #[test]
 fn what_stands_in_the_store_is_what_is_reported() {
     let mut ledger = Ledger::default();
@@ -217,11 +217,11 @@
     let Some(Step::Store(Call::Get { key })) = read else {
         panic!("it reads back: {read:?}");
     };
-    let standing = Window {
+    let stored = Window {
         number: 200,
         counts: vec![("ana".into(), 4)],
     };
-    let value = serde_json::to_string(&standing).expect("it can be written");
+    let value = serde_json::to_string(&stored).expect("it can be written");
     let entry = Entry {
         key,
         version: 9,
@@ -231,14 +231,14 @@
     let Some(Step::Report(_, window)) = tick(&mut reporter, &ledger, 6_600) else {
         panic!("it reports");
     };
-    assert_eq!(window, standing);
+    assert_eq!(window, stored);
 }
 
 /// Guards against skipping short windows when a host needs longer than four windows to get the
 /// duty: all windows whose report is not yet due are reported.
 #[test]
 fn short_windows_are_not_left_behind() {
-    let plan = Schedule {
+    let schedule = Schedule {
         length_s: 1,
         due_s: 10,
     };
@@ -251,7 +251,7 @@
     let step = reporter.tick(
         at(7_500),
         WINDOW_START_MS + 7_500,
-        plan,
+        schedule,
         grant(at(7_500)),
         &ledger,
     );
