--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -162,7 +162,7 @@
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// How long a host that gets no news of the configuration still accepts keys.
+    /// How long a host still accepts keys after its configuration was last known to be the newest.
     #[serde_as(as = "DurationText")]
     #[serde(default = "default_horizon")]
     pub key_horizon: Duration,
--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -327,15 +327,15 @@
         true
     }
 
-    fn update_freshness(&mut self, now: Moment, age: u64) {
-        let Some(mono) = now.mono_us.checked_sub(age.saturating_mul(1_000)) else {
+    fn update_freshness(&mut self, now: Moment, age_ms: u64) {
+        let Some(mono_us) = now.mono_us.checked_sub(age_ms.saturating_mul(1_000)) else {
             return;
         };
         let fresh_at = Moment {
-            mono_us: mono,
-            wall_ms: now.wall_ms.saturating_sub(age),
+            mono_us,
+            wall_ms: now.wall_ms.saturating_sub(age_ms),
         };
-        if self.fresh_at.is_none_or(|have| have < fresh_at) {
+        if self.fresh_at.is_none_or(|current| current < fresh_at) {
             self.fresh_at = Some(fresh_at);
         }
     }
--- a/crates/core/src/kernel.rs
+++ b/crates/core/src/kernel.rs
@@ -89,7 +89,7 @@
         Release { call: CallId, outcome: Outcome },
         /// The caller of a waiting call disconnected.
         Cancel(CallId),
-        /// A runner announced that it is draining, or refused work.
+        /// A runner announced that it is leaving.
         RunnerLeaving(String),
         /// Usage of one call.
         RecordUsage(Record),
@@ -158,7 +158,8 @@
         /// Whether the configuration is recent enough to trust API keys;
         /// callers are served only then.
         pub trusted: bool,
-        /// Age of the newest answer from the store, in milliseconds.
+        /// Time since the version was last known to be the newest, in
+        /// milliseconds; none if it never was.
         pub age_ms: Option<u64>,
         /// Live hosts, including this one.
         pub hosts: usize,
@@ -380,10 +381,10 @@
         std::mem::take(&mut self.outbox.actions)
     }
 
-    /// Restores the texts that a heartbeat leaves out for receivers that know
-    /// its sender; other events stay as they are. Returns false if this host
-    /// does not know the sender: the heartbeat is dropped, and the sender
-    /// detects the difference by the digests.
+    /// Restores the texts that a heartbeat leaves out for receivers that have
+    /// the record of its sender; other events stay as they are. Returns false
+    /// if this host has no such record: the heartbeat is dropped, and the
+    /// sender detects the difference by the digests.
     fn restore_sender(&mut self, event: &mut Event) -> bool {
         let Event::Heartbeat(heartbeat) = event else {
             return true;
--- a/crates/core/src/kernel/config.rs
+++ b/crates/core/src/kernel/config.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Adds the configuration version and the age of the store's last answer
-    /// to a heartbeat.
+    /// Adds the configuration version, and the time since it was last
+    /// confirmed as the newest, to a heartbeat.
     pub fn fill_heartbeat(&mut self, now: Moment, _address: &str, heartbeat: &mut Heartbeat) {
         heartbeat.config_version = self.configuration.view().version;
         heartbeat.store_age_ms = self
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -118,8 +118,9 @@
         /// Configuration version in force at the sender.
         #[prost(uint64, tag = "2")]
         pub config_version: u64,
-        /// Age of the sender's newest answer from the store, in milliseconds;
-        /// `u64::MAX` if it never received one.
+        /// Age of the newest answer of the store, to the sender or passed on by
+        /// its peers, that confirmed the sender's version as the newest, in
+        /// milliseconds; `u64::MAX` if there was none.
         #[prost(uint64, tag = "3")]
         pub store_age_ms: u64,
         /// Hash of all member records at the sender.
@@ -134,8 +135,8 @@
         /// The sender's calls on shared runners; not in every heartbeat.
         #[prost(message, optional, tag = "7")]
         pub load: Option<HostLoad>,
-        /// Runners that announced to the sender that they leave, or refused
-        /// its calls.
+        /// Runners that are leaving, by a notice to the sender or to a peer of
+        /// it.
         #[prost(string, repeated, tag = "8")]
         pub leaving_runners: Vec<String>,
         /// The sender's usage chunks, for the receiver to store.
