--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -447,8 +447,8 @@
         self.last_decay = now;
         let elapsed_s = elapsed.as_secs_f64();
         let factor = 0.5_f64.powf(elapsed_s / COUNT_HALF_LIFE.as_secs_f64());
-        // Idle time is not counted: a host without calls starts none, and the low rate made the
-        // first calls of a burst expect waits of many seconds, so that the rest was refused.
+        // Idle time is not counted: a host without calls starts none, and by so low a rate the first
+        // calls of a burst would be expected to wait for many seconds and the rest be refused.
         let idle = self.waiting == 0 && self.running == 0;
         let counted_s = if idle && self.policy.yields_to_peers() {
             0.0
--- a/crates/core/src/dispatch/queue.rs
+++ b/crates/core/src/dispatch/queue.rs
@@ -1,8 +1,8 @@
 //! A fair queue of the waiting calls of one tier and set of pools.
 //!
 //! The customer that has been served the fewest tokens goes next. A customer that becomes active
-//! again starts at the queue's virtual time, level with the others, so that neither turns that
-//! it left unused nor its earlier usage count.
+//! again is raised to the queue's virtual time if it is below, so that turns that it left unused
+//! do not count. Usage above the virtual time counts only until the others have caught up.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -69,7 +69,7 @@
     reservations: Vec<Moment>,
     /// Mean answer length in tokens, by class, sorted.
     mean_tokens: Vec<(String, f64)>,
-    /// Virtual time of fair queueing: `served_tokens` of the flow that started last; never falls.
+    /// Virtual time of fair queueing: the highest `served_tokens` with which a flow was next.
     virtual_tokens: f64,
     starts: f64,
     retry_budget: f64,
