--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -24,7 +24,7 @@
 /// Number of versions after which the snapshot in the store is replaced.
 const SNAPSHOT_EVERY: u64 = 32;
 /// Half the time after which an unanswered store call is abandoned; a watch may take long.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
+const HALF_ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Delay after a failed store call.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How long a host that has just started waits for its peers' heartbeats before it trusts what
@@ -121,7 +121,7 @@
     pub fn tick(&mut self, now: Moment, watcher: bool) -> Option<Call> {
         self.update_caught_up(now);
         self.watcher = watcher;
-        if self.state != State::Idle && now.since(self.sent_at) >= ANSWER_TIMEOUT + ANSWER_TIMEOUT {
+        if self.state != State::Idle && now.since(self.sent_at) >= HALF_ANSWER_TIMEOUT + HALF_ANSWER_TIMEOUT {
             self.state = State::Idle;
         }
         if self.state != State::Idle || !now.reached(self.next_call) {
--- a/crates/core/src/kernel/calls.rs
+++ b/crates/core/src/kernel/calls.rs
@@ -16,8 +16,8 @@
 
 /// Store prefix of the tombstones that graceful stops leave.
 pub const TOMBSTONE_PREFIX: &str = "tombstone/";
-/// Largest tombstone that is written; without one, the outcome of its keys
-/// stays unknown.
+/// Maximum size of a tombstone, in bytes. A larger one is not written, and the
+/// outcome of its keys stays unknown.
 const MAX_TOMBSTONE_BYTES: usize = 900_000;
 
 /// Records and claims of this incarnation.
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -59,8 +59,8 @@
         }
     }
 }
-/// Time after which an answer of the store counts as lost.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Half the time after which an unanswered store call is abandoned.
+const HALF_ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 record! {
     /// Record of a duty in the store.
@@ -360,7 +360,7 @@
             Step::Idle => return,
             Step::Reading { sent } | Step::Writing { sent, .. } | Step::ReadingBack { sent, .. } => *sent,
         };
-        if now.since(sent) > ANSWER_TIMEOUT + ANSWER_TIMEOUT {
+        if now.since(sent) > HALF_ANSWER_TIMEOUT + HALF_ANSWER_TIMEOUT {
             self.step = Step::Idle;
         }
     }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -4,7 +4,7 @@
 //! them is generated in the wire crate. Any message may be late, duplicated or
 //! lost.
 
-/// Largest encoded message.
+/// Maximum size of an encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 macro_rules! message {
--- a/crates/core/src/write_once.rs
+++ b/crates/core/src/write_once.rs
@@ -22,7 +22,7 @@
     Stored(V, u64),
     /// The key does not exist, or its value cannot be parsed.
     Missing,
-    /// The store did not answer; whether there is a value is not known.
+    /// The store refused the call or its answer was lost; whether there is a value is not known.
     Failed,
 }
 
