--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -84,17 +84,17 @@
                 Vec::new()
             }
             Event::View(view) => self.dispatcher.set_view(view.clone()),
-            Event::RunnerList(listed) => {
-                self.dispatcher.runners.set_listings(listed.clone());
+            Event::RunnerList(listings) => {
+                self.dispatcher.runners.set_listings(listings.clone());
                 self.dispatcher.tick(now)
             }
-            Event::Acquire(seek) => {
-                let index = self.pending.partition_point(|(call, _)| *call < seek.call);
-                self.pending.insert(index, (seek.call, seek.clone()));
-                self.dispatcher.submit(now, seek.clone())
+            Event::Acquire(submission) => {
+                let index = self.pending.partition_point(|(call, _)| *call < submission.call);
+                self.pending.insert(index, (submission.call, submission.clone()));
+                self.dispatcher.submit(now, submission.clone())
             }
             Event::Release { call, outcome } => match self.take_running(*call) {
-                Some((_, seek, runner)) => self.dispatcher.finish(now, &seek, runner, outcome),
+                Some((_, submission, runner)) => self.dispatcher.finish(now, &submission, runner, outcome),
                 None => Vec::new(),
             },
             Event::Cancel(call) => self.cancel(now, *call),
@@ -116,9 +116,9 @@
     fn apply(&mut self, decision: Decision, outbox: &mut Outbox) {
         match decision {
             Decision::Start(start) => {
-                if let Some(seek) = self.take_pending(start.call) {
+                if let Some(submission) = self.take_pending(start.call) {
                     let index = self.running.partition_point(|(call, ..)| *call < start.call);
-                    self.running.insert(index, (start.call, seek, start.runner));
+                    self.running.insert(index, (start.call, submission, start.runner));
                 }
                 outbox.reply(start.call, Reply::Start(start));
             }
@@ -136,9 +136,9 @@
         self.take_pending(call);
         self.dispatcher.cancel(call);
         match self.take_running(call) {
-            Some((_, seek, runner)) => {
+            Some((_, submission, runner)) => {
                 self.dispatcher
-                    .finish(now, &seek, runner, &Outcome::Cancelled { tokens: 0 })
+                    .finish(now, &submission, runner, &Outcome::Cancelled { tokens: 0 })
             }
             None => Vec::new(),
         }
--- a/crates/core/src/kernel/usage.rs
+++ b/crates/core/src/kernel/usage.rs
@@ -63,7 +63,7 @@
     pub fn handle(&mut self, now: Moment, event: &Event, outbox: &mut Outbox) {
         match event {
             Event::Tick => self.tick(now, outbox),
-            Event::RecordUsage(item) => self.meter.record(now, item),
+            Event::RecordUsage(record) => self.meter.record(now, record),
             Event::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat),
             Event::Collect(call, request) if request.whole_zone => {
                 self.start_collection(now, Some(*call), request, outbox)
@@ -80,8 +80,9 @@
             }
             Event::Membership(membership) => {
                 self.membership = membership.clone();
-                self.meter
-                    .retain_replicas(|keeper| membership.live_peers.iter().any(|(live, _)| *live == keeper));
+                self.meter.retain_replicas(|replica| {
+                    membership.live_peers.iter().any(|(live, _)| *live == replica)
+                });
             }
             Event::View(view) => {
                 self.window_length = view.document.settings.usage_window;
@@ -104,7 +105,7 @@
         match self.reporter.tick(now, grant, self.window_length, self.grace) {
             Some(Effect::Store(call)) => self.pending_report.send(USAGE, Some(call), outbox),
             Some(Effect::Collect(request)) => self.collect(now, request, outbox),
-            Some(Effect::Report(grant, seal)) => outbox.push_action(Action::Report(grant, seal)),
+            Some(Effect::Report(grant, sealed)) => outbox.push_action(Action::Report(grant, sealed)),
             None => {}
         }
     }
@@ -188,7 +189,7 @@
         {
             let collection = self.collections.remove(0);
             let call = collection.call;
-            let zone_usage = collection.into_bundle(&self.zone);
+            let zone_usage = collection.into_zone_usage(&self.zone);
             match call {
                 None => self.reporter.on_collected(&zone_usage),
                 Some(call) => {
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -331,8 +331,8 @@
             return;
         };
         for (key, running) in self.peers.swap_remove(at).shares {
-            let others = &mut self.arena[key.index()].peer_running;
-            *others = others.saturating_sub(running);
+            let peer_running = &mut self.arena[key.index()].peer_running;
+            *peer_running = peer_running.saturating_sub(running);
         }
     }
 
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -288,8 +288,8 @@
     }
     if let Some(sum) = sums.last_mut() {
         sum.last_chunk = chunk.number;
-        match sum.windows.iter_mut().find(|part| part.window == chunk.window) {
-            Some(part) => merge_rows(&mut part.rows, &chunk.rows),
+        match sum.windows.iter_mut().find(|usage| usage.window == chunk.window) {
+            Some(usage) => merge_rows(&mut usage.rows, &chunk.rows),
             None => sum.windows.push(WindowUsage {
                 window: chunk.window,
                 rows: chunk.rows.clone(),
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -59,29 +59,29 @@
     }
 
     /// Combines the answers into the sum of the zone.
-    pub fn into_bundle(self, zone: &str) -> ZoneUsage {
-        let mut bundle = ZoneUsage {
+    pub fn into_zone_usage(self, zone: &str) -> ZoneUsage {
+        let mut zone_usage = ZoneUsage {
             zone: zone.to_string(),
             ..ZoneUsage::default()
         };
         for sum in self.sums {
-            bundle.chunk_ranges.push(ChunkRange {
+            zone_usage.chunk_ranges.push(ChunkRange {
                 source: sum.source,
                 after_chunk: sum.after_chunk,
                 last_chunk: sum.last_chunk,
             });
             sum.windows
                 .iter()
-                .for_each(|part| add_part(&mut bundle.windows, part));
+                .for_each(|usage| merge_window(&mut zone_usage.windows, usage));
         }
-        bundle
+        zone_usage
     }
 }
 
-/// Adds a part to a list of parts sorted by window.
-pub fn add_part(parts: &mut Vec<WindowUsage>, part: &WindowUsage) {
-    match parts.binary_search_by(|existing| existing.window.cmp(&part.window)) {
-        Ok(at) => merge_rows(&mut parts[at].rows, &part.rows),
-        Err(at) => parts.insert(at, part.clone()),
+/// Adds the usage of a window to a list sorted by window.
+pub fn merge_window(usages: &mut Vec<WindowUsage>, usage: &WindowUsage) {
+    match usages.binary_search_by(|existing| existing.window.cmp(&usage.window)) {
+        Ok(at) => merge_rows(&mut usages[at].rows, &usage.rows),
+        Err(at) => usages.insert(at, usage.clone()),
     }
 }
--- a/crates/core/src/usage/report.rs
+++ b/crates/core/src/usage/report.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::gather::add_part;
+use super::gather::merge_window;
 use super::sealed_until;
 use crate::lease::Grant;
 use crate::peer::{ChunkRange, Collect, Cursor, UsageRow, WindowUsage, ZoneUsage};
@@ -104,7 +104,7 @@
         ReadingProgress { since: Moment },
         ReadingWindows { since: Moment, reported: u64 },
         Ready,
-        Collecting { since: Moment, window: u64, bundle: ZoneUsage },
+        Collecting { since: Moment, window: u64, zone_usage: ZoneUsage },
         Sealing,
         Reporting { since: Moment },
         RecordingProgress { since: Moment },
@@ -165,9 +165,9 @@
             State::Collecting {
                 since,
                 window,
-                bundle,
+                zone_usage,
             } if now.since(*since) >= COLLECT_TIMEOUT => {
-                let sealed = self.seal_window(*window, bundle);
+                let sealed = self.seal_window(*window, zone_usage);
                 self.state = State::Sealing;
                 let call = self.writer.write(now, window_key(sealed.number), sealed);
                 call.map(Effect::Store)
@@ -194,7 +194,7 @@
         self.state = State::Collecting {
             since: now,
             window,
-            bundle: ZoneUsage::default(),
+            zone_usage: ZoneUsage::default(),
         };
         Some(Effect::Collect(Collect {
             cursors: self.cursors(),
@@ -219,36 +219,36 @@
     /// Handles a zone's answer to the collection, which is added as a whole or not at all.
     pub fn on_collected(&mut self, answer: &ZoneUsage) {
         let cursors = self.cursors();
-        let State::Collecting { bundle, .. } = &mut self.state else {
+        let State::Collecting { zone_usage, .. } = &mut self.state else {
             return;
         };
         // A host that was frozen may answer an earlier collection late. Its sums then start
         // before chunks that have been sealed since, which would be counted again. A second
         // answer for the same sources would have the same effect.
-        let is_known = |span: &ChunkRange| {
-            bundle
+        let is_known = |range: &ChunkRange| {
+            zone_usage
                 .chunk_ranges
-                .binary_search_by(|existing| existing.source.cmp(&span.source))
+                .binary_search_by(|existing| existing.source.cmp(&range.source))
                 .is_ok()
         };
-        let is_stale = |span: &ChunkRange| span.after_chunk < sealed_until(&cursors, span.source);
+        let is_stale = |range: &ChunkRange| range.after_chunk < sealed_until(&cursors, range.source);
         if answer
             .chunk_ranges
             .iter()
-            .any(|span| is_known(span) || is_stale(span))
+            .any(|range| is_known(range) || is_stale(range))
         {
             return;
         }
-        for span in &answer.chunk_ranges {
-            let at = bundle
+        for range in &answer.chunk_ranges {
+            let at = zone_usage
                 .chunk_ranges
-                .partition_point(|existing| existing.source < span.source);
-            bundle.chunk_ranges.insert(at, span.clone());
+                .partition_point(|existing| existing.source < range.source);
+            zone_usage.chunk_ranges.insert(at, range.clone());
         }
         answer
             .windows
             .iter()
-            .for_each(|part| add_part(&mut bundle.windows, part));
+            .for_each(|usage| merge_window(&mut zone_usage.windows, usage));
     }
 
     /// Handles the store's answer; returns the next store call.
@@ -358,22 +358,22 @@
             .collect()
     }
 
-    fn seal_window(&self, window: u64, bundle: &ZoneUsage) -> SealedWindow {
+    fn seal_window(&self, window: u64, zone_usage: &ZoneUsage) -> SealedWindow {
         let mut marks = self
             .last_sealed
             .as_ref()
             .map_or(Vec::new(), |sealed| sealed.marks.clone());
         marks.retain(|mark| mark.moved + RETENTION_MS > window);
-        bundle
+        zone_usage
             .chunk_ranges
             .iter()
-            .for_each(|span| set_checkpoint(&mut marks, span, window));
-        let is_recent = |part: &&WindowUsage| part.window + RETENTION_MS > window;
-        let parts: Vec<&WindowUsage> = bundle.windows.iter().filter(is_recent).collect();
+            .for_each(|range| set_checkpoint(&mut marks, range, window));
+        let is_recent = |usage: &&WindowUsage| usage.window + RETENTION_MS > window;
+        let usages: Vec<&WindowUsage> = zone_usage.windows.iter().filter(is_recent).collect();
         SealedWindow {
             number: self.last_sealed.as_ref().map_or(1, |sealed| sealed.number + 1),
             window,
-            lines: lines(window, &parts),
+            lines: lines(window, &usages),
             marks,
         }
     }
@@ -400,11 +400,11 @@
     format!("{SEALED_PREFIX}{number:016}")
 }
 
-fn set_checkpoint(marks: &mut Vec<Checkpoint>, span: &ChunkRange, window: u64) {
-    let source = crate::id::Incarnation(span.source);
+fn set_checkpoint(marks: &mut Vec<Checkpoint>, range: &ChunkRange, window: u64) {
+    let source = crate::id::Incarnation(range.source);
     let checkpoint = Checkpoint {
         source,
-        number: span.last_chunk,
+        number: range.last_chunk,
         moved: window,
     };
     match marks.binary_search_by(|existing| existing.source.cmp(&source)) {
@@ -413,18 +413,18 @@
     }
 }
 
-fn lines(window: u64, parts: &[&WindowUsage]) -> Vec<Line> {
-    let line = |part: &WindowUsage, row: &UsageRow| Line {
+fn lines(window: u64, usages: &[&WindowUsage]) -> Vec<Line> {
+    let line = |usage: &WindowUsage, row: &UsageRow| Line {
         customer: row.customer.clone(),
         class: row.class.clone(),
         calls: row.calls,
         prompt: row.prompt_tokens,
         tokens: row.tokens,
         broken: row.broken,
-        late_from: (part.window != window).then_some(part.window),
+        late_from: (usage.window != window).then_some(usage.window),
     };
-    parts
+    usages
         .iter()
-        .flat_map(|part| part.rows.iter().map(move |row| line(part, row)))
+        .flat_map(|usage| usage.rows.iter().map(move |row| line(usage, row)))
         .collect()
 }
--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -165,7 +165,7 @@
 
     /// Drops a proposal that never reached the store.
     fn discard(&mut self, process: usize) {
-        self.history.retain(|(have, _)| *have != process);
+        self.history.retain(|(other, _)| *other != process);
     }
 
     fn is_linearizable(&self) -> bool {
--- a/tests/suite/duties.rs
+++ b/tests/suite/duties.rs
@@ -22,7 +22,7 @@
             continue;
         }
         let call = world.call();
-        let seek = Submission {
+        let submission = Submission {
             call,
             tier: "t".into(),
             customer: "c".into(),
@@ -34,7 +34,7 @@
             avoid: Vec::new(),
             reserved: false,
         };
-        world.handle(node, Event::Acquire(seek));
+        world.handle(node, Event::Acquire(submission));
     }
 }
 
--- a/tests/suite/parse.rs
+++ b/tests/suite/parse.rs
@@ -77,8 +77,8 @@
 #[test]
 fn spans_read_back() {
     fn property(millis: u32) -> bool {
-        let span = std::time::Duration::from_millis(u64::from(millis));
-        units::parse_duration(&units::format_duration(span)) == Some(span)
+        let duration = std::time::Duration::from_millis(u64::from(millis));
+        units::parse_duration(&units::format_duration(duration)) == Some(duration)
     }
     check(property as fn(u32) -> bool);
 }
