--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -102,7 +102,7 @@
 /// The records of one incarnation.
 #[derive(Debug)]
 pub struct Records {
-    me: Incarnation,
+    incarnation: Incarnation,
     secret: Secret,
     /// Number of the oldest ticket record.
     first_number: u64,
@@ -117,9 +117,9 @@
 
 impl Records {
     /// Creates an empty set of records.
-    pub fn new(me: Incarnation, secret: Secret) -> Self {
+    pub fn new(incarnation: Incarnation, secret: Secret) -> Self {
         Self {
-            me,
+            incarnation,
             secret,
             first_number: 0,
             tickets: VecDeque::new(),
@@ -155,7 +155,7 @@
             created: now,
             state: State::Open,
         });
-        Ticket::issue(&self.secret, self.me, number, customer).to_string()
+        Ticket::issue(&self.secret, self.incarnation, number, customer).to_string()
     }
 
     /// Decides about a copy of a call with a ticket.
@@ -167,7 +167,7 @@
         customer: &str,
         body: u64,
     ) -> Verdict {
-        if ticket.owner != self.me {
+        if ticket.owner != self.incarnation {
             return Verdict::Forward(ticket.owner);
         }
         if !ticket.verify(&self.secret, customer) {
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -62,7 +62,7 @@
 /// Claims that wait for the store's answer.
 #[derive(Debug)]
 pub struct Registry {
-    me: Incarnation,
+    incarnation: Incarnation,
     nonce: u64,
     pending: Vec<(Token, Pending)>,
 }
@@ -123,9 +123,9 @@
 
 impl Registry {
     /// Creates a registry without pending claims; nonces count up from `seed`.
-    pub fn new(me: Incarnation, seed: u64) -> Self {
+    pub fn new(incarnation: Incarnation, seed: u64) -> Self {
         Self {
-            me,
+            incarnation,
             nonce: seed,
             pending: Vec::new(),
         }
@@ -163,7 +163,7 @@
             read_backs: 0,
         };
         let record = Record {
-            owner: self.me,
+            owner: self.incarnation,
             nonce: self.nonce,
         };
         let store_key = pending.store_key.clone();
@@ -214,7 +214,7 @@
             // Every claim under this incarnation is its own, also one whose answer was lost in an
             // earlier attempt. No other process can have run the call, and the records show
             // whether this one has.
-            Ok(record) if record.owner == self.me => self.begin_own(now, records, pending),
+            Ok(record) if record.owner == self.incarnation => self.begin_own(now, records, pending),
             Ok(record) => Verdict::Forward(record.owner),
             Err(_) => unsettled(),
         }
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -74,7 +74,7 @@
 /// Usage counts of this process, and copies of its peers' chunks.
 #[derive(Debug)]
 pub struct Meter {
-    me: Incarnation,
+    incarnation: Incarnation,
     length: Duration,
     /// Rows of the open chunk.
     open_rows: Vec<UsageRow>,
@@ -91,9 +91,9 @@
 
 impl Meter {
     /// Creates a meter without counts.
-    pub fn new(me: Incarnation, now: Moment, length: Duration) -> Self {
+    pub fn new(incarnation: Incarnation, now: Moment, length: Duration) -> Self {
         Self {
-            me,
+            incarnation,
             length,
             open_rows: Vec::new(),
             opened_at: now,
@@ -137,7 +137,7 @@
         if !self.open_rows.is_empty() {
             self.last_number += 1;
             let chunk = UsageChunk {
-                source: self.me.0,
+                source: self.incarnation.0,
                 number: self.last_number,
                 window: self.window,
                 rows: std::mem::take(&mut self.open_rows),
@@ -221,17 +221,20 @@
         }
         // The cursor of a silent source is dropped after some time. Without
         // `own_sealed`, the next chunk of an idle process would then seem to follow a gap.
-        self.own_sealed = self.own_sealed.max(sealed_until(&request.cursors, self.me.0));
+        self.own_sealed = self
+            .own_sealed
+            .max(sealed_until(&request.cursors, self.incarnation.0));
         self.chunks
             .retain(|chunk| chunk.number > sealed_until(&request.cursors, chunk.source));
         let mut sums: Vec<SourceUsage> = Vec::new();
         for chunk in &self.chunks {
             let previous = match sums.last() {
                 Some(sum) if sum.source == chunk.source => sum.last_chunk,
-                _ if chunk.source == self.me.0 => self.own_sealed,
+                _ if chunk.source == self.incarnation.0 => self.own_sealed,
                 _ => sealed_until(&request.cursors, chunk.source),
             };
-            let left_to_source = chunk.source != self.me.0 && is_reachable(Incarnation(chunk.source));
+            let left_to_source =
+                chunk.source != self.incarnation.0 && is_reachable(Incarnation(chunk.source));
             if left_to_source || chunk.number != previous + 1 || chunk.window > request.window {
                 continue;
             }
@@ -259,7 +262,7 @@
     }
 
     fn own_chunks(&self) -> impl Iterator<Item = &UsageChunk> {
-        self.chunks_of(self.me.0)
+        self.chunks_of(self.incarnation.0)
     }
 
     fn chunks_of(&self, source: u64) -> impl Iterator<Item = &UsageChunk> {
--- a/tests/suite/calls/postings.rs
+++ b/tests/suite/calls/postings.rs
@@ -80,9 +80,9 @@
     fn apply(op: &ClaimOp, state: &Self::State) -> (bool, Self::State) {
         match (op, state) {
             // Without an answer, the claim may have been made or not.
-            (ClaimOp::Unanswered(me), _) => (true, state.or(Some(*me))),
-            (ClaimOp::Won(me), None) => (true, Some(*me)),
-            (ClaimOp::Won(me), Some(owner)) => (me == owner, *state),
+            (ClaimOp::Unanswered(claimant), _) => (true, state.or(Some(*claimant))),
+            (ClaimOp::Won(claimant), None) => (true, Some(*claimant)),
+            (ClaimOp::Won(claimant), Some(owner)) => (claimant == owner, *state),
             (ClaimOp::Lost(other), Some(owner)) => (other == owner, *state),
             (ClaimOp::Lost(_) | ClaimOp::Unresolved, _) => (false, *state),
         }
@@ -256,18 +256,20 @@
     fn start_run(&mut self, node: usize, call: CallId, posting: usize, key: String, record: Key) {
         self.last_timer += 1;
         let timer = u64::MAX - self.last_timer;
-        let serial = self.world.nodes[node].me.0;
+        let incarnation = self.world.nodes[node].incarnation.0;
         self.running
-            .insert(timer, (node, serial, record, posting, key, call));
+            .insert(timer, (node, incarnation, record, posting, key, call));
         let delay_ms = self.world.rng.random_range(1..2 * SECOND_MS);
         self.world.set_timer(delay_ms, timer);
     }
 
     fn finish_run(
         &mut self,
-        (node, me, record, posting, key, call): (usize, u64, Key, usize, String, CallId),
+        (node, incarnation, record, posting, key, call): (usize, u64, Key, usize, String, CallId),
     ) {
-        if self.world.nodes[node].me != Incarnation(me) || self.world.nodes[node].kernel.is_none() {
+        if self.world.nodes[node].incarnation != Incarnation(incarnation)
+            || self.world.nodes[node].kernel.is_none()
+        {
             return;
         }
         if !self.world.running(node) {
@@ -275,7 +277,8 @@
             // they are sent later.
             self.last_timer += 1;
             let timer = u64::MAX - self.last_timer;
-            self.running.insert(timer, (node, me, record, posting, key, call));
+            self.running
+                .insert(timer, (node, incarnation, record, posting, key, call));
             self.world.set_timer(200, timer);
             return;
         }
@@ -313,8 +316,9 @@
         owner: Incarnation,
         origin: Option<(usize, CallId)>,
     ) {
-        let target = (0..self.world.nodes.len())
-            .find(|node| self.world.nodes[*node].me == owner && self.world.nodes[*node].kernel.is_some());
+        let target = (0..self.world.nodes.len()).find(|node| {
+            self.world.nodes[*node].incarnation == owner && self.world.nodes[*node].kernel.is_some()
+        });
         match target.filter(|target| self.world.linked(node, *target) && origin.is_none()) {
             Some(target) => {
                 let delay_ms = self.world.rng.random_range(0..50);
@@ -384,25 +388,25 @@
         if key != "own-0-1" {
             return;
         }
-        let me = self.world.nodes[node].me.0;
+        let claimant = self.world.nodes[node].incarnation.0;
         let op = match verdict {
             None => None,
-            Some(Verdict::Run(_)) => Some(ClaimOp::Won(me)),
+            Some(Verdict::Run(_)) => Some(ClaimOp::Won(claimant)),
             Some(Verdict::Forward(owner)) => Some(ClaimOp::Lost(owner.0)),
             // Other verdicts leave open whether and when the key was claimed.
             Some(_) => return,
         };
-        self.history.push((call.0, op, me));
+        self.history.push((call.0, op, claimant));
     }
 
     fn claims_are_linearizable(&self) -> bool {
         let mut calls: Vec<(u64, u64)> = Vec::new();
         let mut actions = Vec::new();
-        for (call, op, me) in &self.history {
+        for (call, op, claimant) in &self.history {
             match op {
                 None => {
                     actions.push((calls.len(), Action::Call(ClaimOp::Unresolved)));
-                    calls.push((*call, *me));
+                    calls.push((*call, *claimant));
                 }
                 Some(op) => {
                     let process = calls.iter().position(|(other, _)| other == call);
@@ -413,8 +417,8 @@
                 }
             }
         }
-        for (process, (_, me)) in calls.iter().enumerate().filter(|(_, (call, _))| *call != 0) {
-            actions.push((process, Action::Response(ClaimOp::Unanswered(*me))));
+        for (process, (_, claimant)) in calls.iter().enumerate().filter(|(_, (call, _))| *call != 0) {
+            actions.push((process, Action::Response(ClaimOp::Unanswered(*claimant))));
         }
         actions.is_empty() || WGLChecker::<ClaimSpec>::is_linearizable(History::from_actions(actions))
     }
--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -191,7 +191,7 @@
             let Some(status) = world.status(at) else {
                 continue;
             };
-            let highest = self.highest.entry(world.nodes[at].me).or_default();
+            let highest = self.highest.entry(world.nodes[at].incarnation).or_default();
             if status.version < *highest {
                 return Err(format!(
                     "node {at} went back from version {highest} to {}",
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -51,7 +51,7 @@
         world.handle(at, Event::RecordUsage(record));
         truth
             .counted
-            .entry(world.nodes[at].me)
+            .entry(world.nodes[at].incarnation)
             .or_default()
             .push(world.now);
     }
@@ -74,7 +74,7 @@
     };
     match kind {
         0 | 1 if fault_kind != FaultKind::NoKills => {
-            truth.killed.insert(world.nodes[at].me, world.now);
+            truth.killed.insert(world.nodes[at].incarnation, world.now);
             world.kill(at);
             world.start(at);
         }
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -86,7 +86,7 @@
     /// Its kernel; `None` while it is down.
     pub kernel: Option<Kernel>,
     /// Its incarnation.
-    pub me: Incarnation,
+    pub incarnation: Incarnation,
     /// Its zone.
     pub zone: String,
     /// Whether its zone is cut off from the store.
@@ -251,7 +251,7 @@
         let skew = self.rng.random_range(0..=self.faults.skew_ms);
         self.nodes.push(Node {
             kernel: None,
-            me: Incarnation(0),
+            incarnation: Incarnation(0),
             zone: zone.to_string(),
             cut_store: false,
             partition: 0,
@@ -264,12 +264,12 @@
 
     /// Starts a node with empty memory.
     pub fn start(&mut self, at: usize) {
-        let me = Incarnation(self.rng.next_u64());
+        let incarnation = Incarnation(self.rng.next_u64());
         let mut secret = [0; 32];
         self.rng.fill_bytes(&mut secret);
         let setup = Setup {
             identity: Identity {
-                incarnation: me,
+                incarnation,
                 host: format!("host-{at}"),
                 zone: self.nodes[at].zone.clone(),
                 address: address(at),
@@ -281,7 +281,7 @@
         };
         self.serial += 1;
         let node = &mut self.nodes[at];
-        node.me = me;
+        node.incarnation = incarnation;
         node.started_at = self.now;
         node.paused_until = 0;
         node.serial = self.serial;
--- a/tests/suite/world/jobs.rs
+++ b/tests/suite/world/jobs.rs
@@ -29,7 +29,7 @@
     }
 
     pub(super) fn arrive(&mut self, at: usize, serial: u64, job: Job) {
-        let me = self.nodes[at].me;
+        let sender = self.nodes[at].incarnation;
         let reachable = !self.store_down && !self.nodes[at].cut_store;
         if !reachable || self.nodes[at].serial != serial {
             // If the sender was killed during the transit, the message still arrives.
@@ -39,11 +39,11 @@
             }
         }
         match &job {
-            Job::Order(_, order) => self.received.orders.push((self.now, me, order.clone())),
+            Job::Order(_, order) => self.received.orders.push((self.now, sender, order.clone())),
             Job::Report(grant, window) => {
                 self.received
                     .reports
-                    .push((self.now, me, grant.fence, window.clone()))
+                    .push((self.now, sender, grant.fence, window.clone()))
             }
         }
         if self.nodes[at].serial != serial {
