--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -15,7 +15,7 @@
 use crate::schedule::{assert_all_pass, assert_some_fail};
 use crate::world::{Broken, Builder, World};
 
-const SECOND: u64 = 1_000;
+const SECOND_MS: u64 = 1_000;
 const CONFIGURATION: &str = r#"{ "settings": { "key_horizon": "20s" }, "customers": [{ "name": "c" }] }"#;
 
 /// An operation on the change log, with the result that the operator saw.
@@ -212,7 +212,7 @@
             world.start(at);
         }
         2 => {
-            let duration_ms = world.rng.random_range(SECOND..15 * SECOND);
+            let duration_ms = world.rng.random_range(SECOND_MS..15 * SECOND_MS);
             world.pause(at, duration_ms);
         }
         3 => world.nodes[at].partition ^= 1,
@@ -262,7 +262,7 @@
         }
     }
     // Frozen hosts have resumed by 60 s; 14 s after that all hosts have the last change.
-    world.run_until(74 * SECOND);
+    world.run_until(74 * SECOND_MS);
     let newest = newest(&world);
     for at in 0..world.nodes.len() {
         let version = world.status(at).map(|status| status.version);
@@ -303,15 +303,15 @@
 /// `serves` is the condition under which the host is taken to serve callers.
 fn start_on_stale_reads(seed: u64, serves: fn(&Status) -> bool) -> Result<(), String> {
     let mut world = Builder::new(seed).build(CONFIGURATION);
-    world.run_until(5 * SECOND);
+    world.run_until(5 * SECOND_MS);
     let old = world.store.clone();
     let newest = append_change(&mut world);
-    world.run_until(12 * SECOND);
+    world.run_until(12 * SECOND_MS);
     world.stale = Some(old);
     world.kill(0);
     world.start(0);
     for step in 0..200 {
-        world.run_until(12 * SECOND + step * 50);
+        world.run_until(12 * SECOND_MS + step * 50);
         let status = world.status(0).ok_or("node 0 is down")?;
         if serves(&status) && status.version < newest {
             let (version, now) = (status.version, world.now);
@@ -343,12 +343,12 @@
 fn news_pass_through_peers() {
     assert_all_pass(200, |seed| {
         let mut world = Builder::new(seed).build(CONFIGURATION);
-        world.run_until(6 * SECOND);
+        world.run_until(6 * SECOND_MS);
         for at in 0..2 {
             world.nodes[at].cut_store = true;
         }
         let version = append_change(&mut world);
-        world.run_until(14 * SECOND);
+        world.run_until(14 * SECOND_MS);
         for at in 0..2 {
             let status = world.status(at).ok_or("node is down")?;
             if status.version != version || !status.trusted {
@@ -365,22 +365,22 @@
 #[test]
 fn a_host_cut_off_stops_at_the_horizon() {
     let mut world = Builder::new(3).build(CONFIGURATION);
-    world.run_until(6 * SECOND);
+    world.run_until(6 * SECOND_MS);
     world.nodes[0].cut_store = true;
     world.nodes[0].partition = 1;
-    world.run_until(20 * SECOND);
+    world.run_until(20 * SECOND_MS);
     assert!(
         world.status(0).expect("node 0 runs").trusted,
         "serves within the horizon"
     );
-    world.run_until(45 * SECOND);
+    world.run_until(45 * SECOND_MS);
     assert!(
         !world.status(0).expect("node 0 runs").trusted,
         "refuses after the horizon"
     );
     world.nodes[0].cut_store = false;
     world.nodes[0].partition = 0;
-    world.run_until(60 * SECOND);
+    world.run_until(60 * SECOND_MS);
     assert!(world.status(0).expect("node 0 runs").trusted, "serves again");
 }
 
@@ -390,12 +390,12 @@
 #[test]
 fn only_a_few_hosts_a_zone_watch() {
     let mut world = Builder::new(5).zones(&[("a", 9), ("b", 9)]).build(CONFIGURATION);
-    world.run_until(15 * SECOND);
+    world.run_until(15 * SECOND_MS);
     append_change(&mut world);
-    world.run_until(20 * SECOND);
+    world.run_until(20 * SECOND_MS);
     world.watching.clear();
     append_change(&mut world);
-    world.run_until(40 * SECOND);
+    world.run_until(40 * SECOND_MS);
     assert!(
         world.watching.len() <= 4,
         "{} of 18 hosts watch",
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -335,8 +335,8 @@
 }
 
 /// Two hosts of a zone share one engine of two slots, and both have more calls than it can run.
-/// The host whose call ends sees the free slot first and used to take it again before the other
-/// got the report a second later, so that all calls of the other host became late.
+/// The host whose call ends sees the free slot first. If it takes the slot again before the other
+/// gets the report a second later, all calls of the other host become late.
 #[test]
 fn a_host_leaves_room_to_a_zone_mate_that_waits() {
     let min_starts = |policy| {
@@ -409,7 +409,7 @@
 }
 
 /// If the peers of a host occupy every slot, its own calls do not start at all, and each caller
-/// used to wait until it was late. Once a call has waited for longer than a new one may, the new
+/// would wait until it is late. So once a call has waited for longer than a new one may, the new
 /// one is refused with a reserved retry time, at which it goes first.
 #[test]
 fn a_host_that_starts_nothing_lets_nobody_wait() {
@@ -451,9 +451,9 @@
     assert_eq!(started(&dispatcher.tick(now))[0], 4, "and goes first");
 }
 
-/// A burst follows ten idle seconds. When the start rate included the idle time, the estimated
-/// waits were seconds, and the rest of the burst was refused although the engine could serve it in
-/// time.
+/// A burst follows ten idle seconds. If the start rate included the idle time, the estimated waits
+/// would be seconds, and the rest of the burst would be refused although the engine can serve it
+/// in time.
 #[test]
 fn idle_time_does_not_slow_the_foretold_pace() {
     let mut dispatcher = dispatcher(DOCUMENT, &[("p", "a", 2)]);
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -12,7 +12,7 @@
 use crate::schedule::{assert_all_pass, assert_some_fail};
 use crate::world::{Broken, Builder, Faults, World};
 
-const SECOND: u64 = 1_000;
+const SECOND_MS: u64 = 1_000;
 const CONFIGURATION: &str = r#"{
   "settings": { "usage_window": "5s", "usage_grace": "2s" },
   "customers": [{ "name": "c" }]
@@ -79,7 +79,7 @@
             world.start(at);
         }
         0..=3 => {
-            let duration_ms = world.rng.random_range(SECOND..20 * SECOND);
+            let duration_ms = world.rng.random_range(SECOND_MS..20 * SECOND_MS);
             world.pause(at, duration_ms);
         }
         4 => world.nodes[at].cut_store = true,
@@ -166,7 +166,7 @@
             heal(&mut world);
         }
     }
-    world.run_until(150 * SECOND);
+    world.run_until(150 * SECOND_MS);
     let windows = reported_windows(&world)?;
     let reported: u64 = windows
         .values()
