--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -62,7 +62,7 @@
     fresh_at: Option<Moment>,
     started_at: Option<Moment>,
     /// Highest version in a peer's heartbeat.
-    newest_heard: u64,
+    newest_peer_version: u64,
     /// Whether this host has been as new as all its peers since it started.
     caught_up: bool,
     watcher: bool,
@@ -81,7 +81,7 @@
             snapshot_read: false,
             fresh_at: None,
             started_at: None,
-            newest_heard: 0,
+            newest_peer_version: 0,
             caught_up: false,
             watcher: false,
         }
@@ -113,7 +113,7 @@
     fn update_caught_up(&mut self, now: Moment) {
         let started_at = *self.started_at.get_or_insert(now);
         let waited = now.since(started_at) >= STARTUP_WAIT;
-        self.caught_up |= waited && self.view.version > 0 && self.view.version >= self.newest_heard;
+        self.caught_up |= waited && self.view.version > 0 && self.view.version >= self.newest_peer_version;
     }
 
     /// Returns the next store call that is due. Only watchers call the store, except that a host
@@ -183,7 +183,7 @@
 
     /// Handles a peer's heartbeat; returns the pull to send to it if its version is newer.
     pub fn on_heartbeat(&mut self, now: Moment, heartbeat: &Heartbeat) -> Option<Pull> {
-        self.newest_heard = self.newest_heard.max(heartbeat.config_version);
+        self.newest_peer_version = self.newest_peer_version.max(heartbeat.config_version);
         if heartbeat.config_version == self.view.version && heartbeat.config_version > 0 {
             self.update_freshness(now, heartbeat.store_age_ms);
         }
--- a/tests/suite/calls.rs
+++ b/tests/suite/calls.rs
@@ -82,10 +82,10 @@
     postings.check()
 }
 
-/// A posting with a ticket runs twice: the caller repeats it through any host,
-/// while hosts are suspended with the bytes in a socket buffer, crash or are
-/// partitioned, and load balancers deliver second copies late. Only the issuer
-/// of a ticket may run it, by its own record.
+/// A posting with a ticket must not run twice, although the caller repeats it
+/// through any host, hosts are suspended with the bytes in a socket buffer,
+/// crash or are partitioned, and load balancers deliver second copies late. Only
+/// the issuer of a ticket may run it, by its own record.
 #[test]
 fn tickets_run_at_most_once() {
     let run_count = AtomicUsize::new(0);
@@ -99,10 +99,10 @@
     );
 }
 
-/// A posting with the caller's own key runs twice: several hosts claim the key
-/// at once, while the store loses answers to writes that took effect, is down
-/// or cannot be reached. The first claim is final, and only its holder may run
-/// the call.
+/// A posting with the caller's own key must not run twice, although several
+/// hosts claim the key at once and the store loses answers to writes that took
+/// effect, is down or cannot be reached. The first claim is final, and only its
+/// holder may run the call.
 #[test]
 fn own_keys_run_at_most_once() {
     let run_count = AtomicUsize::new(0);
@@ -175,9 +175,9 @@
     }
 }
 
-/// A call runs again after its answer was dropped: the caller repeats its own
-/// key an hour after the call ended, and the claim in the store still names
-/// this process as its owner. The process must not conclude that the call
+/// A call must not run again after its answer was dropped. If the caller repeats
+/// its own key an hour after the call ended, the claim in the store still names
+/// this process as its owner, and the process must not conclude that the call
 /// never ran.
 #[test]
 fn a_forgotten_answer_does_not_open_its_key() {
--- a/tests/suite/duties.rs
+++ b/tests/suite/duties.rs
@@ -153,11 +153,11 @@
     }
 }
 
-/// The platform receives orders from two processes: a holder is suspended past
-/// the end of its lease between check and send, crashes or is partitioned, or
-/// the answer to a renewal is lost after the write. The lease is checked
-/// directly before each send, and a successor waits for the lease duration, the
-/// longest send and the quiet period.
+/// The platform must not receive orders from two processes at a time, although a
+/// holder is suspended past the end of its lease between check and send, crashes
+/// or is partitioned, or the answer to a renewal is lost after the write. The
+/// lease is checked directly before each send, and a successor waits for the
+/// lease duration, the longest send and the quiet period.
 #[test]
 fn orders_come_from_one_process() {
     assert_all_pass(300, |seed| orders_under_failure(seed, Broken::None));
--- a/tests/suite/input.rs
+++ b/tests/suite/input.rs
@@ -85,8 +85,8 @@
     assert!(cluster.ledger_runs().is_empty(), "a refused request ran");
 }
 
-/// A caller that stops in the middle of its body occupies the host: it must be
-/// refused after the time limit, while other callers are served.
+/// A caller that stops in the middle of its body is refused after the time
+/// limit, and other callers are served meanwhile.
 #[test]
 fn a_slow_body_is_refused_after_its_limit() {
     let cluster = cluster().start();
@@ -107,9 +107,9 @@
     assert!(answer.contains("slow-request"), "{answer}");
 }
 
-/// Requests stay in flight for ever after callers sent part of a request and
-/// closed their side of the connection. Nothing of it may run, and the host
-/// must drop the requests and serve other callers.
+/// If callers send part of a request and close their side of the connection, the
+/// host drops the requests instead of keeping them in flight, runs nothing of
+/// them and serves other callers.
 #[test]
 fn half_closed_connections_are_forgotten() {
     let cluster = cluster().start();
@@ -160,8 +160,8 @@
     assert_eq!((cluster.run_count(5), cluster.run_count(6)), (1, 0));
 }
 
-/// A caller above the connection limit waits without an answer. It must be
-/// refused at once, and served again after others have disconnected.
+/// A caller above the connection limit is refused at once instead of waiting
+/// without an answer, and is served again after others have disconnected.
 #[test]
 fn connections_past_the_bound_are_refused() {
     let cluster = cluster().limit_connections(16).start();
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -25,7 +25,7 @@
     All,
     /// All but kills, so that nothing may be lost.
     NoKills,
-    /// Only kills, to measure what one loses.
+    /// Only kills, to measure what a crash loses.
     KillsOnly,
 }
 
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -89,7 +89,7 @@
     pub incarnation: Incarnation,
     /// Its zone.
     pub zone: String,
-    /// Whether its zone is cut off from the store.
+    /// Whether it is cut off from the store.
     pub cut_store: bool,
     /// Network partition that it is in; only nodes of the same one reach each other.
     pub partition: u32,
@@ -156,7 +156,7 @@
     pub broken: Broken,
     /// The seeded random generator of the simulation.
     pub rng: ChaCha8Rng,
-    /// Nodes that have had a pending watch at the store.
+    /// Nodes that have sent a watch to the store.
     pub watching: std::collections::BTreeSet<usize>,
     /// Ids of the timers set by `set_timer` that have fired.
     pub fired_timers: Vec<u64>,
