--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -86,8 +86,8 @@
 plain! {
     enum State {
         Open,
-        Running { body: u64, waiting: Vec<CallId> },
-        Ended { body: u64, completion: Completion },
+        Running { body_hash: u64, waiting: Vec<CallId> },
+        Ended { body_hash: u64, completion: Completion },
     }
 }
 
@@ -165,7 +165,7 @@
         call: CallId,
         ticket: &Ticket,
         customer: &str,
-        body: u64,
+        body_hash: u64,
     ) -> Verdict {
         if ticket.owner != self.incarnation {
             return Verdict::Forward(ticket.owner);
@@ -177,7 +177,14 @@
             return Verdict::Refuse(Kind::KeyExpired.into());
         };
         match self.tickets.get_mut(at as usize) {
-            Some(record) => begin(now, call, Key::Ticket(ticket.number), record, body, self.sealed),
+            Some(record) => begin(
+                now,
+                call,
+                Key::Ticket(ticket.number),
+                record,
+                body_hash,
+                self.sealed,
+            ),
             None => Verdict::Refuse(Kind::BadIdempotencyKey.into()),
         }
     }
@@ -189,7 +196,7 @@
         call: CallId,
         claim: Claim,
         customer: &str,
-        body: u64,
+        body_hash: u64,
     ) -> Verdict {
         self.prune_claims(now);
         if self.spent.binary_search(&claim).is_ok() {
@@ -211,7 +218,7 @@
         if record.customer != customer {
             return Verdict::Refuse(Kind::BadIdempotencyKey.into());
         }
-        begin(now, call, Key::Claim(claim), record, body, self.sealed)
+        begin(now, call, Key::Claim(claim), record, body_hash, self.sealed)
     }
 
     /// Whether this process has decided about a claim.
@@ -242,8 +249,11 @@
             return Vec::new();
         };
         match std::mem::replace(&mut record.state, State::Open) {
-            State::Running { body, waiting } => {
-                record.state = State::Ended { body, completion };
+            State::Running { body_hash, waiting } => {
+                record.state = State::Ended {
+                    body_hash,
+                    completion,
+                };
                 waiting
             }
             // Only the first completion counts; a later one must not change it.
@@ -386,31 +396,32 @@
     }
 }
 
-fn begin(now: Moment, call: CallId, key: Key, record: &mut Record, body: u64, sealed: bool) -> Verdict {
+fn begin(now: Moment, call: CallId, key: Key, record: &mut Record, body_hash: u64, sealed: bool) -> Verdict {
     match &mut record.state {
         State::Open
             if sealed || (matches!(key, Key::Ticket(_)) && now.since(record.created) >= TICKET_LIFETIME) =>
         {
             record.state = State::Ended {
-                body,
+                body_hash,
                 completion: Completion::NotRun,
             };
             Verdict::Refuse(Kind::KeyClosed.into())
         }
         State::Open => {
             record.state = State::Running {
-                body,
+                body_hash,
                 waiting: Vec::new(),
             };
             Verdict::Run(key)
         }
         State::Running {
-            body: recorded_body, ..
+            body_hash: recorded_hash,
+            ..
         }
         | State::Ended {
-            body: recorded_body,
+            body_hash: recorded_hash,
             completion: Completion::Ran(_) | Completion::Unknown,
-        } if *recorded_body != body => Verdict::Refuse(Kind::KeyReused.into()),
+        } if *recorded_hash != body_hash => Verdict::Refuse(Kind::KeyReused.into()),
         State::Running { waiting, .. } => {
             waiting.push(call);
             Verdict::Wait
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -53,7 +53,7 @@
         claim: Claim,
         store_key: String,
         customer: String,
-        body: u64,
+        body_hash: u64,
         nonce: u64,
         read_backs: u32,
     }
@@ -67,8 +67,8 @@
     pending: Vec<(Token, Pending)>,
 }
 
-/// Digest that identifies the claim of a customer's key; keys of different customers never share
-/// one.
+/// Digest that identifies the claim of a customer's key. The length prefix keeps the keys of
+/// different customers apart.
 pub fn digest(customer: &str, key: &str) -> Claim {
     let mut hash = Sha256::new();
     hash.update((customer.len() as u64).to_le_bytes());
@@ -142,11 +142,11 @@
         records: &mut Records,
         token: Token,
         (call, key): (CallId, &str),
-        (customer, body): (&str, u64),
+        (customer, body_hash): (&str, u64),
     ) -> Result<Verdict, StoreCall> {
         let claim = digest(customer, key);
         if records.contains(&claim) {
-            return Ok(records.begin_claim(now, call, claim, customer, body));
+            return Ok(records.begin_claim(now, call, claim, customer, body_hash));
         }
         if !records.has_capacity() || self.pending.len() >= MAX_PENDING {
             let refusal = Refusal::new(Kind::ClaimUnsettled).retry_after(Duration::from_secs(1));
@@ -158,7 +158,7 @@
             claim,
             store_key: store_key(key, &claim),
             customer: customer.to_string(),
-            body,
+            body_hash,
             nonce: self.nonce,
             read_backs: 0,
         };
@@ -221,7 +221,13 @@
     }
 
     fn begin_own(&self, now: Moment, records: &mut Records, pending: &Pending) -> Verdict {
-        records.begin_claim(now, pending.call, pending.claim, &pending.customer, pending.body)
+        records.begin_claim(
+            now,
+            pending.call,
+            pending.claim,
+            &pending.customer,
+            pending.body_hash,
+        )
     }
 }
 
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -78,9 +78,9 @@
     SlowRequest: "slow-request", 408, NotRun, NewKey, "the request did not arrive in time";
     /// No `Authorization: Bearer` header.
     MissingKey: "missing-key", 401, NotRun, Never, "an `Authorization: Bearer` key is required";
-    /// Unknown key.
+    /// Unknown API key.
     UnknownKey: "unknown-key", 401, NotRun, Never, "the key is not known";
-    /// The key was withdrawn.
+    /// The API key was withdrawn.
     KeyWithdrawn: "key-withdrawn", 401, NotRun, Never, "the key was withdrawn";
     /// No class serves the path.
     NotFound: "not-found", 404, NotRun, Never, "no class serves this path";
@@ -94,11 +94,11 @@
     MissingIdempotencyKey: "missing-idempotency-key", 400, NotRun, Never, "this call needs an `Idempotency-Key`";
     /// The idempotency key is malformed, forged or of another customer.
     BadIdempotencyKey: "bad-idempotency-key", 400, NotRun, Never, "the `Idempotency-Key` is malformed, forged or of another customer";
-    /// The key was used with another body.
+    /// The idempotency key was used with another body.
     KeyReused: "idempotency-key-reused", 409, Unknown, Never, "the `Idempotency-Key` was used with another body";
-    /// The key is older than its records.
+    /// The idempotency key is older than records are kept.
     KeyExpired: "idempotency-key-expired", 409, Unknown, Never, "the `Idempotency-Key` has expired; ask the ledger whether it ran";
-    /// The key was closed by an earlier refusal.
+    /// The idempotency key was closed without a run.
     KeyClosed: "idempotency-key-closed", 409, NotRun, NewKey, "the `Idempotency-Key` was closed without running";
     /// The same call is still running.
     InProgress: "in-progress", 409, Unknown, SameKey, "the call is still running";
