--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -1,7 +1,7 @@
 //! Dispatch service of the kernel.
 //!
-//! It passes events to the dispatcher, remembers which calls wait and which
-//! run, and exchanges the load of this host with the peers of its zone.
+//! It passes events to the dispatcher, keeps the list of waiting and of running
+//! calls, and exchanges the load of this host with the peers of its zone.
 
 use std::time::Duration;
 
--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -2,7 +2,7 @@
 //!
 //! An order states a target count, not an increment, so a repeated or late
 //! order changes nothing further. Before an order is sent, it is written to
-//! the store as an intent, from which the next holder of the duty learns which
+//! the store as an intent, from which the next holder of the duty reads which
 //! orders may have been sent.
 
 use std::time::Duration;
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -24,9 +24,9 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(30);
 /// How long a peer's reported calls count without a newer heartbeat.
 const PEER_SHARES_TTL: Duration = Duration::from_secs(20);
-/// Minimum length of a reporting round.
+/// Minimum length of a round, at whose end its calls count as reported to all peers.
 const MIN_ROUND: Duration = Duration::from_secs(2);
-/// Maximum length of a reporting round, if a peer does not report.
+/// Maximum length of a round, if a peer does not report.
 const MAX_ROUND: Duration = Duration::from_secs(12);
 /// Weight of the newest measurement in the mean milliseconds per token.
 const PACE_GAIN: f64 = 0.1;
--- a/crates/core/src/usage/gather.rs
+++ b/crates/core/src/usage/gather.rs
@@ -3,7 +3,7 @@
 //! With 410 hosts, asking every host would cost the reporter ten times its
 //! control budget. Instead, one delegate of each zone asks its peers there and
 //! answers with the sum over all sources. The answer lists the chunks that it
-//! includes by source, so that the reporter can still tell sealed chunks from
+//! includes by source, so that the reporter can distinguish sealed chunks from
 //! others.
 
 use std::time::Duration;
