--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -230,7 +230,8 @@
 }
 
 /// While the platform's list still shows the leaving runners of a zone, new calls go to another
-/// zone, also on a peer that has received the notice.
+/// zone, also on a peer that has received the notice. Otherwise calls would be tried on one runner
+/// after another that refuses connections.
 #[test]
 fn a_reclaimed_zone_is_left_at_once() {
     let mut dispatcher = dispatcher(DOCUMENT, &[("p", "a", 4), ("p", "b", 4)]);
