--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -53,7 +53,7 @@
         claim: Claim,
         store_key: String,
         customer: String,
-        body: u64,
+        body_hash: u64,
         nonce: u64,
         read_backs: u32,
     }
@@ -62,13 +62,13 @@
 /// Claims that wait for the store's answer.
 #[derive(Debug)]
 pub struct Registry {
-    me: Incarnation,
+    incarnation: Incarnation,
     nonce: u64,
     pending: Vec<(Token, Pending)>,
 }
 
-/// Digest that identifies the claim of a customer's key; keys of different customers never share
-/// one.
+/// Digest that identifies the claim of a customer's key. The length prefix keeps the keys of
+/// different customers apart.
 pub fn digest(customer: &str, key: &str) -> Claim {
     let mut hash = Sha256::new();
     hash.update((customer.len() as u64).to_le_bytes());
@@ -123,9 +123,9 @@
 
 impl Registry {
     /// Creates a registry without pending claims; nonces count up from `seed`.
-    pub fn new(me: Incarnation, seed: u64) -> Self {
+    pub fn new(incarnation: Incarnation, seed: u64) -> Self {
         Self {
-            me,
+            incarnation,
             nonce: seed,
             pending: Vec::new(),
         }
@@ -142,11 +142,11 @@
         records: &mut Records,
         token: Token,
         (call, key): (CallId, &str),
-        (customer, body): (&str, u64),
+        (customer, body_hash): (&str, u64),
     ) -> Result<Verdict, StoreCall> {
         let claim = digest(customer, key);
         if records.contains(&claim) {
-            return Ok(records.begin_claim(now, call, claim, customer, body));
+            return Ok(records.begin_claim(now, call, claim, customer, body_hash));
         }
         if !records.has_capacity() || self.pending.len() >= MAX_PENDING {
             let refusal = Refusal::new(Kind::ClaimUnsettled).retry_after(Duration::from_secs(1));
@@ -158,12 +158,12 @@
             claim,
             store_key: store_key(key, &claim),
             customer: customer.to_string(),
-            body,
+            body_hash,
             nonce: self.nonce,
             read_backs: 0,
         };
         let record = Record {
-            owner: self.me,
+            owner: self.incarnation,
             nonce: self.nonce,
         };
         let store_key = pending.store_key.clone();
@@ -214,14 +214,20 @@
             // Every claim under this incarnation is its own, also one whose answer was lost in an
             // earlier attempt. No other process can have run the call, and the records show
             // whether this one has.
-            Ok(record) if record.owner == self.me => self.begin_own(now, records, pending),
+            Ok(record) if record.owner == self.incarnation => self.begin_own(now, records, pending),
             Ok(record) => Verdict::Forward(record.owner),
             Err(_) => unsettled(),
         }
     }
 
     fn begin_own(&self, now: Moment, records: &mut Records, pending: &Pending) -> Verdict {
-        records.begin_claim(now, pending.call, pending.claim, &pending.customer, pending.body)
+        records.begin_claim(
+            now,
+            pending.call,
+            pending.claim,
+            &pending.customer,
+            pending.body_hash,
+        )
     }
 }
 
--- a/crates/core/src/config/service.rs
+++ b/crates/core/src/config/service.rs
@@ -24,7 +24,7 @@
 /// Number of versions after which the snapshot in the store is replaced.
 const SNAPSHOT_EVERY: u64 = 32;
 /// Half the time after which an unanswered store call is abandoned; a watch may take long.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
+const HALF_ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Delay after a failed store call.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How long a host that has just started waits for its peers' heartbeats before it trusts what
@@ -62,7 +62,7 @@
     fresh_at: Option<Moment>,
     started_at: Option<Moment>,
     /// Highest version in a peer's heartbeat.
-    newest_heard: u64,
+    newest_peer_version: u64,
     /// Whether this host has been as new as all its peers since it started.
     caught_up: bool,
     watcher: bool,
@@ -81,7 +81,7 @@
             snapshot_read: false,
             fresh_at: None,
             started_at: None,
-            newest_heard: 0,
+            newest_peer_version: 0,
             caught_up: false,
             watcher: false,
         }
@@ -113,7 +113,7 @@
     fn update_caught_up(&mut self, now: Moment) {
         let started_at = *self.started_at.get_or_insert(now);
         let waited = now.since(started_at) >= STARTUP_WAIT;
-        self.caught_up |= waited && self.view.version > 0 && self.view.version >= self.newest_heard;
+        self.caught_up |= waited && self.view.version > 0 && self.view.version >= self.newest_peer_version;
     }
 
     /// Returns the next store call that is due. Only watchers call the store, except that a host
@@ -121,7 +121,7 @@
     pub fn tick(&mut self, now: Moment, watcher: bool) -> Option<Call> {
         self.update_caught_up(now);
         self.watcher = watcher;
-        if self.state != State::Idle && now.since(self.sent_at) >= ANSWER_TIMEOUT + ANSWER_TIMEOUT {
+        if self.state != State::Idle && now.since(self.sent_at) >= HALF_ANSWER_TIMEOUT + HALF_ANSWER_TIMEOUT {
             self.state = State::Idle;
         }
         if self.state != State::Idle || !now.reached(self.next_call) {
@@ -183,7 +183,7 @@
 
     /// Handles a peer's heartbeat; returns the pull to send to it if its version is newer.
     pub fn on_heartbeat(&mut self, now: Moment, heartbeat: &Heartbeat) -> Option<Pull> {
-        self.newest_heard = self.newest_heard.max(heartbeat.config_version);
+        self.newest_peer_version = self.newest_peer_version.max(heartbeat.config_version);
         if heartbeat.config_version == self.view.version && heartbeat.config_version > 0 {
             self.update_freshness(now, heartbeat.store_age_ms);
         }
@@ -327,15 +327,15 @@
         true
     }
 
-    fn update_freshness(&mut self, now: Moment, age: u64) {
-        let Some(mono) = now.mono_us.checked_sub(age.saturating_mul(1_000)) else {
+    fn update_freshness(&mut self, now: Moment, age_ms: u64) {
+        let Some(mono_us) = now.mono_us.checked_sub(age_ms.saturating_mul(1_000)) else {
             return;
         };
         let fresh_at = Moment {
-            mono_us: mono,
-            wall_ms: now.wall_ms.saturating_sub(age),
+            mono_us,
+            wall_ms: now.wall_ms.saturating_sub(age_ms),
         };
-        if self.fresh_at.is_none_or(|have| have < fresh_at) {
+        if self.fresh_at.is_none_or(|current| current < fresh_at) {
             self.fresh_at = Some(fresh_at);
         }
     }
--- a/tests/suite/usage.rs
+++ b/tests/suite/usage.rs
@@ -12,7 +12,7 @@
 use crate::schedule::{assert_all_pass, assert_some_fail};
 use crate::world::{Broken, Builder, Faults, World};
 
-const SECOND: u64 = 1_000;
+const SECOND_MS: u64 = 1_000;
 const CONFIGURATION: &str = r#"{
   "settings": { "usage_window": "5s", "usage_grace": "2s" },
   "customers": [{ "name": "c" }]
@@ -25,7 +25,7 @@
     All,
     /// All but kills, so that nothing may be lost.
     NoKills,
-    /// Only kills, to measure what one loses.
+    /// Only kills, to measure what a crash loses.
     KillsOnly,
 }
 
@@ -51,7 +51,7 @@
         world.handle(at, Event::RecordUsage(record));
         truth
             .counted
-            .entry(world.nodes[at].me)
+            .entry(world.nodes[at].incarnation)
             .or_default()
             .push(world.now);
     }
@@ -74,12 +74,12 @@
     };
     match kind {
         0 | 1 if fault_kind != FaultKind::NoKills => {
-            truth.killed.insert(world.nodes[at].me, world.now);
+            truth.killed.insert(world.nodes[at].incarnation, world.now);
             world.kill(at);
             world.start(at);
         }
         0..=3 => {
-            let duration_ms = world.rng.random_range(SECOND..20 * SECOND);
+            let duration_ms = world.rng.random_range(SECOND_MS..20 * SECOND_MS);
             world.pause(at, duration_ms);
         }
         4 => world.nodes[at].cut_store = true,
@@ -166,7 +166,7 @@
             heal(&mut world);
         }
     }
-    world.run_until(150 * SECOND);
+    world.run_until(150 * SECOND_MS);
     let windows = reported_windows(&world)?;
     let reported: u64 = windows
         .values()
