--- a/crates/load/src/cmd/experiment.rs
+++ b/crates/load/src/cmd/experiment.rs
@@ -6,9 +6,9 @@
 use argh::FromArgs;
 use radishstair_core::dispatch::Policy;
 
-use crate::play::play;
 use crate::report::{self, Row};
 use crate::scenario::load;
+use crate::simulation::simulate;
 
 /// Play a scenario against the decisions with each policy.
 #[derive(Debug, FromArgs)]
@@ -52,7 +52,7 @@
             .into_iter()
             .map(|policy| {
                 let run =
-                    move |at| scope.spawn(move || play(scenario, document, policy, args.first_seed + at));
+                    move |at| scope.spawn(move || simulate(scenario, document, policy, args.first_seed + at));
                 (policy, (0..args.seeds).map(run).collect::<Vec<_>>())
             })
             .collect();
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -4,6 +4,6 @@
 pub mod deploy;
 pub mod http;
 pub mod measure;
-pub mod play;
 pub mod report;
 pub mod scenario;
+pub mod simulation;
--- a/crates/load/src/play.rs
+++ b/crates/load/src/simulation.rs
@@ -73,7 +73,7 @@
 }
 
 /// A run of one scenario with one policy and seed.
-pub struct Play<'a> {
+pub struct Simulation<'a> {
     scenario: &'a Scenario,
     now: u64,
     rng: ChaCha8Rng,
@@ -92,13 +92,13 @@
 }
 
 /// Plays a scenario and measures it.
-pub fn play(scenario: &Scenario, document: &Document, policy: Policy, seed: u64) -> Measure {
-    let mut play = Play::new(scenario, document, policy, seed);
-    play.run();
-    play.finish()
+pub fn simulate(scenario: &Scenario, document: &Document, policy: Policy, seed: u64) -> Measure {
+    let mut simulation = Simulation::new(scenario, document, policy, seed);
+    simulation.run();
+    simulation.finish()
 }
 
-impl<'a> Play<'a> {
+impl<'a> Simulation<'a> {
     fn new(scenario: &'a Scenario, document: &'a Document, policy: Policy, seed: u64) -> Self {
         let mut document_with_keys = document.clone();
         for customer in document.customers.iter() {
--- a/crates/load/src/play/arrival.rs
+++ b/crates/load/src/simulation/arrival.rs
@@ -3,12 +3,12 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use super::{Event, Job, Play};
+use super::{Event, Job, Simulation};
 
 /// Largest number of tokens that callers allow.
 pub(super) const MOST_TOKENS: u32 = 2_048;
 
-impl Play<'_> {
+impl Simulation<'_> {
     pub(super) fn plan_arrival(&mut self, traffic: usize) {
         let plan = &self.scenario.traffic[traffic];
         let total: f64 = self.weights(traffic).iter().sum();
--- a/crates/load/src/play/faults.rs
+++ b/crates/load/src/simulation/faults.rs
@@ -5,10 +5,10 @@
 use radishstair_core::runner::Listing;
 
 use super::engine::belongs;
-use super::{Event, MS, Play};
+use super::{Event, MS, Simulation};
 use crate::scenario::Change;
 
-impl Play<'_> {
+impl Simulation<'_> {
     pub(super) fn change(&mut self, at: usize) {
         match self.scenario.events[at].change.clone() {
             Change::Burst { class, factor } => {
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -13,8 +13,8 @@
 use radishstair_core::runner::Listing;
 use radishstair_core::time::Moment;
 use radishstair_load::measure::Measure;
-use radishstair_load::play::play;
 use radishstair_load::scenario::{Scenario, load};
+use radishstair_load::simulation::simulate;
 
 use crate::schedule::{assert_all_pass, assert_some_fail};
 
@@ -45,7 +45,7 @@
         .collect();
     move |seed| {
         let (scenario, document) = &scenarios[seed as usize % scenarios.len()];
-        let measure = play(scenario, document, policy, seed + 100);
+        let measure = simulate(scenario, document, policy, seed + 100);
         check(scenario, document, &measure).map_err(|text| format!("{}: {text}", scenario.name))
     }
 }
@@ -95,7 +95,7 @@
             }
             scenario.fleet.retain(|fleet| fleet.pool == "engines");
             let document = check::parse(&text.to_string()).expect("a valid document");
-            let measure = play(&scenario, &document, policy, seed);
+            let measure = simulate(&scenario, &document, policy, seed);
             match measure.classes.get("ledger-posting") {
                 Some(tally) if tally.refused == 0 && tally.attainment() > 0.9 => Ok(()),
                 tally => Err(format!("postings: {tally:?}")),
@@ -323,7 +323,7 @@
     let (scenario, document) = peak.expect("a peak day scenario exists");
     let (mut in_time, mut all) = (0, 0);
     for seed in 0..10 {
-        let measure = play(&scenario, &document, Policy::Full, 200 + seed);
+        let measure = simulate(&scenario, &document, Policy::Full, 200 + seed);
         all += measure.promises.0;
         in_time += measure.promises.1;
     }
