--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -3,7 +3,7 @@
 pub mod cmd;
 pub mod deploy;
 pub mod http;
-pub mod measure;
+pub mod metrics;
 pub mod report;
 pub mod scenario;
 pub mod simulation;
--- a/crates/load/src/measure.rs
+++ b/crates/load/src/metrics.rs
@@ -76,7 +76,7 @@
 
 /// Everything measured in one run.
 #[derive(Clone, Debug)]
-pub struct Measure {
+pub struct Metrics {
     routes: BTreeMap<String, (Route, Duration)>,
     equals: BTreeMap<String, Vec<String>>,
     /// By class.
@@ -105,7 +105,7 @@
     pub prompts: (u64, u64),
 }
 
-impl Measure {
+impl Metrics {
     /// Nothing measured yet.
     pub fn new(scenario: &Scenario, document: &Document) -> Self {
         let mut document = document.clone();
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -10,7 +10,7 @@
 use radishstair_core::dispatch::Policy;
 use serde_json::{Value, json};
 
-use crate::measure::Measure;
+use crate::metrics::Metrics;
 
 /// Measures of one policy over the seeds.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     /// Policy.
     pub policy: Policy,
     /// One a seed.
-    pub runs: Vec<Measure>,
+    pub runs: Vec<Metrics>,
 }
 
 /// A figure's mean and spread over the seeds.
@@ -42,7 +42,7 @@
 
 impl Row {
     /// A figure over the seeds.
-    pub fn spread(&self, of: impl Fn(&Measure) -> f64) -> Spread {
+    pub fn spread(&self, of: impl Fn(&Metrics) -> f64) -> Spread {
         let values: Vec<f64> = self.runs.iter().map(of).collect();
         Spread {
             mean: values.iter().sum::<f64>() / (values.len() as f64).max(1.0),
@@ -52,21 +52,21 @@
     }
 
     fn figures(&self) -> Vec<(String, Spread)> {
-        let mut figures = vec![("attainment".to_string(), self.spread(Measure::attainment))];
+        let mut figures = vec![("attainment".to_string(), self.spread(Metrics::attainment))];
         for class in self
             .runs
             .iter()
             .flat_map(|run| run.classes.keys())
             .collect::<std::collections::BTreeSet<_>>()
         {
-            let of = |run: &Measure| run.classes.get(class).map_or(0.0, |tally| tally.attainment());
+            let of = |run: &Metrics| run.classes.get(class).map_or(0.0, |tally| tally.attainment());
             figures.push((format!("attainment {class}"), self.spread(of)));
-            let late = |run: &Measure| run.classes.get(class).map_or(0.0, |tally| tally.late as f64);
+            let late = |run: &Metrics| run.classes.get(class).map_or(0.0, |tally| tally.late as f64);
             figures.push((format!("late {class}"), self.spread(late)));
-            let poorest = |run: &Measure| run.poorest_minute(class) as f64;
+            let poorest = |run: &Metrics| run.poorest_minute(class) as f64;
             figures.push((format!("poorest minute {class}"), self.spread(poorest)));
         }
-        figures.push(("worst customer".into(), self.spread(Measure::worst)));
+        figures.push(("worst customer".into(), self.spread(Metrics::worst)));
         figures.push(("good tokens".into(), self.spread(|run| run.good_tokens as f64)));
         figures.push((
             "wasted tokens".into(),
@@ -77,9 +77,9 @@
             "refusals after 50 ms".into(),
             self.spread(|run| run.refusals.1 as f64),
         ));
-        let kept = |run: &Measure| run.promises.1 as f64 / (run.promises.0 as f64).max(1.0);
+        let kept = |run: &Metrics| run.promises.1 as f64 / (run.promises.0 as f64).max(1.0);
         figures.push(("promises kept".into(), self.spread(kept)));
-        let hits = |run: &Measure| run.prompts.1 as f64 / (run.prompts.0 as f64).max(1.0);
+        let hits = |run: &Metrics| run.prompts.1 as f64 / (run.prompts.0 as f64).max(1.0);
         figures.push(("prefix hits".into(), self.spread(hits)));
         figures.push((
             "broken by reclaim".into(),
@@ -92,7 +92,7 @@
             .flat_map(|run| run.pools.keys())
             .collect::<std::collections::BTreeSet<_>>()
         {
-            let share = |run: &Measure| {
+            let share = |run: &Metrics| {
                 let all: u64 = run.pools.values().sum();
                 run.pools.get(pool).copied().unwrap_or(0) as f64 / (all as f64).max(1.0)
             };
@@ -180,7 +180,7 @@
     for (at, row) in rows.iter().enumerate() {
         let color = Palette99::pick(at).to_rgba();
         let bar = |(class, name): (usize, &String)| {
-            let of = |run: &Measure| run.classes.get(name).map_or(0.0, |tally| tally.attainment());
+            let of = |run: &Metrics| run.classes.get(name).map_or(0.0, |tally| tally.attainment());
             let x = class * (rows.len() + 1) + at;
             let corners = [
                 (SegmentValue::Exact(x), 0.0),
--- a/crates/load/src/simulation.rs
+++ b/crates/load/src/simulation.rs
@@ -25,7 +25,7 @@
 use arrival::MOST_TOKENS;
 use engine::{Engine, engines};
 
-use crate::measure::{Fate, Measure, Sample};
+use crate::metrics::{Fate, Metrics, Sample};
 use crate::scenario::Scenario;
 
 /// Microseconds of one millisecond.
@@ -88,11 +88,11 @@
     events: BTreeMap<u64, Event>,
     serial: u64,
     silent: bool,
-    measure: Measure,
+    metrics: Metrics,
 }
 
 /// Plays a scenario and measures it.
-pub fn simulate(scenario: &Scenario, document: &Document, policy: Policy, seed: u64) -> Measure {
+pub fn simulate(scenario: &Scenario, document: &Document, policy: Policy, seed: u64) -> Metrics {
     let mut simulation = Simulation::new(scenario, document, policy, seed);
     simulation.run();
     simulation.finish()
@@ -142,7 +142,7 @@
             events: BTreeMap::new(),
             serial: 0,
             silent: false,
-            measure: Measure::new(scenario, document),
+            metrics: Metrics::new(scenario, document),
         }
     }
 
@@ -174,13 +174,13 @@
         self.now = end;
     }
 
-    fn finish(mut self) -> Measure {
+    fn finish(mut self) -> Metrics {
         for engine in &mut self.engines {
             if !engine.gone {
                 engine.on_time += self.now - engine.since;
             }
             let price = self.scenario.fleet[engine.fleet].price;
-            self.measure.spending += engine.on_time as f64 / 3.6e9 * price;
+            self.metrics.spending += engine.on_time as f64 / 3.6e9 * price;
         }
         // What has waited past its target by the end was not served in time.
         let open: Vec<usize> = (0..self.jobs.len()).filter(|job| !self.jobs[*job].over).collect();
@@ -191,7 +191,7 @@
                 self.settle(job, Fate::Late);
             }
         }
-        self.measure
+        self.metrics
     }
 
     fn moment(&self) -> Moment {
@@ -235,7 +235,7 @@
         let item = &self.jobs[job];
         let traffic = &self.scenario.traffic[item.traffic];
         let customer = &traffic.customers[item.customer].0;
-        let (tier, pools) = self.measure.route(&traffic.class);
+        let (tier, pools) = self.metrics.route(&traffic.class);
         let seek = Submission {
             call: CallId(job as u64),
             tier,
@@ -306,7 +306,7 @@
         let share = if hit.is_some() { CACHED } else { 1.0 };
         let read = fleet.prefill_ms * share * item.slow;
         let left = self.jobs[job].tokens - self.jobs[job].done;
-        self.measure.cache(hit.is_some(), fleet.prefill_ms > 0.0);
+        self.metrics.cache(hit.is_some(), fleet.prefill_ms > 0.0);
         let first = ((read + pace) * MS as f64) as u64;
         let span = ((read + pace * f64::from(left)) * MS as f64) as u64;
         self.jobs[job].started = self.now;
@@ -333,7 +333,7 @@
         self.jobs[job].done = self.jobs[job].tokens;
         let pace = self.jobs[job].span as f64 / MS as f64 / f64::from(made.max(1));
         self.vacate(engine, job);
-        self.measure.work(&self.engines[engine].listed.pool, made);
+        self.metrics.work(&self.engines[engine].listed.pool, made);
         self.release(
             job,
             &Outcome::Completed {
@@ -397,7 +397,7 @@
             self.settle(job, Fate::Broken);
             return;
         }
-        self.measure.refusal(self.now - self.jobs[job].arrived);
+        self.metrics.refusal(self.now - self.jobs[job].arrived);
         match refusal.retry_after {
             Some(after) if !self.jobs[job].came_back => {
                 // One call, counted once, by what became of it in the end.
@@ -419,7 +419,7 @@
 
     fn target(&self, job: usize) -> u64 {
         let class = &self.scenario.traffic[self.jobs[job].traffic].class;
-        self.measure.target(class).as_micros() as u64
+        self.metrics.target(class).as_micros() as u64
     }
 
     fn settle(&mut self, job: usize, fate: Fate) {
@@ -429,7 +429,7 @@
         self.jobs[job].over = true;
         let item = &self.jobs[job];
         let traffic = &self.scenario.traffic[item.traffic];
-        self.measure.settle(&Sample {
+        self.metrics.settle(&Sample {
             class: &traffic.class,
             customer: &traffic.customers[item.customer].0,
             fate,
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -12,7 +12,7 @@
 use radishstair_core::reservation::Secret;
 use radishstair_core::runner::Listing;
 use radishstair_core::time::Moment;
-use radishstair_load::measure::Measure;
+use radishstair_load::metrics::Metrics;
 use radishstair_load::scenario::{Scenario, load};
 use radishstair_load::simulation::simulate;
 
@@ -37,7 +37,7 @@
 /// A check that plays the scenarios that are not held back in turn, one per seed.
 fn in_all_scenarios(
     policy: Policy,
-    check: impl Fn(&Scenario, &Document, &Measure) -> Result<(), String> + Sync,
+    check: impl Fn(&Scenario, &Document, &Metrics) -> Result<(), String> + Sync,
 ) -> impl Fn(u64) -> Result<(), String> {
     let scenarios: Vec<_> = scenarios()
         .into_iter()
@@ -45,14 +45,14 @@
         .collect();
     move |seed| {
         let (scenario, document) = &scenarios[seed as usize % scenarios.len()];
-        let measure = simulate(scenario, document, policy, seed + 100);
-        check(scenario, document, &measure).map_err(|text| format!("{}: {text}", scenario.name))
+        let metrics = simulate(scenario, document, policy, seed + 100);
+        check(scenario, document, &metrics).map_err(|text| format!("{}: {text}", scenario.name))
     }
 }
 
-fn protected_is_served(_: &Scenario, document: &Document, measure: &Measure) -> Result<(), String> {
-    for (class, tally) in &measure.classes {
-        let (tier, _) = measure.route(class);
+fn protected_is_served(_: &Scenario, document: &Document, metrics: &Metrics) -> Result<(), String> {
+    for (class, tally) in &metrics.classes {
+        let (tier, _) = metrics.route(class);
         let protected = document.tiers.get(&tier).is_some_and(|tier| tier.protected);
         if protected && (tally.attainment() < 0.999 || tally.refused > 0) {
             return Err(format!("{class}: {tally:?}"));
@@ -95,8 +95,8 @@
             }
             scenario.fleet.retain(|fleet| fleet.pool == "engines");
             let document = check::parse(&text.to_string()).expect("a valid document");
-            let measure = simulate(&scenario, &document, policy, seed);
-            match measure.classes.get("ledger-posting") {
+            let metrics = simulate(&scenario, &document, policy, seed);
+            match metrics.classes.get("ledger-posting") {
                 Some(tally) if tally.refused == 0 && tally.attainment() > 0.9 => Ok(()),
                 tally => Err(format!("postings: {tally:?}")),
             }
@@ -111,11 +111,11 @@
 fn no_class_starves() {
     assert_all_pass(
         SEEDS * 7,
-        in_all_scenarios(Policy::Full, |_, _, measure| {
-            let idle_class = measure
+        in_all_scenarios(Policy::Full, |_, _, metrics| {
+            let idle_class = metrics
                 .classes
                 .keys()
-                .find(|class| measure.poorest_minute(class) == 0);
+                .find(|class| metrics.poorest_minute(class) == 0);
             idle_class.map_or(Ok(()), |class| {
                 Err(format!("{class} had a minute without completed calls"))
             })
@@ -323,9 +323,9 @@
     let (scenario, document) = peak.expect("a peak day scenario exists");
     let (mut in_time, mut all) = (0, 0);
     for seed in 0..10 {
-        let measure = simulate(&scenario, &document, Policy::Full, 200 + seed);
-        all += measure.promises.0;
-        in_time += measure.promises.1;
+        let metrics = simulate(&scenario, &document, Policy::Full, 200 + seed);
+        all += metrics.promises.0;
+        in_time += metrics.promises.1;
     }
     println!("{in_time} of {all} reserved retries served in time");
     assert!(
