--- a/crates/load/src/metrics.rs
+++ b/crates/load/src/metrics.rs
@@ -98,7 +98,7 @@
     /// Price of the runners.
     pub spending: f64,
     /// Calls that came back as told, and those then in time.
-    pub promises: (u64, u64),
+    pub reserved_retries: (u64, u64),
     /// Refusals, and those given after more than 50 ms of waiting.
     pub refusals: (u64, u64),
     /// Prompts read, and those found in a cache.
@@ -148,7 +148,7 @@
             pools: BTreeMap::new(),
             broken_by_reclaim: 0,
             spending: 0.0,
-            promises: (0, 0),
+            reserved_retries: (0, 0),
             refusals: (0, 0),
             prompts: (0, 0),
         }
@@ -192,8 +192,8 @@
     pub fn settle(&mut self, sample: &Sample<'_>) {
         let class = sample.class.to_string();
         if sample.came_back {
-            self.promises.0 += 1;
-            self.promises.1 += u64::from(sample.fate == Fate::InTime);
+            self.reserved_retries.0 += 1;
+            self.reserved_retries.1 += u64::from(sample.fate == Fate::InTime);
         }
         self.classes.entry(class.clone()).or_default().add(sample.fate);
         let customer = (class.clone(), sample.customer.to_string());
@@ -245,7 +245,7 @@
     }
 
     /// Fewest calls of a class that came out whole in any whole minute.
-    pub fn poorest_minute(&self, class: &str) -> u64 {
+    pub fn min_completions_per_minute(&self, class: &str) -> u64 {
         let minutes = self.minutes.iter().filter(|((have, _), _)| have == class);
         minutes
             .map(|(_, tally)| tally.in_time + tally.late)
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -63,7 +63,7 @@
             figures.push((format!("attainment {class}"), self.spread(of)));
             let late = |run: &Metrics| run.classes.get(class).map_or(0.0, |tally| tally.late as f64);
             figures.push((format!("late {class}"), self.spread(late)));
-            let poorest = |run: &Metrics| run.poorest_minute(class) as f64;
+            let poorest = |run: &Metrics| run.min_completions_per_minute(class) as f64;
             figures.push((format!("poorest minute {class}"), self.spread(poorest)));
         }
         figures.push(("worst customer".into(), self.spread(Metrics::worst)));
@@ -77,7 +77,7 @@
             "refusals after 50 ms".into(),
             self.spread(|run| run.refusals.1 as f64),
         ));
-        let kept = |run: &Metrics| run.promises.1 as f64 / (run.promises.0 as f64).max(1.0);
+        let kept = |run: &Metrics| run.reserved_retries.1 as f64 / (run.reserved_retries.0 as f64).max(1.0);
         figures.push(("promises kept".into(), self.spread(kept)));
         let hits = |run: &Metrics| run.prompts.1 as f64 / (run.prompts.0 as f64).max(1.0);
         figures.push(("prefix hits".into(), self.spread(hits)));
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -115,7 +115,7 @@
             let idle_class = metrics
                 .classes
                 .keys()
-                .find(|class| metrics.poorest_minute(class) == 0);
+                .find(|class| metrics.min_completions_per_minute(class) == 0);
             idle_class.map_or(Ok(()), |class| {
                 Err(format!("{class} had a minute without completed calls"))
             })
@@ -324,8 +324,8 @@
     let (mut in_time, mut all) = (0, 0);
     for seed in 0..10 {
         let metrics = simulate(&scenario, &document, Policy::Full, 200 + seed);
-        all += metrics.promises.0;
-        in_time += metrics.promises.1;
+        all += metrics.reserved_retries.0;
+        in_time += metrics.reserved_retries.1;
     }
     println!("{in_time} of {all} reserved retries served in time");
     assert!(
