--- a/crates/load/src/cmd/smoke.rs
+++ b/crates/load/src/cmd/smoke.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 use crate::deploy::Addresses;
-use crate::http::{Answer, Caller};
+use crate::http::{Caller, Response};
 
 /// Streams that run at once.
 const STREAMS: usize = 8;
@@ -85,7 +85,7 @@
         self.addresses.entries[at % self.addresses.entries.len()]
     }
 
-    fn judge(&mut self, what: &str, answer: &Answer, right: bool) {
+    fn judge(&mut self, what: &str, answer: &Response, right: bool) {
         self.failures += usize::from(!right);
         println!(
             "{} {what} status={} runner={} tokens={} first={:.1}ms total={:.1}ms {}",
@@ -113,7 +113,7 @@
 
     fn generate(&mut self) {
         for class in self.requests.generate.clone() {
-            let streams: Vec<Answer> = std::thread::scope(|scope| {
+            let streams: Vec<Response> = std::thread::scope(|scope| {
                 let tasks: Vec<_> = (0..STREAMS)
                     .map(|at| {
                         let (caller, entry) = (self.caller.clone(), self.entry(at));
--- a/crates/load/src/http.rs
+++ b/crates/load/src/http.rs
@@ -18,7 +18,7 @@
 
 /// What came back.
 #[derive(Clone, Debug, Default)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status; 0 when the connection broke.
     pub status: u16,
     /// Runner that served it.
@@ -41,7 +41,7 @@
     pub come_back: Option<String>,
 }
 
-impl Answer {
+impl Response {
     /// Kind of the refusal; empty when there is none.
     pub fn kind(&self) -> &str {
         self.body["error"]["kind"].as_str().unwrap_or_default()
@@ -87,7 +87,7 @@
     }
 
     /// Makes a plain call.
-    pub fn call(&self, entry: SocketAddr, path: &str, body: &Value, once: Option<&str>) -> Answer {
+    pub fn call(&self, entry: SocketAddr, path: &str, body: &Value, once: Option<&str>) -> Response {
         let began = Instant::now();
         let mut answer = self
             .post(entry, path, &body.to_string(), once, None)
@@ -98,12 +98,12 @@
     }
 
     /// Sends a body as it is.
-    pub fn raw(&self, entry: SocketAddr, path: &str, body: &str) -> Answer {
+    pub fn raw(&self, entry: SocketAddr, path: &str, body: &str) -> Response {
         self.post(entry, path, body, None, None).unwrap_or_default()
     }
 
     /// Makes a chat completion of a class.
-    pub fn chat(&self, entry: SocketAddr, class: &str, body: &Value) -> Answer {
+    pub fn chat(&self, entry: SocketAddr, class: &str, body: &Value) -> Response {
         let began = Instant::now();
         let path = "/v1/chat/completions";
         let mut answer = self
@@ -136,7 +136,7 @@
         body: &str,
         once: Option<&str>,
         chat: Option<(&str, Instant)>,
-    ) -> Result<Answer> {
+    ) -> Result<Response> {
         let mut request = self
             .agent
             .post(format!("http://{entry}{path}"))
@@ -155,12 +155,12 @@
         }
         let mut response = request.send(body)?;
         let header = |name: &str| Some(response.headers().get(name)?.to_str().ok()?.to_string());
-        let mut answer = Answer {
+        let mut answer = Response {
             status: response.status().as_u16(),
             runner: header("x-runner").unwrap_or_default(),
             next_key: header("next-idempotency-key"),
             come_back: header(http::COME_BACK),
-            ..Answer::default()
+            ..Response::default()
         };
         let events = header("content-type").is_some_and(|kind| kind == "text/event-stream");
         match chat {
@@ -180,7 +180,7 @@
     }
 }
 
-fn read_events(answer: &mut Answer, reader: impl std::io::Read, began: Instant) -> Result<()> {
+fn read_events(answer: &mut Response, reader: impl std::io::Read, began: Instant) -> Result<()> {
     for line in BufReader::new(reader).lines() {
         let line = line?;
         let Some(data) = line.strip_prefix("data: ") else {
--- a/tests/suite/duties_live.rs
+++ b/tests/suite/duties_live.rs
@@ -6,7 +6,7 @@
 use nix::sys::signal::Signal;
 use radishstair_core::config::change::{Op, Section};
 use radishstair_core::id::digest;
-use radishstair_load::http::{Answer, Caller};
+use radishstair_load::http::{Caller, Response};
 use radishstair_standin::model;
 use serde_json::json;
 
@@ -144,7 +144,7 @@
 const COMES_BACK: Duration = Duration::from_secs(45);
 
 /// Makes a chat; while the answer is that it has not run, again at the time told.
-fn chat_until_taken(caller: &Caller, entry: SocketAddr, body: &serde_json::Value) -> Answer {
+fn chat_until_taken(caller: &Caller, entry: SocketAddr, body: &serde_json::Value) -> Response {
     let until = Instant::now() + COMES_BACK;
     let mut caller = caller.clone();
     loop {
@@ -174,7 +174,7 @@
         &site.addresses.engines,
         &json!({ "cut_at": 4, "cuts": 6, "cross": 4 }),
     );
-    let history: Vec<(&str, String, u32, Answer)> = std::thread::scope(|scope| {
+    let history: Vec<(&str, String, u32, Response)> = std::thread::scope(|scope| {
         let site = &mut site;
         let addresses = site.addresses.entries.clone();
         let tasks: Vec<_> = (0..60_u32)
--- a/tests/suite/live_broken.rs
+++ b/tests/suite/live_broken.rs
@@ -52,7 +52,7 @@
         streams
             .into_iter()
             .map(join)
-            .collect::<Vec<radishstair_load::http::Answer>>()
+            .collect::<Vec<radishstair_load::http::Response>>()
     });
     assert!(answers.iter().all(|answer| !answer.done), "{answers:?}");
 }
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -13,7 +13,7 @@
 use radishstair_core::kernel::Status;
 use radishstair_ctl::commit::commit;
 use radishstair_load::deploy::{Addresses, Plan, Process, Runners, lay_out};
-use radishstair_load::http::{Answer, Caller};
+use radishstair_load::http::{Caller, Response};
 use radishstair_wire::platform::Client;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
@@ -238,7 +238,7 @@
     }
 
     /// Sends a posting.
-    pub fn post(&self, caller: &Caller, entry: usize, number: u64, once: &str) -> Answer {
+    pub fn post(&self, caller: &Caller, entry: usize, number: u64, once: &str) -> Response {
         caller.call(
             self.entry(entry),
             "/ledger/postings",
