--- a/crates/load/src/cmd/smoke.rs
+++ b/crates/load/src/cmd/smoke.rs
@@ -210,7 +210,8 @@
             ),
             (
                 "malformed",
-                self.caller.raw(entry, "/v1/chat/completions", "{\"model\": "),
+                self.caller
+                    .post_raw(entry, "/v1/chat/completions", "{\"model\": "),
                 "bad-request",
             ),
             (
--- a/crates/load/src/http.rs
+++ b/crates/load/src/http.rs
@@ -13,7 +13,7 @@
 pub struct Caller {
     agent: ureq::Agent,
     key: String,
-    token: Option<String>,
+    retry_token: Option<String>,
 }
 
 /// What came back.
@@ -38,7 +38,7 @@
     /// A fresh ticket that came with a refusal.
     pub next_key: Option<String>,
     /// Token of a promised time to come back.
-    pub come_back: Option<String>,
+    pub retry_token: Option<String>,
 }
 
 impl Response {
@@ -61,11 +61,11 @@
 impl Caller {
     /// A caller with a key; an empty one is not sent.
     pub fn new(key: &str) -> Self {
-        Self::with_limit(key, Duration::from_secs(60))
+        Self::with_timeout(key, Duration::from_secs(60))
     }
 
     /// A caller that gives up after a while.
-    pub fn with_limit(key: &str, limit: Duration) -> Self {
+    pub fn with_timeout(key: &str, limit: Duration) -> Self {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .timeout_global(Some(limit))
@@ -74,14 +74,14 @@
         Self {
             agent: config.new_agent(),
             key: key.to_string(),
-            token: None,
+            retry_token: None,
         }
     }
 
     /// The same caller, coming back as it was promised.
-    pub fn come_back(&self, token: &str) -> Self {
+    pub fn with_retry_token(&self, token: &str) -> Self {
         Self {
-            token: Some(token.to_string()),
+            retry_token: Some(token.to_string()),
             ..self.clone()
         }
     }
@@ -98,7 +98,7 @@
     }
 
     /// Sends a body as it is.
-    pub fn raw(&self, entry: SocketAddr, path: &str, body: &str) -> Response {
+    pub fn post_raw(&self, entry: SocketAddr, path: &str, body: &str) -> Response {
         self.post(entry, path, body, None, None).unwrap_or_default()
     }
 
@@ -144,7 +144,7 @@
         if !self.key.is_empty() {
             request = request.header("authorization", format!("Bearer {}", self.key));
         }
-        if let Some(token) = &self.token {
+        if let Some(token) = &self.retry_token {
             request = request.header(http::COME_BACK, token);
         }
         if let Some(once) = once {
@@ -159,7 +159,7 @@
             status: response.status().as_u16(),
             runner: header("x-runner").unwrap_or_default(),
             next_key: header("next-idempotency-key"),
-            come_back: header(http::COME_BACK),
+            retry_token: header(http::COME_BACK),
             ..Response::default()
         };
         let events = header("content-type").is_some_and(|kind| kind == "text/event-stream");
--- a/tests/suite/duties_live.rs
+++ b/tests/suite/duties_live.rs
@@ -154,8 +154,8 @@
         let Some(again) = again.filter(|again| answer.ran() == "not-run" && *again < until) else {
             return answer;
         };
-        if let Some(token) = &answer.come_back {
-            caller = caller.come_back(token);
+        if let Some(token) = &answer.retry_token {
+            caller = caller.with_retry_token(token);
         }
         std::thread::sleep(again.saturating_duration_since(Instant::now()));
     }
--- a/tests/suite/input.rs
+++ b/tests/suite/input.rs
@@ -70,7 +70,7 @@
         ("/ledger/balances", "{", Kind::BadRequest),
         ("/nowhere", "{}", Kind::NotFound),
     ] {
-        let answer = caller.raw(site.entry(0), path, body);
+        let answer = caller.post_raw(site.entry(0), path, body);
         assert_eq!(
             (answer.kind(), answer.ran()),
             (kind.name(), "not-run"),
--- a/tests/suite/live.rs
+++ b/tests/suite/live.rs
@@ -13,7 +13,7 @@
 
 /// A caller that gives up soon.
 fn hasty() -> Caller {
-    Caller::with_limit("rsk-coop", Duration::from_millis(800))
+    Caller::with_timeout("rsk-coop", Duration::from_millis(800))
 }
 
 /// The caller's posting lies in the socket buffer of a frozen host; the caller
@@ -29,7 +29,7 @@
     let unheard = site.post(&hasty(), 0, 1, &ticket);
     assert_eq!(unheard.status, 0, "a frozen host gives no answer");
     let elsewhere = site.post(
-        &Caller::with_limit("rsk-coop", Duration::from_secs(3)),
+        &Caller::with_timeout("rsk-coop", Duration::from_secs(3)),
         3,
         1,
         &ticket,
@@ -438,7 +438,7 @@
             let (caller, sender) = (caller.clone(), sender.clone());
             scope.spawn(move || {
                 let answer = caller.chat(site.entry(0), "chat", &site.chat("one more", 5));
-                if answer.come_back.is_some() {
+                if answer.retry_token.is_some() {
                     // Only the first one is waited for.
                     let _ = sender.send(answer);
                 }
@@ -451,9 +451,9 @@
     let after = refused.body["error"]["retry_after_ms"].as_u64().expect("a time");
     let left = Duration::from_millis(after).saturating_sub(refused.total);
     std::thread::sleep(left);
-    let token = refused.come_back.as_deref().expect("a token");
+    let token = refused.retry_token.as_deref().expect("a token");
     let back = caller
-        .come_back(token)
+        .with_retry_token(token)
         .chat(site.entry(entry), "chat", &site.chat("back again", 5));
     assert!(back.done, "{back:?}");
 }
