--- a/crates/load/src/deploy.rs
+++ b/crates/load/src/deploy.rs
@@ -81,7 +81,7 @@
 }
 
 /// Lays a plan out: the processes and the addresses.
-pub fn lay_out(plan: &Plan, token: &str) -> (Vec<Process>, Addresses) {
+pub fn expand(plan: &Plan, token: &str) -> (Vec<Process>, Addresses) {
     let mut ports = Ports(plan.base_port);
     let mut addresses = Addresses {
         platform: plan.zones.iter().map(|_| ports.next()).collect(),
@@ -174,7 +174,7 @@
 /// When the folder cannot be written.
 pub fn write(plan: &Plan, token: &str, folder: &Path) -> Result<Addresses> {
     std::fs::create_dir_all(folder).with_context(|| format!("making {}", folder.display()))?;
-    let (processes, addresses) = lay_out(plan, token);
+    let (processes, addresses) = expand(plan, token);
     let mut list = String::new();
     for process in &processes {
         save(folder, &process.name, &process.settings)?;
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -12,7 +12,7 @@
 use radishstair_core::config::{Document, check};
 use radishstair_core::kernel::Status;
 use radishstair_ctl::commit::commit;
-use radishstair_load::deploy::{Addresses, Plan, Process, Runners, lay_out};
+use radishstair_load::deploy::{Addresses, Plan, Process, Runners, expand};
 use radishstair_load::http::{Caller, Response};
 use radishstair_wire::platform::Client;
 use serde_json::{Value, json};
@@ -116,7 +116,7 @@
     /// Starts everything and waits until it serves.
     pub fn start(mut self) -> Site {
         self.plan.base_port = free_ports();
-        let (mut processes, addresses) = lay_out(&self.plan, TOKEN);
+        let (mut processes, addresses) = expand(&self.plan, TOKEN);
         if let Some(bound) = self.connections {
             let entries = processes
                 .iter_mut()
