--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -11,7 +11,7 @@
 
 record! {
     /// Runners of one pool in each zone.
-    pub struct Fleet {
+    pub struct RunnerGroup {
         /// Pool.
         pub pool: String,
         /// How many a zone.
@@ -77,7 +77,7 @@
 /// A change and its time.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct At {
+pub struct Event {
     /// From the start.
     #[serde_as(as = "DurationText")]
     pub after: Duration,
@@ -102,12 +102,12 @@
     /// Entry hosts a zone.
     pub hosts: usize,
     /// Runners.
-    pub fleet: Vec<Fleet>,
+    pub fleet: Vec<RunnerGroup>,
     /// Calls.
     pub traffic: Vec<Traffic>,
     /// What goes wrong.
     #[serde(default)]
-    pub events: Vec<At>,
+    pub events: Vec<Event>,
     /// Age of what hosts know of each other's calls.
     #[serde_as(as = "DurationText")]
     pub lag: Duration,
