--- a/crates/load/src/metrics.rs
+++ b/crates/load/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The measures of the brief, gathered over one run.
+//! Metrics of one simulation run: calls by result, latencies, tokens and cost.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,42 +10,42 @@
 
 use crate::scenario::{Change, Scenario, Traffic};
 
-/// How a call came out.
+/// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// Whole, and within its target.
+pub enum Status {
+    /// Completed within its target.
     InTime,
-    /// Whole, or still open, past its target.
+    /// Completed after its target, or still open past its target when the run ended.
     Late,
     /// Refused.
     Refused,
-    /// Broken off for good.
+    /// Broken off and not resumed.
     Broken,
 }
 
-/// One call that came out.
+/// One call that ended.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample<'a> {
     /// Class.
     pub class: &'a str,
     /// Customer.
     pub customer: &'a str,
-    /// How.
-    pub fate: Fate,
+    /// How it ended.
+    pub status: Status,
     /// Tokens generated for it.
     pub tokens: u32,
     /// Time to its first token.
-    pub first: Option<Duration>,
-    /// Whether it came back when it was told to.
-    pub came_back: bool,
-    /// Minute in which it came out.
+    pub first_token: Option<Duration>,
+    /// Whether it was a retry at a reserved time.
+    pub reserved_retry: bool,
+    /// Minute of the run in which it ended.
     pub minute: u64,
 }
 
-/// Counts of one class or customer.
+/// Number of calls of one class, customer or minute, by how they ended.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
-pub struct Tally {
-    /// Calls that came out.
+pub struct Counts {
+    /// All calls that ended.
     pub all: u64,
     /// In time.
     pub in_time: u64,
@@ -57,56 +57,56 @@
     pub broken: u64,
 }
 
-impl Tally {
+impl Counts {
     /// Share that came out in time.
     pub fn attainment(&self) -> f64 {
         self.in_time as f64 / (self.all as f64).max(1.0)
     }
 
-    fn add(&mut self, fate: Fate) {
+    fn add(&mut self, status: Status) {
         self.all += 1;
-        match fate {
-            Fate::InTime => self.in_time += 1,
-            Fate::Late => self.late += 1,
-            Fate::Refused => self.refused += 1,
-            Fate::Broken => self.broken += 1,
+        match status {
+            Status::InTime => self.in_time += 1,
+            Status::Late => self.late += 1,
+            Status::Refused => self.refused += 1,
+            Status::Broken => self.broken += 1,
         }
     }
 }
 
-/// Everything measured in one run.
+/// Metrics of one run.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     routes: BTreeMap<String, (Route, Duration)>,
-    equals: BTreeMap<String, Vec<String>>,
+    comparable_customers: BTreeMap<String, Vec<String>>,
     /// By class.
-    pub classes: BTreeMap<String, Tally>,
-    /// By class and customer.
-    pub customers: BTreeMap<(String, String), Tally>,
-    /// By class and minute.
-    pub minutes: BTreeMap<(String, u64), Tally>,
-    /// Times to the first token by class, in milliseconds.
-    pub first: BTreeMap<String, Histogram<u64>>,
-    /// Tokens of answers in time.
+    pub classes: BTreeMap<String, Counts>,
+    /// Calls by class and customer.
+    pub customers: BTreeMap<(String, String), Counts>,
+    /// Calls by class and minute.
+    pub minutes: BTreeMap<(String, u64), Counts>,
+    /// Time to the first token by class, in milliseconds.
+    pub first_token_ms: BTreeMap<String, Histogram<u64>>,
+    /// Tokens generated for calls in time.
     pub good_tokens: u64,
-    /// Tokens of answers that were late or broke.
+    /// Tokens generated for calls that were late or broken off.
     pub wasted_tokens: u64,
-    /// Tokens by pool.
-    pub pools: BTreeMap<String, u64>,
-    /// Calls broken by a reclaim.
+    /// Tokens generated, by pool.
+    pub pool_tokens: BTreeMap<String, u64>,
+    /// Number of times that a reclaim interrupted a running call.
     pub broken_by_reclaim: u64,
-    /// Price of the runners.
-    pub spending: f64,
-    /// Calls that came back as told, and those then in time.
+    /// Cost of the runners, in the unit of the scenario's prices.
+    pub cost: f64,
+    /// Retries at a reserved time, and those of them in time.
     pub reserved_retries: (u64, u64),
-    /// Refusals, and those given after more than 50 ms of waiting.
+    /// Refusals, and those more than 50 ms after arrival.
     pub refusals: (u64, u64),
-    /// Prompts read, and those found in a cache.
-    pub prompts: (u64, u64),
+    /// Prompts read, and those whose prefix was cached.
+    pub prefix_lookups: (u64, u64),
 }
 
 impl Metrics {
-    /// Nothing measured yet.
+    /// Routes each class of the scenario and starts all counts at zero.
     pub fn new(scenario: &Scenario, document: &Document) -> Self {
         let mut document = document.clone();
         let mut routes = BTreeMap::new();
@@ -132,29 +132,29 @@
                 routes.insert(traffic.class.clone(), (route, target));
             }
         }
-        let equals = scenario
+        let comparable = scenario
             .traffic
             .iter()
-            .map(|traffic| (traffic.class.clone(), equals(scenario, traffic)));
+            .map(|traffic| (traffic.class.clone(), comparable_customers(scenario, traffic)));
         Self {
-            equals: equals.collect(),
+            comparable_customers: comparable.collect(),
             routes,
             classes: BTreeMap::new(),
             customers: BTreeMap::new(),
             minutes: BTreeMap::new(),
-            first: BTreeMap::new(),
+            first_token_ms: BTreeMap::new(),
             good_tokens: 0,
             wasted_tokens: 0,
-            pools: BTreeMap::new(),
+            pool_tokens: BTreeMap::new(),
             broken_by_reclaim: 0,
-            spending: 0.0,
+            cost: 0.0,
             reserved_retries: (0, 0),
             refusals: (0, 0),
-            prompts: (0, 0),
+            prefix_lookups: (0, 0),
         }
     }
 
-    /// Tier and pools of a class.
+    /// Tier and pools of a class, as routed for its first customer.
     pub fn route(&self, class: &str) -> (String, Arc<[String]>) {
         match self.routes.get(class) {
             Some((route, _)) => (route.tier.clone(), route.pools.clone()),
@@ -162,101 +162,104 @@
         }
     }
 
-    /// Target of a class.
+    /// Latency target of a class.
     pub fn target(&self, class: &str) -> Duration {
         self.routes
             .get(class)
             .map_or(Duration::ZERO, |(_, target)| *target)
     }
 
-    /// Counts a prompt that was read.
-    pub fn cache(&mut self, hit: bool, counts: bool) {
-        if counts {
-            self.prompts.0 += 1;
-            self.prompts.1 += u64::from(hit);
+    /// Counts a prompt read and whether its prefix was cached, if `enabled`.
+    pub fn record_prefix_lookup(&mut self, hit: bool, enabled: bool) {
+        if enabled {
+            self.prefix_lookups.0 += 1;
+            self.prefix_lookups.1 += u64::from(hit);
         }
     }
 
-    /// Counts tokens made in a pool.
-    pub fn work(&mut self, pool: &str, tokens: u32) {
-        *self.pools.entry(pool.to_string()).or_default() += u64::from(tokens);
+    /// Counts tokens generated in a pool.
+    pub fn record_tokens(&mut self, pool: &str, tokens: u32) {
+        *self.pool_tokens.entry(pool.to_string()).or_default() += u64::from(tokens);
     }
 
-    /// Counts a refusal, given after a wait in microseconds.
-    pub fn refusal(&mut self, waited: u64) {
+    /// Counts a refusal that came `waited_us` microseconds after arrival.
+    pub fn record_refusal(&mut self, waited_us: u64) {
         self.refusals.0 += 1;
-        self.refusals.1 += u64::from(waited > 50_000);
+        self.refusals.1 += u64::from(waited_us > 50_000);
     }
 
-    /// Counts a call that came out.
-    pub fn settle(&mut self, sample: &Sample<'_>) {
+    /// Counts a call that ended.
+    pub fn record_call(&mut self, sample: &Sample<'_>) {
         let class = sample.class.to_string();
-        if sample.came_back {
+        if sample.reserved_retry {
             self.reserved_retries.0 += 1;
-            self.reserved_retries.1 += u64::from(sample.fate == Fate::InTime);
+            self.reserved_retries.1 += u64::from(sample.status == Status::InTime);
         }
-        self.classes.entry(class.clone()).or_default().add(sample.fate);
+        self.classes.entry(class.clone()).or_default().add(sample.status);
         let customer = (class.clone(), sample.customer.to_string());
-        self.customers.entry(customer).or_default().add(sample.fate);
+        self.customers.entry(customer).or_default().add(sample.status);
         self.minutes
             .entry((class.clone(), sample.minute))
             .or_default()
-            .add(sample.fate);
-        match sample.fate {
-            Fate::InTime => self.good_tokens += u64::from(sample.tokens),
+            .add(sample.status);
+        match sample.status {
+            Status::InTime => self.good_tokens += u64::from(sample.tokens),
             _ => self.wasted_tokens += u64::from(sample.tokens),
         }
-        if let Some(first) = sample.first {
-            let histogram = self.first.entry(class).or_insert_with(new_histogram);
-            let _ = histogram.record(first.as_millis() as u64);
+        if let Some(latency) = sample.first_token {
+            let histogram = self.first_token_ms.entry(class).or_insert_with(new_histogram);
+            let _ = histogram.record(latency.as_millis() as u64);
         }
     }
 
-    /// Share of all calls that came out in time.
+    /// Fraction of all calls in time.
     pub fn attainment(&self) -> f64 {
-        let all: u64 = self.classes.values().map(|tally| tally.all).sum();
-        let in_time: u64 = self.classes.values().map(|tally| tally.in_time).sum();
+        let all: u64 = self.classes.values().map(|counts| counts.all).sum();
+        let in_time: u64 = self.classes.values().map(|counts| counts.in_time).sum();
         in_time as f64 / (all as f64).max(1.0)
     }
 
-    /// Attainment of the worst customer of a class over that of the median,
-    /// among those of equal demand: a large customer that gets as much as a
-    /// small one is not served worse than it.
-    pub fn worst_customer(&self, class: &str) -> f64 {
-        let equal = self.equals.get(class).map_or(&[][..], Vec::as_slice);
-        let tallies = self
-            .customers
-            .iter()
-            .filter(|((have, name), tally)| have == class && equal.contains(name) && tally.all >= 5);
-        let mut shares: Vec<f64> = tallies.map(|(_, tally)| tally.attainment()).collect();
-        shares.sort_by(f64::total_cmp);
-        match shares.as_slice() {
+    /// Lowest attainment of a customer of a class, divided by the median customer's.
+    ///
+    /// Only customers of equal demand and with at least five calls are compared: a large customer
+    /// that gets the same share as a small one has a lower attainment, but is not treated worse.
+    pub fn customer_ratio(&self, class: &str) -> f64 {
+        let customers = self
+            .comparable_customers
+            .get(class)
+            .map_or(&[][..], Vec::as_slice);
+        let eligible = self.customers.iter().filter(|((of_class, name), counts)| {
+            of_class == class && customers.contains(name) && counts.all >= 5
+        });
+        let mut attainments: Vec<f64> = eligible.map(|(_, counts)| counts.attainment()).collect();
+        attainments.sort_by(f64::total_cmp);
+        match attainments.as_slice() {
             [] => 1.0,
             all => all[0] / all[all.len() / 2].max(1e-9),
         }
     }
 
-    /// The lowest of the classes' worst customers.
-    pub fn worst(&self) -> f64 {
+    /// Lowest [`Self::customer_ratio`] of any class.
+    pub fn worst_customer_ratio(&self) -> f64 {
         self.classes
             .keys()
-            .map(|class| self.worst_customer(class))
+            .map(|class| self.customer_ratio(class))
             .fold(1.0, f64::min)
     }
 
-    /// Fewest calls of a class that came out whole in any whole minute.
+    /// Minimum number of completed calls of a class in any minute in which a call of it ended.
     pub fn min_completions_per_minute(&self, class: &str) -> u64 {
-        let minutes = self.minutes.iter().filter(|((have, _), _)| have == class);
+        let minutes = self.minutes.iter().filter(|((of_class, _), _)| of_class == class);
         minutes
-            .map(|(_, tally)| tally.in_time + tally.late)
+            .map(|(_, counts)| counts.in_time + counts.late)
             .min()
             .unwrap_or(0)
     }
 }
 
-/// The largest group of customers with one demand; none that floods.
-fn equals(scenario: &Scenario, traffic: &Traffic) -> Vec<String> {
-    let floods = |name: &String| {
+/// Largest group of customers of equal demand, without those that flood.
+fn comparable_customers(scenario: &Scenario, traffic: &Traffic) -> Vec<String> {
+    let has_flood = |name: &String| {
         let changes = scenario.events.iter().map(|event| &event.change);
         changes
             .into_iter()
@@ -266,7 +269,7 @@
         let same = traffic
             .customers
             .iter()
-            .filter(|(name, other)| *other == demand && !floods(name));
+            .filter(|(name, other)| *other == demand && !has_flood(name));
         same.map(|(name, _)| name.clone()).collect()
     };
     let groups = traffic.customers.iter().map(|(_, demand)| group(*demand));
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -59,14 +59,17 @@
             .flat_map(|run| run.classes.keys())
             .collect::<std::collections::BTreeSet<_>>()
         {
-            let of = |run: &Metrics| run.classes.get(class).map_or(0.0, |tally| tally.attainment());
+            let of = |run: &Metrics| run.classes.get(class).map_or(0.0, |counts| counts.attainment());
             figures.push((format!("attainment {class}"), self.spread(of)));
-            let late = |run: &Metrics| run.classes.get(class).map_or(0.0, |tally| tally.late as f64);
+            let late = |run: &Metrics| run.classes.get(class).map_or(0.0, |counts| counts.late as f64);
             figures.push((format!("late {class}"), self.spread(late)));
             let poorest = |run: &Metrics| run.min_completions_per_minute(class) as f64;
             figures.push((format!("poorest minute {class}"), self.spread(poorest)));
         }
-        figures.push(("worst customer".into(), self.spread(Metrics::worst)));
+        figures.push((
+            "worst customer".into(),
+            self.spread(Metrics::worst_customer_ratio),
+        ));
         figures.push(("good tokens".into(), self.spread(|run| run.good_tokens as f64)));
         figures.push((
             "wasted tokens".into(),
@@ -79,22 +82,22 @@
         ));
         let kept = |run: &Metrics| run.reserved_retries.1 as f64 / (run.reserved_retries.0 as f64).max(1.0);
         figures.push(("promises kept".into(), self.spread(kept)));
-        let hits = |run: &Metrics| run.prompts.1 as f64 / (run.prompts.0 as f64).max(1.0);
+        let hits = |run: &Metrics| run.prefix_lookups.1 as f64 / (run.prefix_lookups.0 as f64).max(1.0);
         figures.push(("prefix hits".into(), self.spread(hits)));
         figures.push((
             "broken by reclaim".into(),
             self.spread(|run| run.broken_by_reclaim as f64),
         ));
-        figures.push(("spending".into(), self.spread(|run| run.spending)));
+        figures.push(("spending".into(), self.spread(|run| run.cost)));
         for pool in self
             .runs
             .iter()
-            .flat_map(|run| run.pools.keys())
+            .flat_map(|run| run.pool_tokens.keys())
             .collect::<std::collections::BTreeSet<_>>()
         {
             let share = |run: &Metrics| {
-                let all: u64 = run.pools.values().sum();
-                run.pools.get(pool).copied().unwrap_or(0) as f64 / (all as f64).max(1.0)
+                let all: u64 = run.pool_tokens.values().sum();
+                run.pool_tokens.get(pool).copied().unwrap_or(0) as f64 / (all as f64).max(1.0)
             };
             figures.push((format!("work on {pool}"), self.spread(share)));
         }
@@ -180,7 +183,7 @@
     for (at, row) in rows.iter().enumerate() {
         let color = Palette99::pick(at).to_rgba();
         let bar = |(class, name): (usize, &String)| {
-            let of = |run: &Metrics| run.classes.get(name).map_or(0.0, |tally| tally.attainment());
+            let of = |run: &Metrics| run.classes.get(name).map_or(0.0, |counts| counts.attainment());
             let x = class * (rows.len() + 1) + at;
             let corners = [
                 (SegmentValue::Exact(x), 0.0),
--- a/crates/load/src/simulation.rs
+++ b/crates/load/src/simulation.rs
@@ -25,7 +25,7 @@
 use arrival::MOST_TOKENS;
 use engine::{Engine, engines};
 
-use crate::metrics::{Fate, Metrics, Sample};
+use crate::metrics::{Metrics, Sample, Status};
 use crate::scenario::Scenario;
 
 /// Microseconds of one millisecond.
@@ -180,15 +180,15 @@
                 engine.on_time += self.now - engine.since;
             }
             let price = self.scenario.fleet[engine.fleet].price;
-            self.metrics.spending += engine.on_time as f64 / 3.6e9 * price;
+            self.metrics.cost += engine.on_time as f64 / 3.6e9 * price;
         }
         // What has waited past its target by the end was not served in time.
         let open: Vec<usize> = (0..self.jobs.len()).filter(|job| !self.jobs[*job].over).collect();
         for job in open {
             if self.jobs[job].arrived > self.now {
-                self.settle(job, Fate::Refused);
+                self.settle(job, Status::Refused);
             } else if self.now - self.jobs[job].arrived > self.target(job) && self.jobs[job].first.is_none() {
-                self.settle(job, Fate::Late);
+                self.settle(job, Status::Late);
             }
         }
         self.metrics
@@ -306,7 +306,8 @@
         let share = if hit.is_some() { CACHED } else { 1.0 };
         let read = fleet.prefill_ms * share * item.slow;
         let left = self.jobs[job].tokens - self.jobs[job].done;
-        self.metrics.cache(hit.is_some(), fleet.prefill_ms > 0.0);
+        self.metrics
+            .record_prefix_lookup(hit.is_some(), fleet.prefill_ms > 0.0);
         let first = ((read + pace) * MS as f64) as u64;
         let span = ((read + pace * f64::from(left)) * MS as f64) as u64;
         self.jobs[job].started = self.now;
@@ -333,7 +334,8 @@
         self.jobs[job].done = self.jobs[job].tokens;
         let pace = self.jobs[job].span as f64 / MS as f64 / f64::from(made.max(1));
         self.vacate(engine, job);
-        self.metrics.work(&self.engines[engine].listed.pool, made);
+        self.metrics
+            .record_tokens(&self.engines[engine].listed.pool, made);
         self.release(
             job,
             &Outcome::Completed {
@@ -348,7 +350,7 @@
             self.jobs[job].first.unwrap_or(self.now)
         };
         let in_time = first - self.jobs[job].arrived <= self.target(job);
-        self.settle(job, if in_time { Fate::InTime } else { Fate::Late });
+        self.settle(job, if in_time { Status::InTime } else { Status::Late });
     }
 
     fn vacate(&mut self, engine: usize, job: usize) {
@@ -383,7 +385,7 @@
             return;
         }
         if self.jobs[job].tries as usize >= TRIES {
-            self.settle(job, Fate::Broken);
+            self.settle(job, Status::Broken);
             return;
         }
         self.seek(job);
@@ -394,10 +396,10 @@
             return;
         }
         if self.jobs[job].done > 0 {
-            self.settle(job, Fate::Broken);
+            self.settle(job, Status::Broken);
             return;
         }
-        self.metrics.refusal(self.now - self.jobs[job].arrived);
+        self.metrics.record_refusal(self.now - self.jobs[job].arrived);
         match refusal.retry_after {
             Some(after) if !self.jobs[job].came_back => {
                 // One call, counted once, by what became of it in the end.
@@ -413,7 +415,7 @@
                 self.jobs.push(back);
                 self.plan(after, Event::Return(self.jobs.len() - 1));
             }
-            _ => self.settle(job, Fate::Refused),
+            _ => self.settle(job, Status::Refused),
         }
     }
 
@@ -422,22 +424,22 @@
         self.metrics.target(class).as_micros() as u64
     }
 
-    fn settle(&mut self, job: usize, fate: Fate) {
+    fn settle(&mut self, job: usize, status: Status) {
         if self.jobs[job].over {
             return;
         }
         self.jobs[job].over = true;
         let item = &self.jobs[job];
         let traffic = &self.scenario.traffic[item.traffic];
-        self.metrics.settle(&Sample {
+        self.metrics.record_call(&Sample {
             class: &traffic.class,
             customer: &traffic.customers[item.customer].0,
-            fate,
+            status,
             tokens: item.done,
-            first: item
+            first_token: item
                 .first
                 .map(|first| Duration::from_micros(first - item.arrived)),
-            came_back: item.promised && item.arrived <= self.now,
+            reserved_retry: item.promised && item.arrived <= self.now,
             minute: self.now.saturating_sub(1) / 60_000_000,
         });
     }
--- a/crates/load/src/simulation/faults.rs
+++ b/crates/load/src/simulation/faults.rs
@@ -101,7 +101,7 @@
             let made = ((f64::from(left) * spent) as u32).min(left);
             // What the caller has stays its own; the next runner goes on.
             self.jobs[job].done += made.min(left.saturating_sub(1));
-            self.metrics.work(&pool, made);
+            self.metrics.record_tokens(&pool, made);
             self.metrics.broken_by_reclaim += 1;
             self.release(job, &Outcome::Failed { tokens: made });
             self.again(job);
