--- a/crates/load/src/metrics.rs
+++ b/crates/load/src/metrics.rs
@@ -58,7 +58,7 @@
 }
 
 impl Counts {
-    /// Share that came out in time.
+    /// Fraction of calls in time.
     pub fn attainment(&self) -> f64 {
         self.in_time as f64 / (self.all as f64).max(1.0)
     }
@@ -79,7 +79,7 @@
 pub struct Metrics {
     routes: BTreeMap<String, (Route, Duration)>,
     comparable_customers: BTreeMap<String, Vec<String>>,
-    /// By class.
+    /// Calls by class.
     pub classes: BTreeMap<String, Counts>,
     /// Calls by class and customer.
     pub customers: BTreeMap<(String, String), Counts>,
--- a/crates/load/src/simulation.rs
+++ b/crates/load/src/simulation.rs
@@ -1,8 +1,10 @@
-//! Plays a scenario against the decision library, with runners in memory.
+//! Discrete-event simulation of a scenario: real dispatchers, engines in memory.
 //!
-//! Each host has its own dispatcher and hears of the others' calls late. A
-//! runner takes calls into its slots by priority; a token takes longer the
-//! fuller it is. Callers that are refused come back once, when they were told.
+//! Each host has its own dispatcher and receives its zone peers' reports at
+//! intervals. An engine assigns queued calls to its slots by priority, and its
+//! time per token grows with the number of running calls. A refused caller
+//! retries once, after the delay given in the refusal. Times are in
+//! microseconds from the start of the run.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -22,80 +24,90 @@
 mod engine;
 mod faults;
 
-use arrival::MOST_TOKENS;
-use engine::{Engine, engines};
+use arrival::MAX_TOKENS;
+use engine::{Engine, create_engines};
 
 use crate::metrics::{Metrics, Sample, Status};
 use crate::scenario::Scenario;
 
-/// Microseconds of one millisecond.
-const MS: u64 = 1_000;
-/// Time between ticks of a dispatcher.
-const TICK: u64 = 50 * MS;
-/// Prompt beginnings that a runner remembers.
-const CACHE: usize = 24;
-/// Share of reading a prompt that a remembered beginning leaves.
-const CACHED: f64 = 0.1;
-/// Times that a broken call is tried again.
-const TRIES: usize = 3;
+/// Microseconds in a millisecond.
+const US_PER_MS: u64 = 1_000;
+/// Interval between ticks of a dispatcher.
+const TICK_INTERVAL_US: u64 = 50 * US_PER_MS;
+/// Maximum number of prompt prefixes that an engine caches.
+const CACHE_CAPACITY: usize = 24;
+/// Fraction of the prefill time that remains if the prefix is cached.
+const CACHED_PREFILL_SHARE: f64 = 0.1;
+/// Maximum number of attempts of a call whose engines fail.
+const MAX_ATTEMPTS: usize = 3;
 
+/// An event, with the index of the item that it concerns.
 enum Event {
-    Arrive(usize),
-    Return(usize),
+    /// A call of a traffic entry arrives.
+    Arrival(usize),
+    /// A refused job is submitted again.
+    Retry(usize),
+    /// A host's dispatcher ticks.
     Tick(usize),
-    Tell(usize),
-    First(usize, u32),
-    Finish(usize, u32),
+    /// A host reports to its zone peers.
+    PeerReport(usize),
+    /// A job gets its first token in the given attempt.
+    FirstToken(usize, u32),
+    /// A job completes in the given attempt.
+    Completion(usize, u32),
+    /// A change of the scenario takes effect.
     Change(usize),
-    Gone(usize),
+    /// An engine stops.
+    EngineStop(usize),
 }
 
+/// A call and its progress.
 #[derive(Clone)]
 struct Job {
     traffic: usize,
     customer: usize,
     host: usize,
-    arrived: u64,
+    arrived_us: u64,
     tokens: u32,
     prefix: u64,
-    came_back: bool,
-    promised: bool,
-    tries: u32,
-    first: Option<u64>,
-    done: u32,
+    retried: bool,
+    reserved: bool,
+    attempts: u32,
+    first_token_us: Option<u64>,
+    delivered: u32,
     avoid: Vec<radishstair_core::runner::Key>,
-    seek: Option<Submission>,
+    submission: Option<Submission>,
     runner: Option<(usize, radishstair_core::runner::Key)>,
-    started: u64,
-    span: u64,
+    started_us: u64,
+    duration_us: u64,
     priority: u8,
-    over: bool,
+    ended: bool,
 }
 
 /// A run of one scenario with one policy and seed.
 pub struct Simulation<'a> {
     scenario: &'a Scenario,
-    now: u64,
+    now_us: u64,
     rng: ChaCha8Rng,
     hosts: Vec<Dispatcher>,
-    zones: Vec<usize>,
-    /// What each host last said of its waiting calls, by pool.
-    waiting: Vec<Vec<(String, u32)>>,
+    host_zones: Vec<usize>,
+    /// Waiting calls that each host last reported, by pool.
+    reported_waiting: Vec<Vec<(String, u32)>>,
     engines: Vec<Engine>,
     jobs: Vec<Job>,
-    rates: Vec<Vec<f64>>,
-    queue: BinaryHeap<Reverse<(u64, u64)>>,
-    events: BTreeMap<u64, Event>,
-    serial: u64,
-    silent: bool,
+    rate_factors: Vec<Vec<f64>>,
+    timeline: BinaryHeap<Reverse<(u64, u64)>>,
+    pending: BTreeMap<u64, Event>,
+    last_serial: u64,
+    partitioned: bool,
     metrics: Metrics,
 }
 
-/// Plays a scenario and measures it.
+/// Runs a scenario and returns its metrics.
 pub fn simulate(scenario: &Scenario, document: &Document, policy: Policy, seed: u64) -> Metrics {
     let mut simulation = Simulation::new(scenario, document, policy, seed);
     simulation.run();
-    simulation.finish()
+    simulation.into_metrics()
 }
 
 impl<'a> Simulation<'a> {
@@ -113,82 +125,87 @@
         let view = Arc::new(View::new(1, document_with_keys));
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut hosts = Vec::new();
-        let mut zones = Vec::new();
+        let mut host_zones = Vec::new();
         for (at, zone) in scenario.zones.iter().enumerate() {
             for _ in 0..scenario.hosts {
                 let mut host = Dispatcher::new(zone, rng.random(), policy);
                 host.set_view(view.clone());
                 host.set_hosts(scenario.hosts, scenario.zones.len() * scenario.hosts, hosts.len());
                 hosts.push(host);
-                zones.push(at);
+                host_zones.push(at);
             }
         }
-        let rates = scenario
+        let rate_factors = scenario
             .traffic
             .iter()
             .map(|traffic| vec![1.0; traffic.customers.len()])
             .collect();
         Self {
             scenario,
-            now: 0,
+            now_us: 0,
             rng,
             hosts,
-            waiting: vec![Vec::new(); zones.len()],
-            zones,
-            engines: engines(scenario),
+            reported_waiting: vec![Vec::new(); host_zones.len()],
+            host_zones,
+            engines: create_engines(scenario),
             jobs: Vec::new(),
-            rates,
-            queue: BinaryHeap::new(),
-            events: BTreeMap::new(),
-            serial: 0,
-            silent: false,
+            rate_factors,
+            timeline: BinaryHeap::new(),
+            pending: BTreeMap::new(),
+            last_serial: 0,
+            partitioned: false,
             metrics: Metrics::new(scenario, document),
         }
     }
 
     fn run(&mut self) {
-        self.relist();
+        self.publish_list();
         for host in 0..self.hosts.len() {
-            let offset = self.rng.random_range(0..TICK);
-            self.plan(offset, Event::Tick(host));
+            let offset = self.rng.random_range(0..TICK_INTERVAL_US);
+            self.schedule(offset, Event::Tick(host));
             let lag = self.scenario.lag.as_micros() as u64;
             let offset = self.rng.random_range(0..lag.max(1));
-            self.plan(offset, Event::Tell(host));
+            self.schedule(offset, Event::PeerReport(host));
         }
         for traffic in 0..self.scenario.traffic.len() {
-            self.plan_arrival(traffic);
+            self.schedule_arrival(traffic);
         }
         for (at, event) in self.scenario.events.iter().enumerate() {
-            self.plan(event.after.as_micros() as u64, Event::Change(at));
+            self.schedule(event.after.as_micros() as u64, Event::Change(at));
         }
-        let end = self.scenario.length.as_micros() as u64;
-        while let Some(Reverse((time, serial))) = self.queue.pop() {
-            if time > end {
+        let end_us = self.scenario.length.as_micros() as u64;
+        while let Some(Reverse((time_us, serial))) = self.timeline.pop() {
+            if time_us > end_us {
                 break;
             }
-            self.now = time;
-            if let Some(event) = self.events.remove(&serial) {
+            self.now_us = time_us;
+            if let Some(event) = self.pending.remove(&serial) {
                 self.handle(event);
             }
         }
-        self.now = end;
+        self.now_us = end_us;
     }
 
-    fn finish(mut self) -> Metrics {
+    fn into_metrics(mut self) -> Metrics {
         for engine in &mut self.engines {
-            if !engine.gone {
-                engine.on_time += self.now - engine.since;
+            if !engine.stopped {
+                engine.uptime_us += self.now_us - engine.started_us;
             }
-            let price = self.scenario.fleet[engine.fleet].price;
-            self.metrics.cost += engine.on_time as f64 / 3.6e9 * price;
+            let price = self.scenario.fleet[engine.group].price;
+            self.metrics.cost += engine.uptime_us as f64 / 3.6e9 * price;
         }
-        // What has waited past its target by the end was not served in time.
-        let open: Vec<usize> = (0..self.jobs.len()).filter(|job| !self.jobs[*job].over).collect();
+        // Open calls past their target count as late. A retry that is due after the end counts as
+        // refused.
+        let open: Vec<usize> = (0..self.jobs.len())
+            .filter(|job| !self.jobs[*job].ended)
+            .collect();
         for job in open {
-            if self.jobs[job].arrived > self.now {
-                self.settle(job, Status::Refused);
-            } else if self.now - self.jobs[job].arrived > self.target(job) && self.jobs[job].first.is_none() {
-                self.settle(job, Status::Late);
+            if self.jobs[job].arrived_us > self.now_us {
+                self.end_call(job, Status::Refused);
+            } else if self.now_us - self.jobs[job].arrived_us > self.target_us(job)
+                && self.jobs[job].first_token_us.is_none()
+            {
+                self.end_call(job, Status::Late);
             }
         }
         self.metrics
@@ -196,66 +213,67 @@
 
     fn moment(&self) -> Moment {
         Moment {
-            mono_us: 1_000_000_000 + self.now,
-            wall_ms: 1_000_000 + self.now / MS,
+            mono_us: 1_000_000_000 + self.now_us,
+            wall_ms: 1_000_000 + self.now_us / US_PER_MS,
         }
     }
 
-    fn plan(&mut self, after: u64, event: Event) {
-        self.serial += 1;
-        self.queue.push(Reverse((self.now + after, self.serial)));
-        self.events.insert(self.serial, event);
+    fn schedule(&mut self, delay_us: u64, event: Event) {
+        self.last_serial += 1;
+        self.timeline
+            .push(Reverse((self.now_us + delay_us, self.last_serial)));
+        self.pending.insert(self.last_serial, event);
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive(traffic) => {
+            Event::Arrival(traffic) => {
                 self.arrive(traffic);
-                self.plan_arrival(traffic);
+                self.schedule_arrival(traffic);
             }
-            Event::Return(job) => self.seek(job),
+            Event::Retry(job) => self.submit(job),
             Event::Tick(host) => {
                 let now = self.moment();
                 let decisions = self.hosts[host].tick(now);
-                self.decide(decisions);
-                self.plan(TICK, Event::Tick(host));
+                self.apply(decisions);
+                self.schedule(TICK_INTERVAL_US, Event::Tick(host));
             }
-            Event::Tell(host) => {
-                self.tell(host);
-                self.plan(self.scenario.lag.as_micros() as u64, Event::Tell(host));
+            Event::PeerReport(host) => {
+                self.report_to_peers(host);
+                self.schedule(self.scenario.lag.as_micros() as u64, Event::PeerReport(host));
             }
-            Event::First(job, tries) => self.first(job, tries),
-            Event::Finish(job, tries) => self.end(job, tries),
-            Event::Change(at) => self.change(at),
-            Event::Gone(engine) => self.vanish(engine),
+            Event::FirstToken(job, attempt) => self.record_first_token(job, attempt),
+            Event::Completion(job, attempt) => self.complete(job, attempt),
+            Event::Change(at) => self.apply_change(at),
+            Event::EngineStop(engine) => self.stop_engine(engine),
         }
     }
 
-    fn seek(&mut self, job: usize) {
+    fn submit(&mut self, job: usize) {
         let item = &self.jobs[job];
         let traffic = &self.scenario.traffic[item.traffic];
         let customer = &traffic.customers[item.customer].0;
         let (tier, pools) = self.metrics.route(&traffic.class);
-        let seek = Submission {
+        let submission = Submission {
             call: CallId(job as u64),
             tier,
             customer: customer.clone(),
             key: customer.clone(),
             class: traffic.class.clone(),
             pools,
-            max_tokens: if traffic.tokens == 0.0 { 1 } else { MOST_TOKENS },
+            max_tokens: if traffic.tokens == 0.0 { 1 } else { MAX_TOKENS },
             prefix_hash: (traffic.tokens > 0.0).then_some(item.prefix),
             avoid: item.avoid.clone(),
-            reserved: item.promised,
+            reserved: item.reserved,
         };
         let host = item.host;
-        self.jobs[job].seek = Some(seek.clone());
+        self.jobs[job].submission = Some(submission.clone());
         let now = self.moment();
-        let decisions = self.hosts[host].submit(now, seek);
-        self.decide(decisions);
+        let decisions = self.hosts[host].submit(now, submission);
+        self.apply(decisions);
     }
 
-    fn decide(&mut self, decisions: Vec<Decision>) {
+    fn apply(&mut self, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
                 Decision::Start(start) => self.start(&start),
@@ -264,24 +282,24 @@
         }
     }
 
-    fn start(&mut self, start: &Assignment) {
-        let job = start.call.0 as usize;
+    fn start(&mut self, assignment: &Assignment) {
+        let job = assignment.call.0 as usize;
         let Some(engine) = self
             .engines
             .iter()
-            .position(|engine| engine.listed.name == start.name)
+            .position(|engine| engine.listing.name == assignment.name)
         else {
             return;
         };
-        self.jobs[job].runner = Some((engine, start.runner));
-        self.jobs[job].priority = start.priority;
-        self.jobs[job].tries += 1;
-        if self.engines[engine].gone {
+        self.jobs[job].runner = Some((engine, assignment.runner));
+        self.jobs[job].priority = assignment.priority;
+        self.jobs[job].attempts += 1;
+        if self.engines[engine].stopped {
             self.release(job, &Outcome::ConnectionRefused);
-            self.again(job);
+            self.resubmit(job);
             return;
         }
-        if self.engines[engine].running.len() < self.engines[engine].listed.slots as usize {
+        if self.engines[engine].running.len() < self.engines[engine].listing.slots as usize {
             self.run_on(engine, job);
         } else {
             self.engines[engine].queue.push(job);
@@ -289,75 +307,78 @@
     }
 
     fn run_on(&mut self, engine: usize, job: usize) {
-        let fleet = &self.scenario.fleet[self.engines[engine].fleet];
+        let group = &self.scenario.fleet[self.engines[engine].group];
         let item = &mut self.engines[engine];
         item.running.push(job);
-        let full = item.running.len() as f64 / f64::from(item.listed.slots.max(1));
-        let pace = fleet.pace_ms * (1.0 + full) * item.slow;
+        let load = item.running.len() as f64 / f64::from(item.listing.slots.max(1));
+        let pace_ms = group.pace_ms * (1.0 + load) * item.slowdown;
         let prefix = self.jobs[job].prefix;
-        let hit = item.cache.iter().position(|have| *have == prefix);
+        let hit = item.cached_prefixes.iter().position(|cached| *cached == prefix);
         if let Some(at) = hit {
-            item.cache.remove(at);
+            item.cached_prefixes.remove(at);
         }
-        item.cache.push_back(prefix);
-        if item.cache.len() > CACHE {
-            item.cache.pop_front();
+        item.cached_prefixes.push_back(prefix);
+        if item.cached_prefixes.len() > CACHE_CAPACITY {
+            item.cached_prefixes.pop_front();
         }
-        let share = if hit.is_some() { CACHED } else { 1.0 };
-        let read = fleet.prefill_ms * share * item.slow;
-        let left = self.jobs[job].tokens - self.jobs[job].done;
+        let prefill_share = if hit.is_some() { CACHED_PREFILL_SHARE } else { 1.0 };
+        let prefill_ms = group.prefill_ms * prefill_share * item.slowdown;
+        let remaining = self.jobs[job].tokens - self.jobs[job].delivered;
         self.metrics
-            .record_prefix_lookup(hit.is_some(), fleet.prefill_ms > 0.0);
-        let first = ((read + pace) * MS as f64) as u64;
-        let span = ((read + pace * f64::from(left)) * MS as f64) as u64;
-        self.jobs[job].started = self.now;
-        self.jobs[job].span = span.max(1);
-        let tries = self.jobs[job].tries;
-        self.plan(first, Event::First(job, tries));
-        self.plan(span, Event::Finish(job, tries));
+            .record_prefix_lookup(hit.is_some(), group.prefill_ms > 0.0);
+        let first_token_us = ((prefill_ms + pace_ms) * US_PER_MS as f64) as u64;
+        let duration_us = ((prefill_ms + pace_ms * f64::from(remaining)) * US_PER_MS as f64) as u64;
+        self.jobs[job].started_us = self.now_us;
+        self.jobs[job].duration_us = duration_us.max(1);
+        let attempt = self.jobs[job].attempts;
+        self.schedule(first_token_us, Event::FirstToken(job, attempt));
+        self.schedule(duration_us, Event::Completion(job, attempt));
     }
 
-    fn first(&mut self, job: usize, tries: u32) {
-        if self.jobs[job].tries == tries && !self.jobs[job].over && self.jobs[job].first.is_none() {
-            self.jobs[job].first = Some(self.now);
+    fn record_first_token(&mut self, job: usize, attempt: u32) {
+        if self.jobs[job].attempts == attempt
+            && !self.jobs[job].ended
+            && self.jobs[job].first_token_us.is_none()
+        {
+            self.jobs[job].first_token_us = Some(self.now_us);
         }
     }
 
-    fn end(&mut self, job: usize, tries: u32) {
-        if self.jobs[job].tries != tries || self.jobs[job].over {
+    fn complete(&mut self, job: usize, attempt: u32) {
+        if self.jobs[job].attempts != attempt || self.jobs[job].ended {
             return;
         }
         let Some((engine, _)) = self.jobs[job].runner else {
             return;
         };
-        let made = self.jobs[job].tokens - self.jobs[job].done;
-        self.jobs[job].done = self.jobs[job].tokens;
-        let pace = self.jobs[job].span as f64 / MS as f64 / f64::from(made.max(1));
-        self.vacate(engine, job);
+        let generated = self.jobs[job].tokens - self.jobs[job].delivered;
+        self.jobs[job].delivered = self.jobs[job].tokens;
+        let pace_ms = self.jobs[job].duration_us as f64 / US_PER_MS as f64 / f64::from(generated.max(1));
+        self.free_slot(engine, job);
         self.metrics
-            .record_tokens(&self.engines[engine].listed.pool, made);
+            .record_tokens(&self.engines[engine].listing.pool, generated);
         self.release(
             job,
             &Outcome::Completed {
-                tokens: made,
-                ms_per_token: pace,
+                tokens: generated,
+                ms_per_token: pace_ms,
             },
         );
         let plain = self.scenario.traffic[self.jobs[job].traffic].tokens == 0.0;
-        let first = if plain {
-            self.now
+        let served_us = if plain {
+            self.now_us
         } else {
-            self.jobs[job].first.unwrap_or(self.now)
+            self.jobs[job].first_token_us.unwrap_or(self.now_us)
         };
-        let in_time = first - self.jobs[job].arrived <= self.target(job);
-        self.settle(job, if in_time { Status::InTime } else { Status::Late });
+        let in_time = served_us - self.jobs[job].arrived_us <= self.target_us(job);
+        self.end_call(job, if in_time { Status::InTime } else { Status::Late });
     }
 
-    fn vacate(&mut self, engine: usize, job: usize) {
+    fn free_slot(&mut self, engine: usize, job: usize) {
         let item = &mut self.engines[engine];
-        item.running.retain(|have| *have != job);
-        item.queue.retain(|have| *have != job);
-        if item.gone || item.queue.is_empty() || item.running.len() >= item.listed.slots as usize {
+        item.running.retain(|other| *other != job);
+        item.queue.retain(|other| *other != job);
+        if item.stopped || item.queue.is_empty() || item.running.len() >= item.listing.slots as usize {
             return;
         }
         let jobs = &self.jobs;
@@ -369,78 +390,81 @@
     }
 
     fn release(&mut self, job: usize, outcome: &Outcome) {
-        let (Some((_, key)), Some(seek)) = (self.jobs[job].runner.take(), self.jobs[job].seek.clone()) else {
+        let (Some((_, key)), Some(submission)) =
+            (self.jobs[job].runner.take(), self.jobs[job].submission.clone())
+        else {
             return;
         };
         self.jobs[job].avoid.push(key);
         let host = self.jobs[job].host;
         let now = self.moment();
-        let decisions = self.hosts[host].finish(now, &seek, key, outcome);
-        self.decide(decisions);
+        let decisions = self.hosts[host].finish(now, &submission, key, outcome);
+        self.apply(decisions);
     }
 
-    /// A call that its runner broke off: it goes on elsewhere.
-    fn again(&mut self, job: usize) {
-        if self.jobs[job].over {
+    /// Submits a call again after a failed attempt, if it has attempts left.
+    fn resubmit(&mut self, job: usize) {
+        if self.jobs[job].ended {
             return;
         }
-        if self.jobs[job].tries as usize >= TRIES {
-            self.settle(job, Status::Broken);
+        if self.jobs[job].attempts as usize >= MAX_ATTEMPTS {
+            self.end_call(job, Status::Broken);
             return;
         }
-        self.seek(job);
+        self.submit(job);
     }
 
     fn refuse(&mut self, job: usize, refusal: &Refusal) {
-        if self.jobs[job].over {
+        if self.jobs[job].ended {
             return;
         }
-        if self.jobs[job].done > 0 {
-            self.settle(job, Status::Broken);
+        if self.jobs[job].delivered > 0 {
+            self.end_call(job, Status::Broken);
             return;
         }
-        self.metrics.record_refusal(self.now - self.jobs[job].arrived);
+        self.metrics
+            .record_refusal(self.now_us - self.jobs[job].arrived_us);
         match refusal.retry_after {
-            Some(after) if !self.jobs[job].came_back => {
-                // One call, counted once, by what became of it in the end.
-                self.jobs[job].over = true;
-                let mut back = self.jobs[job].clone();
-                back.came_back = true;
-                back.promised = refusal.reserved;
-                back.over = false;
-                back.avoid.clear();
-                back.tries = 0;
-                let after = after.as_micros() as u64;
-                back.arrived = self.now + after;
-                self.jobs.push(back);
-                self.plan(after, Event::Return(self.jobs.len() - 1));
+            Some(after) if !self.jobs[job].retried => {
+                // The call and its retry count as one call, by the result of the retry.
+                self.jobs[job].ended = true;
+                let mut retry = self.jobs[job].clone();
+                retry.retried = true;
+                retry.reserved = refusal.reserved;
+                retry.ended = false;
+                retry.avoid.clear();
+                retry.attempts = 0;
+                let delay_us = after.as_micros() as u64;
+                retry.arrived_us = self.now_us + delay_us;
+                self.jobs.push(retry);
+                self.schedule(delay_us, Event::Retry(self.jobs.len() - 1));
             }
-            _ => self.settle(job, Status::Refused),
+            _ => self.end_call(job, Status::Refused),
         }
     }
 
-    fn target(&self, job: usize) -> u64 {
+    fn target_us(&self, job: usize) -> u64 {
         let class = &self.scenario.traffic[self.jobs[job].traffic].class;
         self.metrics.target(class).as_micros() as u64
     }
 
-    fn settle(&mut self, job: usize, status: Status) {
-        if self.jobs[job].over {
+    fn end_call(&mut self, job: usize, status: Status) {
+        if self.jobs[job].ended {
             return;
         }
-        self.jobs[job].over = true;
+        self.jobs[job].ended = true;
         let item = &self.jobs[job];
         let traffic = &self.scenario.traffic[item.traffic];
         self.metrics.record_call(&Sample {
             class: &traffic.class,
             customer: &traffic.customers[item.customer].0,
             status,
-            tokens: item.done,
+            tokens: item.delivered,
             first_token: item
-                .first
-                .map(|first| Duration::from_micros(first - item.arrived)),
-            reserved_retry: item.promised && item.arrived <= self.now,
-            minute: self.now.saturating_sub(1) / 60_000_000,
+                .first_token_us
+                .map(|time_us| Duration::from_micros(time_us - item.arrived_us)),
+            reserved_retry: item.reserved && item.arrived_us <= self.now_us,
+            minute: self.now_us.saturating_sub(1) / 60_000_000,
         });
     }
 }
--- a/crates/load/src/simulation/engine.rs
+++ b/crates/load/src/simulation/engine.rs
@@ -1,4 +1,4 @@
-//! Engines of a played scenario.
+//! Simulated engines.
 
 use std::collections::VecDeque;
 
@@ -6,47 +6,47 @@
 
 use crate::scenario::Scenario;
 
-/// A runner in memory.
+/// A runner in memory, with its running and queued jobs.
 pub struct Engine {
-    pub listed: Listing,
-    pub fleet: usize,
+    pub listing: Listing,
+    pub group: usize,
     pub running: Vec<usize>,
     pub queue: Vec<usize>,
-    pub cache: VecDeque<u64>,
-    pub slow: f64,
-    pub gone: bool,
-    pub on_time: u64,
-    pub since: u64,
+    pub cached_prefixes: VecDeque<u64>,
+    pub slowdown: f64,
+    pub stopped: bool,
+    pub uptime_us: u64,
+    pub started_us: u64,
 }
 
-/// Whether an engine is of a pool in a zone.
-pub fn belongs(engine: &Engine, pool: &str, zone: &str) -> bool {
-    engine.listed.pool == pool && engine.listed.zone == zone
+/// Whether an engine belongs to a pool in a zone.
+pub fn is_in(engine: &Engine, pool: &str, zone: &str) -> bool {
+    engine.listing.pool == pool && engine.listing.zone == zone
 }
 
-/// All engines of a scenario, in the order of its fleet.
-pub fn engines(scenario: &Scenario) -> Vec<Engine> {
+/// Creates all engines of a scenario, in the order of its fleet.
+pub fn create_engines(scenario: &Scenario) -> Vec<Engine> {
     let mut engines = Vec::new();
-    for (fleet, plan) in scenario.fleet.iter().enumerate() {
+    for (group, runners) in scenario.fleet.iter().enumerate() {
         for zone in &scenario.zones {
-            for number in 0..plan.each {
+            for number in 0..runners.each {
                 engines.push(Engine {
-                    listed: Listing {
-                        name: format!("{}-{zone}-{number}", plan.pool),
-                        pool: plan.pool.clone(),
+                    listing: Listing {
+                        name: format!("{}-{zone}-{number}", runners.pool),
+                        pool: runners.pool.clone(),
                         zone: zone.clone(),
                         address: format!("10.0.0.{}", engines.len()),
-                        slots: plan.slots,
+                        slots: runners.slots,
                         leaving: false,
                     },
-                    fleet,
+                    group,
                     running: Vec::new(),
                     queue: Vec::new(),
-                    cache: VecDeque::new(),
-                    slow: 1.0,
-                    gone: false,
-                    on_time: 0,
-                    since: 0,
+                    cached_prefixes: VecDeque::new(),
+                    slowdown: 1.0,
+                    stopped: false,
+                    uptime_us: 0,
+                    started_us: 0,
                 });
             }
         }
--- a/crates/load/src/simulation/faults.rs
+++ b/crates/load/src/simulation/faults.rs
@@ -1,20 +1,20 @@
-//! What goes wrong in a played scenario, and what hosts hear of it.
+//! Changes in a simulated scenario, and the reports that hosts get of them.
 
 use radishstair_core::dispatch::Outcome;
 use radishstair_core::id::Incarnation;
 use radishstair_core::runner::Listing;
 
-use super::engine::belongs;
-use super::{Event, MS, Simulation};
+use super::engine::is_in;
+use super::{Event, Simulation, US_PER_MS};
 use crate::scenario::Change;
 
 impl Simulation<'_> {
-    pub(super) fn change(&mut self, at: usize) {
+    pub(super) fn apply_change(&mut self, at: usize) {
         match self.scenario.events[at].change.clone() {
             Change::Burst { class, factor } => {
-                for (traffic, plan) in self.scenario.traffic.iter().enumerate() {
-                    if plan.class == class {
-                        self.rates[traffic].fill(factor);
+                for (traffic, profile) in self.scenario.traffic.iter().enumerate() {
+                    if profile.class == class {
+                        self.rate_factors[traffic].fill(factor);
                     }
                 }
             }
@@ -23,10 +23,10 @@
                 customer,
                 factor,
             } => {
-                for (traffic, plan) in self.scenario.traffic.iter().enumerate() {
-                    for (which, (name, _)) in plan.customers.iter().enumerate() {
-                        if plan.class == class && *name == customer {
-                            self.rates[traffic][which] = factor;
+                for (traffic, profile) in self.scenario.traffic.iter().enumerate() {
+                    for (index, (name, _)) in profile.customers.iter().enumerate() {
+                        if profile.class == class && *name == customer {
+                            self.rate_factors[traffic][index] = factor;
                         }
                     }
                 }
@@ -36,13 +36,13 @@
                 runners,
                 factor,
             } => {
-                let of_pool = self
+                let engines = self
                     .engines
                     .iter_mut()
-                    .filter(|engine| engine.listed.pool == pool);
-                of_pool
+                    .filter(|engine| engine.listing.pool == pool);
+                engines
                     .take(runners as usize)
-                    .for_each(|engine| engine.slow = factor);
+                    .for_each(|engine| engine.slowdown = factor);
             }
             Change::Reclaim {
                 pool,
@@ -53,95 +53,97 @@
                 for engine in self
                     .engines
                     .iter_mut()
-                    .filter(|engine| belongs(engine, &pool, &zone))
+                    .filter(|engine| is_in(engine, &pool, &zone))
                 {
-                    engine.gone = false;
-                    engine.since = self.now;
-                    engine.listed.leaving = false;
-                    engine.listed.address.push('0');
+                    engine.stopped = false;
+                    engine.started_us = self.now_us;
+                    engine.listing.leaving = false;
+                    engine.listing.address.push('0');
                 }
-                self.relist();
+                self.publish_list();
             }
-            Change::Silence { on } => self.silent = on,
+            Change::Silence { on } => self.partitioned = on,
         }
     }
 
-    /// The notice is seen by the hosts that have calls there; the list says
-    /// nothing yet.
-    fn reclaim(&mut self, pool: &str, zone: &str, notice: u64) {
+    /// Gives notice to the hosts with running calls on the engines of a pool in a zone, and
+    /// schedules the engines' stop. The platform's list does not show it yet.
+    fn reclaim(&mut self, pool: &str, zone: &str, notice_ms: u64) {
         let now = self.moment();
         for at in 0..self.engines.len() {
-            if !belongs(&self.engines[at], pool, zone) {
+            if !is_in(&self.engines[at], pool, zone) {
                 continue;
             }
-            let name = self.engines[at].listed.name.clone();
-            let seen: Vec<usize> = self.engines[at]
+            let name = self.engines[at].listing.name.clone();
+            let notified: Vec<usize> = self.engines[at]
                 .running
                 .iter()
                 .map(|job| self.jobs[*job].host)
                 .collect();
-            for host in seen {
+            for host in notified {
                 self.hosts[host].runners.mark_leaving(now, &name);
             }
-            self.plan(notice * MS, Event::Gone(at));
+            self.schedule(notice_ms * US_PER_MS, Event::EngineStop(at));
         }
     }
 
-    pub(super) fn vanish(&mut self, engine: usize) {
+    pub(super) fn stop_engine(&mut self, engine: usize) {
         let item = &mut self.engines[engine];
-        item.gone = true;
-        item.on_time += self.now - item.since;
-        item.cache.clear();
+        item.stopped = true;
+        item.uptime_us += self.now_us - item.started_us;
+        item.cached_prefixes.clear();
         let running = std::mem::take(&mut item.running);
         let queued = std::mem::take(&mut item.queue);
-        let pool = item.listed.pool.clone();
+        let pool = item.listing.pool.clone();
         for job in running {
-            let spent = (self.now - self.jobs[job].started) as f64 / self.jobs[job].span as f64;
-            let left = self.jobs[job].tokens - self.jobs[job].done;
-            let made = ((f64::from(left) * spent) as u32).min(left);
-            // What the caller has stays its own; the next runner goes on.
-            self.jobs[job].done += made.min(left.saturating_sub(1));
-            self.metrics.record_tokens(&pool, made);
+            let progress =
+                (self.now_us - self.jobs[job].started_us) as f64 / self.jobs[job].duration_us as f64;
+            let remaining = self.jobs[job].tokens - self.jobs[job].delivered;
+            let generated = ((f64::from(remaining) * progress) as u32).min(remaining);
+            // The caller keeps the tokens that it received, and the next engine resumes after
+            // them. At least one token is left to generate.
+            self.jobs[job].delivered += generated.min(remaining.saturating_sub(1));
+            self.metrics.record_tokens(&pool, generated);
             self.metrics.broken_by_reclaim += 1;
-            self.release(job, &Outcome::Failed { tokens: made });
-            self.again(job);
+            self.release(job, &Outcome::Failed { tokens: generated });
+            self.resubmit(job);
         }
         for job in queued {
             self.release(job, &Outcome::ConnectionRefused);
-            self.again(job);
+            self.resubmit(job);
         }
     }
 
-    /// The list, which does not know yet who has just gone.
-    pub(super) fn relist(&mut self) {
-        let all: Vec<Listing> = self.engines.iter().map(|engine| engine.listed.clone()).collect();
+    /// Sends the platform's list to all hosts. It still contains engines that have stopped.
+    pub(super) fn publish_list(&mut self) {
+        let listings: Vec<Listing> = self.engines.iter().map(|engine| engine.listing.clone()).collect();
         for host in &mut self.hosts {
-            host.runners.set_listings(all.clone());
+            host.runners.set_listings(listings.clone());
         }
     }
 
-    /// A host's calls and first-hand news reach its zone mates.
-    pub(super) fn tell(&mut self, host: usize) {
-        if self.silent {
+    /// Sends a host's load, notices of leaving runners and waiting calls to its zone peers.
+    pub(super) fn report_to_peers(&mut self, host: usize) {
+        if self.partitioned {
             return;
         }
         let now = self.moment();
-        let shares = self.hosts[host].runners.shares();
-        let news = self.hosts[host].runners.leaving_names(now);
-        self.waiting[host] = self.hosts[host].waiting_by_pool();
+        let load = self.hosts[host].runners.shares();
+        let leaving = self.hosts[host].runners.leaving_names(now);
+        self.reported_waiting[host] = self.hosts[host].waiting_by_pool();
         for other in 0..self.hosts.len() {
-            if other == host || self.zones[other] != self.zones[host] {
+            if other == host || self.host_zones[other] != self.host_zones[host] {
                 continue;
             }
             let runners = &mut self.hosts[other].runners;
-            runners.set_peer_shares(now, Incarnation(host as u64), &shares);
-            for name in &news {
+            runners.set_peer_shares(now, Incarnation(host as u64), &load);
+            for name in &leaving {
                 runners.mark_leaving(now, name);
             }
-            let (zones, waiting) = (&self.zones, &self.waiting);
-            let mates = (0..zones.len()).filter(|mate| *mate != other && zones[*mate] == zones[other]);
-            let pools = mates
-                .flat_map(|mate| &waiting[mate])
+            let (zones, waiting) = (&self.host_zones, &self.reported_waiting);
+            let peers = (0..zones.len()).filter(|peer| *peer != other && zones[*peer] == zones[other]);
+            let pools = peers
+                .flat_map(|peer| &waiting[peer])
                 .map(|(pool, _)| pool.as_str());
             self.hosts[other].set_waiting_peers(pools);
         }
