--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: who calls, how much, on what, and what goes wrong.
+//! Scenario files: traffic, runners, and the changes during a run.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,76 +12,76 @@
 record! {
     /// Runners of one pool in each zone.
     pub struct RunnerGroup {
-        /// Pool.
+        /// Name of the pool.
         pub pool: String,
-        /// How many a zone.
+        /// Runners per zone.
         pub each: u32,
-        /// Calls at once.
+        /// Calls that each runs at once.
         pub slots: u32,
-        /// Milliseconds a token when alone; twice that when full.
+        /// Milliseconds per token of an idle runner; twice that if all slots are in use.
         pub pace_ms: f64,
-        /// Milliseconds to read a prompt that is not cached.
+        /// Milliseconds to read a prompt whose prefix is not cached.
         #[serde(default)]
         pub prefill_ms: f64,
-        /// Price of one runner and hour.
+        /// Price of one runner per hour.
         #[serde(default)]
         pub price: f64,
     }
 }
 
 record! {
-    /// Calls of one class.
+    /// Traffic of one class.
     pub struct Traffic {
-        /// Class, as in the configuration.
+        /// Name of the class in the configuration.
         pub class: String,
-        /// Calls a second, over all customers.
+        /// Calls per second, of all customers together.
         pub rate: f64,
-        /// Customers and their shares of it.
+        /// Customers and their shares of the rate.
         pub customers: Vec<(String, f64)>,
-        /// Median length of answers, in tokens; 0 for plain calls.
+        /// Median number of output tokens; 0 for plain calls.
         #[serde(default)]
         pub tokens: f64,
-        /// Spread of the length: the sigma of its logarithm.
+        /// Standard deviation of the logarithm of the number of output tokens.
         #[serde(default)]
         pub sigma: f64,
-        /// Different beginnings of prompts.
-        #[serde(default = "one")]
+        /// Number of different prompt prefixes per customer.
+        #[serde(default = "default_prefixes")]
         pub prefixes: u64,
     }
 }
 
-fn one() -> u64 {
+fn default_prefixes() -> u64 {
     1
 }
 
 record! {
-    /// What happens at a time.
+    /// Change of traffic, runners or network.
     #[allow(missing_docs)]
     pub enum Change {
-        /// A class comes at a multiple of its rate.
+        /// Multiplies the rate of a class.
         Burst { class: String, factor: f64 },
-        /// One customer of a class comes at a multiple of its rate.
+        /// Multiplies the rate of one customer of a class.
         Flood { class: String, customer: String, factor: f64 },
-        /// Some runners of a pool become slow.
+        /// Multiplies the time per token of some runners of a pool.
         Slow { pool: String, runners: u32, factor: f64 },
-        /// All runners of a pool in a zone go, at a few seconds' notice.
+        /// Stops all runners of a pool in a zone, after a notice period.
         Reclaim { pool: String, zone: String, notice_ms: u64 },
-        /// They come back.
+        /// Starts all runners of a pool in a zone again.
         Restore { pool: String, zone: String },
-        /// Hosts hear nothing of each other.
+        /// Stops the hosts' reports to each other, or resumes them.
         Silence { on: bool },
     }
 }
 
 #[serde_as]
-/// A change and its time.
+/// A change at a point in time.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
-    /// From the start.
+    /// Time from the start of the run.
     #[serde_as(as = "DurationText")]
     pub after: Duration,
-    /// What.
+    /// The change.
     pub change: Change,
 }
 
@@ -90,28 +90,28 @@
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name.
+    /// Name, as printed in reports.
     pub name: String,
-    /// The configuration, beside the scenario file.
+    /// Path of the configuration, relative to the scenario file.
     pub configuration: String,
-    /// Length.
+    /// Duration of the run.
     #[serde_as(as = "DurationText")]
     pub length: Duration,
     /// Availability zones.
     pub zones: Vec<String>,
-    /// Entry hosts a zone.
+    /// Entry hosts per zone.
     pub hosts: usize,
-    /// Runners.
+    /// Runners by pool.
     pub fleet: Vec<RunnerGroup>,
-    /// Calls.
+    /// Traffic by class.
     pub traffic: Vec<Traffic>,
-    /// What goes wrong.
+    /// Changes during the run.
     #[serde(default)]
     pub events: Vec<Event>,
-    /// Age of what hosts know of each other's calls.
+    /// Interval of the hosts' reports to each other, and so the maximum age of a report.
     #[serde_as(as = "DurationText")]
     pub lag: Duration,
-    /// Seeds from here on are for a final look only.
+    /// Whether its runs are for the final evaluation only.
     #[serde(default)]
     pub held_back: bool,
 }
@@ -120,26 +120,27 @@
 ///
 /// # Errors
 ///
-/// Names the key that is wrong.
+/// If a file cannot be read or is not valid; the message names the key.
 pub fn load(path: &Path) -> Result<(Scenario, Document)> {
     let scenario: Scenario = radishstair_wire::settings::load(path)?;
-    let beside = path
+    let configuration = path
         .parent()
         .unwrap_or(Path::new("."))
         .join(&scenario.configuration);
-    let text = std::fs::read_to_string(&beside).with_context(|| format!("reading {}", beside.display()))?;
+    let text = std::fs::read_to_string(&configuration)
+        .with_context(|| format!("reading {}", configuration.display()))?;
     let document = check::parse(&text)?;
     for traffic in &scenario.traffic {
         ensure!(
             document.classes.get(&traffic.class).is_some(),
-            "traffic: no class `{}` in {}",
+            "traffic: class `{}` does not exist in {}",
             traffic.class,
-            beside.display()
+            configuration.display()
         );
         for (customer, _) in &traffic.customers {
             ensure!(
                 document.customers.get(customer).is_some(),
-                "traffic.{}: no customer `{customer}`",
+                "traffic.{}: customer `{customer}` does not exist in the configuration",
                 traffic.class
             );
         }
