--- a/crates/load/src/cmd/smoke.rs
+++ b/crates/load/src/cmd/smoke.rs
@@ -97,7 +97,7 @@
                 &answer.runner
             },
             answer.tokens,
-            answer.first.as_secs_f64() * 1e3,
+            answer.first_token.as_secs_f64() * 1e3,
             answer.total.as_secs_f64() * 1e3,
             answer.kind(),
         );
--- a/crates/load/src/http.rs
+++ b/crates/load/src/http.rs
@@ -1,4 +1,4 @@
-//! A caller of the router, as its clients are: JSON out, JSON or events back.
+//! HTTP client of the router: sends JSON, reads JSON or an event stream.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use radishstair_wire::http;
 use serde_json::Value;
 
-/// A blocking caller with one key.
+/// Blocking client with one API key.
 #[derive(Clone, Debug)]
 pub struct Caller {
     agent: ureq::Agent,
@@ -16,59 +16,59 @@
     retry_token: Option<String>,
 }
 
-/// What came back.
+/// Response to a call.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
-    /// HTTP status; 0 when the connection broke.
+    /// HTTP status; 0 if the call failed without a readable response.
     pub status: u16,
-    /// Runner that served it.
+    /// Name of the runner that served the call.
     pub runner: String,
     /// Body, or the last error event of a stream.
     pub body: Value,
-    /// Text of a stream or completion.
+    /// Text of a stream or a whole completion.
     pub text: String,
-    /// Chunks with text.
+    /// Number of chunks with text.
     pub tokens: u32,
-    /// Whether a stream came to its proper end.
+    /// Whether a stream ended with `[DONE]`, or a whole completion has a text.
     pub done: bool,
-    /// Time to the first token or the whole answer.
-    pub first: Duration,
-    /// Time to the end.
+    /// Time to the first token, or to the whole response of a plain call.
+    pub first_token: Duration,
+    /// Time to the end of the response.
     pub total: Duration,
-    /// A fresh ticket that came with a refusal.
+    /// New ticket that came with a refusal.
     pub next_key: Option<String>,
-    /// Token of a promised time to come back.
+    /// Token for a retry at a reserved time.
     pub retry_token: Option<String>,
 }
 
 impl Response {
-    /// Kind of the refusal; empty when there is none.
+    /// Kind of a refusal; empty otherwise.
     pub fn kind(&self) -> &str {
         self.body["error"]["kind"].as_str().unwrap_or_default()
     }
 
-    /// Whether a refused call ran.
+    /// Whether a refused call ran, as stated in the refusal.
     pub fn ran(&self) -> &str {
         self.body["error"]["ran"].as_str().unwrap_or_default()
     }
 
-    /// How a refused call may be repeated.
+    /// How a refused call may be repeated, as stated in the refusal.
     pub fn repeat(&self) -> &str {
         self.body["error"]["repeat"].as_str().unwrap_or_default()
     }
 }
 
 impl Caller {
-    /// A caller with a key; an empty one is not sent.
+    /// A client with a key; an empty key is not sent. Calls time out after 60 seconds.
     pub fn new(key: &str) -> Self {
         Self::with_timeout(key, Duration::from_secs(60))
     }
 
-    /// A caller that gives up after a while.
-    pub fn with_timeout(key: &str, limit: Duration) -> Self {
+    /// A client with a key and a timeout for each call.
+    pub fn with_timeout(key: &str, timeout: Duration) -> Self {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_global(Some(limit))
+            .timeout_global(Some(timeout))
             .proxy(None)
             .build();
         Self {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The same caller, coming back as it was promised.
+    /// The same client with the token of a reserved retry.
     pub fn with_retry_token(&self, token: &str) -> Self {
         Self {
             retry_token: Some(token.to_string()),
@@ -87,42 +87,48 @@
     }
 
     /// Makes a plain call.
-    pub fn call(&self, entry: SocketAddr, path: &str, body: &Value, once: Option<&str>) -> Response {
-        let began = Instant::now();
-        let mut answer = self
-            .post(entry, path, &body.to_string(), once, None)
+    pub fn call(
+        &self,
+        entry: SocketAddr,
+        path: &str,
+        body: &Value,
+        idempotency_key: Option<&str>,
+    ) -> Response {
+        let started = Instant::now();
+        let mut response = self
+            .post(entry, path, &body.to_string(), idempotency_key, None)
             .unwrap_or_default();
-        answer.total = began.elapsed();
-        answer.first = answer.total;
-        answer
+        response.total = started.elapsed();
+        response.first_token = response.total;
+        response
     }
 
-    /// Sends a body as it is.
+    /// Sends a body that need not be valid JSON.
     pub fn post_raw(&self, entry: SocketAddr, path: &str, body: &str) -> Response {
         self.post(entry, path, body, None, None).unwrap_or_default()
     }
 
-    /// Makes a chat completion of a class.
+    /// Makes a chat completion call of a class.
     pub fn chat(&self, entry: SocketAddr, class: &str, body: &Value) -> Response {
-        let began = Instant::now();
+        let started = Instant::now();
         let path = "/v1/chat/completions";
-        let mut answer = self
-            .post(entry, path, &body.to_string(), None, Some((class, began)))
+        let mut response = self
+            .post(entry, path, &body.to_string(), None, Some((class, started)))
             .unwrap_or_default();
-        answer.total = began.elapsed();
-        answer
+        response.total = started.elapsed();
+        response
     }
 
-    /// Gets tickets.
+    /// Requests tickets for at-most-once calls.
     ///
     /// # Errors
     ///
-    /// When none were given.
+    /// If the response has no tickets.
     pub fn tickets(&self, entry: SocketAddr, count: u32) -> Result<Vec<String>> {
-        let answer = self.call(entry, "/v1/tickets", &serde_json::json!({ "count": count }), None);
-        let tickets = answer.body["tickets"]
+        let response = self.call(entry, "/v1/tickets", &serde_json::json!({ "count": count }), None);
+        let tickets = response.body["tickets"]
             .as_array()
-            .with_context(|| format!("no tickets: {}", answer.body))?;
+            .with_context(|| format!("response without tickets: {}", response.body))?;
         Ok(tickets
             .iter()
             .filter_map(|ticket| ticket.as_str().map(str::to_string))
@@ -134,7 +140,7 @@
         entry: SocketAddr,
         path: &str,
         body: &str,
-        once: Option<&str>,
+        idempotency_key: Option<&str>,
         chat: Option<(&str, Instant)>,
     ) -> Result<Response> {
         let mut request = self
@@ -147,58 +153,58 @@
         if let Some(token) = &self.retry_token {
             request = request.header(http::COME_BACK, token);
         }
-        if let Some(once) = once {
-            request = request.header("idempotency-key", once);
+        if let Some(idempotency_key) = idempotency_key {
+            request = request.header("idempotency-key", idempotency_key);
         }
         if let Some((class, _)) = chat {
             request = request.header("x-class", class);
         }
-        let mut response = request.send(body)?;
-        let header = |name: &str| Some(response.headers().get(name)?.to_str().ok()?.to_string());
-        let mut answer = Response {
-            status: response.status().as_u16(),
+        let mut http_response = request.send(body)?;
+        let header = |name: &str| Some(http_response.headers().get(name)?.to_str().ok()?.to_string());
+        let mut response = Response {
+            status: http_response.status().as_u16(),
             runner: header("x-runner").unwrap_or_default(),
             next_key: header("next-idempotency-key"),
             retry_token: header(http::COME_BACK),
             ..Response::default()
         };
-        let events = header("content-type").is_some_and(|kind| kind == "text/event-stream");
+        let is_stream = header("content-type").is_some_and(|value| value == "text/event-stream");
         match chat {
-            Some((_, began)) if events => {
-                // A connection that breaks midway leaves the answer undone.
-                let _ = read_events(&mut answer, response.body_mut().as_reader(), began);
+            Some((_, started)) if is_stream => {
+                // If the connection breaks midway, `done` stays false.
+                let _ = read_events(&mut response, http_response.body_mut().as_reader(), started);
             }
             _ => {
-                answer.body = serde_json::from_slice(&response.body_mut().read_to_vec()?)?;
-                if let Some(text) = answer.body["choices"][0]["message"]["content"].as_str() {
-                    answer.text = text.to_string();
-                    answer.done = true;
+                response.body = serde_json::from_slice(&http_response.body_mut().read_to_vec()?)?;
+                if let Some(text) = response.body["choices"][0]["message"]["content"].as_str() {
+                    response.text = text.to_string();
+                    response.done = true;
                 }
             }
         }
-        Ok(answer)
+        Ok(response)
     }
 }
 
-fn read_events(answer: &mut Response, reader: impl std::io::Read, began: Instant) -> Result<()> {
+fn read_events(response: &mut Response, reader: impl std::io::Read, started: Instant) -> Result<()> {
     for line in BufReader::new(reader).lines() {
         let line = line?;
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
         };
         if data == "[DONE]" {
-            answer.done = true;
+            response.done = true;
             return Ok(());
         }
         let value: Value = serde_json::from_str(data)?;
         if let Some(text) = value["choices"][0]["delta"]["content"].as_str() {
-            if answer.tokens == 0 {
-                answer.first = began.elapsed();
+            if response.tokens == 0 {
+                response.first_token = started.elapsed();
             }
-            answer.tokens += 1;
-            answer.text.push_str(text);
+            response.tokens += 1;
+            response.text.push_str(text);
         } else {
-            answer.body = value;
+            response.body = value;
         }
     }
     Ok(())
