--- a/crates/load/src/deploy.rs
+++ b/crates/load/src/deploy.rs
@@ -11,33 +11,33 @@
 record! {
     /// Runners of one pool.
     pub struct Runners {
-        /// Pool.
+        /// Name of the pool.
         pub pool: String,
-        /// How many a zone.
+        /// Runners per zone.
         pub each: u16,
-        /// Calls that each can run at once.
+        /// Calls that each runs at once.
         pub slots: u32,
     }
 }
 
 record! {
-    /// What to deploy.
+    /// Plan of a deployment.
     pub struct Plan {
-        /// Its name.
+        /// Name of the deployment.
         pub name: String,
-        /// First port; the next few hundred are used.
+        /// First port. Every address takes the next port, up to a few hundred.
         pub base_port: u16,
         /// Availability zones.
         pub zones: Vec<String>,
-        /// Entry hosts a zone.
+        /// Entry hosts per zone.
         pub entries: u16,
-        /// Model engines.
+        /// Model engines by pool.
         #[serde(default)]
         pub engines: Vec<Runners>,
-        /// Plain services.
+        /// Plain services by pool.
         #[serde(default)]
         pub plain: Vec<Runners>,
-        /// Pools whose orders are checked for fencing numbers.
+        /// Pools whose orders are refused if their fencing number is outdated.
         #[serde(default)]
         pub fenced: Vec<String>,
     }
@@ -46,28 +46,28 @@
 radishstair_core::plain! {
     /// One process to start.
     pub struct Process {
-        /// Program.
+        /// Name of the program.
         pub program: String,
-        /// Name, also of its settings file.
+        /// Name of the process and of its settings file.
         pub name: String,
-        /// Settings.
+        /// Contents of the settings file.
         pub settings: Value,
     }
 }
 
-/// Addresses of a deployment, for the tools that talk to it.
+/// Addresses of a deployment, for the tools that call it.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Addresses {
-    /// The platform, one address a zone.
+    /// Addresses of the platform, one per zone.
     pub platform: Vec<SocketAddr>,
-    /// Entry hosts' addresses for callers.
+    /// Addresses of the entry hosts for callers.
     pub entries: Vec<SocketAddr>,
-    /// Entry hosts' addresses for operators.
+    /// Addresses of the entry hosts for operators.
     pub admin: Vec<SocketAddr>,
-    /// Engines.
+    /// Addresses of the engines.
     pub engines: Vec<SocketAddr>,
-    /// Plain services.
+    /// Addresses of the plain services.
     pub plain: Vec<SocketAddr>,
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Lays a plan out: the processes and the addresses.
+/// Returns the processes of a plan, in the order in which they start, and their addresses.
 pub fn expand(plan: &Plan, token: &str) -> (Vec<Process>, Addresses) {
     let mut ports = Ports(plan.base_port);
     let mut addresses = Addresses {
@@ -88,25 +88,25 @@
         ..Addresses::default()
     };
     let mut processes = Vec::new();
-    let mut listed = Vec::new();
+    let mut listings = Vec::new();
     for (program, group) in [("standin-engine", &plan.engines), ("standin-plain", &plan.plain)] {
         for runners in group {
             for zone in &plan.zones {
                 for number in 0..runners.each {
                     let name = format!("{}-{zone}-{number}", runners.pool);
                     let address = ports.next();
-                    let engine = program == "standin-engine";
-                    let settings = match engine {
+                    let is_engine = program == "standin-engine";
+                    let settings = match is_engine {
                         true => json!({ "name": name, "listen": address, "slots": runners.slots }),
                         false => json!({ "name": name, "listen": address }),
                     };
-                    let seen = if engine {
+                    let list = if is_engine {
                         &mut addresses.engines
                     } else {
                         &mut addresses.plain
                     };
-                    seen.push(address);
-                    listed.push(Listing {
+                    list.push(address);
+                    listings.push(Listing {
                         name: name.clone(),
                         pool: runners.pool.clone(),
                         zone: zone.clone(),
@@ -119,13 +119,13 @@
             }
         }
     }
-    let platform = json!({ "listen": addresses.platform, "runners": listed, "fenced": plan.fenced });
+    let platform = json!({ "listen": addresses.platform, "runners": listings, "fenced": plan.fenced });
     processes.insert(0, process("standin-platform", "platform", platform));
-    entries(plan, token, &mut ports, &mut processes, &mut addresses);
+    add_entries(plan, token, &mut ports, &mut processes, &mut addresses);
     (processes, addresses)
 }
 
-fn entries(
+fn add_entries(
     plan: &Plan,
     token: &str,
     ports: &mut Ports,
@@ -139,17 +139,17 @@
         .flat_map(|(at, zone)| (0..plan.entries).map(move |number| (at, format!("entry-{zone}-{number}"))))
         .map(|(at, name)| (at, name, [ports.next(), ports.next(), ports.next()]))
         .collect();
-    let peers: Vec<SocketAddr> = hosts.iter().map(|(.., [_, peer, _])| *peer).collect();
-    for (zone, name, [listen, peer, admin]) in &hosts {
+    let peer_addresses: Vec<SocketAddr> = hosts.iter().map(|(.., [_, peer, _])| *peer).collect();
+    for (zone_index, name, [listen, peer, admin]) in &hosts {
         let settings = json!({
             "host": name,
-            "zone": plan.zones[*zone],
+            "zone": plan.zones[*zone_index],
             "listen": listen,
             "peer_listen": peer,
             "admin_listen": admin,
-            "peers": peers,
+            "peers": peer_addresses,
             "peer_token": token,
-            "platform": addresses.platform[*zone],
+            "platform": addresses.platform[*zone_index],
             "linger": "1s",
         });
         addresses.entries.push(*listen);
@@ -166,28 +166,29 @@
     }
 }
 
-/// Writes all settings files, the operators' own, and a list of processes
-/// (program, name) in the order in which they start.
+/// Writes the settings files of all processes and of `radishctl`, the addresses, and a list of the
+/// processes (program and name) in the order in which they start.
 ///
 /// # Errors
 ///
-/// When the folder cannot be written.
+/// If the folder cannot be written.
 pub fn write(plan: &Plan, token: &str, folder: &Path) -> Result<Addresses> {
-    std::fs::create_dir_all(folder).with_context(|| format!("making {}", folder.display()))?;
+    std::fs::create_dir_all(folder).with_context(|| format!("creating {}", folder.display()))?;
     let (processes, addresses) = expand(plan, token);
-    let mut list = String::new();
+    let mut start_list = String::new();
     for process in &processes {
-        save(folder, &process.name, &process.settings)?;
-        list.push_str(&format!("{} {}\n", process.program, process.name));
+        write_json(folder, &process.name, &process.settings)?;
+        start_list.push_str(&format!("{} {}\n", process.program, process.name));
     }
-    let operator = json!({ "platform": addresses.platform[0], "who": "local", "hosts": addresses.admin });
-    save(folder, "radishctl", &operator)?;
-    save(folder, "addresses", &serde_json::to_value(&addresses)?)?;
-    std::fs::write(folder.join("processes"), list).context("writing the list of processes")?;
+    let operator_settings =
+        json!({ "platform": addresses.platform[0], "who": "local", "hosts": addresses.admin });
+    write_json(folder, "radishctl", &operator_settings)?;
+    write_json(folder, "addresses", &serde_json::to_value(&addresses)?)?;
+    std::fs::write(folder.join("processes"), start_list).context("writing the list of processes")?;
     Ok(addresses)
 }
 
-fn save(folder: &Path, name: &str, value: &Value) -> Result<()> {
+fn write_json(folder: &Path, name: &str, value: &Value) -> Result<()> {
     let path = folder.join(format!("{name}.json"));
     std::fs::write(&path, serde_json::to_string_pretty(value)?)
         .with_context(|| format!("writing {}", path.display()))
--- a/crates/load/src/http.rs
+++ b/crates/load/src/http.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Makes a plain call.
+    /// Makes a plain call, with an idempotency key if one is given.
     pub fn call(
         &self,
         entry: SocketAddr,
