--- a/crates/load/src/cmd/bench.rs
+++ b/crates/load/src/cmd/bench.rs
@@ -1,4 +1,5 @@
-//! `radishstair-load bench`: what an entry host adds to a streamed request.
+//! `radishstair-load bench`: measures the latency that an entry host adds to
+//! streamed requests.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,14 +16,14 @@
 
 use crate::deploy::Addresses;
 
-/// Measure what an entry host adds to streams, against the same engine.
+/// Measure the latency that an entry host adds to streams of the same engines.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "bench")]
 pub struct Args {
-    /// addresses, as `deploy` writes them
+    /// file of addresses, as written by `deploy`
     #[argh(positional)]
     pub addresses: PathBuf,
-    /// a key
+    /// API key
     #[argh(option)]
     pub key: String,
     /// model
@@ -31,21 +32,21 @@
     /// request class
     #[argh(option)]
     pub class: String,
-    /// concurrent streams
+    /// number of concurrent streams
     #[argh(option, default = "100")]
     pub streams: usize,
-    /// tokens in each stream
+    /// number of tokens in each stream
     #[argh(option, default = "50")]
     pub tokens: u32,
-    /// rounds
+    /// number of rounds
     #[argh(option, default = "5")]
     pub rounds: usize,
 }
 
-/// One side of the comparison.
-struct Side {
-    first: Histogram<u64>,
-    total: Histogram<u64>,
+/// Latencies of the streams on one path, direct or through an entry host.
+struct Samples {
+    first_token_us: Histogram<u64>,
+    total_us: Histogram<u64>,
     failed: usize,
 }
 
@@ -53,20 +54,20 @@
 ///
 /// # Errors
 ///
-/// When the addresses are wrong or nothing answers.
+/// If the addresses cannot be read, or no stream completes on one of the paths.
 pub fn run(args: &Args) -> Result<()> {
     let addresses: Addresses = radishstair_wire::settings::load(&args.addresses)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    let mut direct = Side::new()?;
-    let mut routed = Side::new()?;
-    // By turns, so that both sides meet the same machine.
+    let mut direct = Samples::new()?;
+    let mut routed = Samples::new()?;
+    // The paths take turns, so that changes of the machine's load affect both alike.
     for round in 0..args.rounds {
-        runtime.block_on(side(args, &addresses.engines, round, &mut direct));
-        runtime.block_on(side(args, &addresses.entries, round, &mut routed));
+        runtime.block_on(run_round(args, &addresses.engines, round, &mut direct));
+        runtime.block_on(run_round(args, &addresses.entries, round, &mut routed));
     }
     ensure!(
-        !direct.first.is_empty() && !routed.first.is_empty(),
-        "nothing was answered"
+        !direct.first_token_us.is_empty() && !routed.first_token_us.is_empty(),
+        "no stream completed on one of the two paths"
     );
     println!(
         "streams={} tokens={} rounds={}",
@@ -74,45 +75,46 @@
     );
     direct.print("direct");
     routed.print("routed");
-    let added = |at: f64| {
-        let ends = (
-            routed.first.value_at_quantile(at),
-            direct.first.value_at_quantile(at),
+    let added_ms = |quantile: f64| {
+        let latencies_us = (
+            routed.first_token_us.value_at_quantile(quantile),
+            direct.first_token_us.value_at_quantile(quantile),
         );
-        (ends.0 as f64 - ends.1 as f64) / 1_000.0
+        (latencies_us.0 as f64 - latencies_us.1 as f64) / 1_000.0
     };
     println!(
         "added to the first token: p50={:.2}ms p99={:.2}ms",
-        added(0.5),
-        added(0.99)
+        added_ms(0.5),
+        added_ms(0.99)
     );
     Ok(())
 }
 
-impl Side {
+impl Samples {
     fn new() -> Result<Self> {
         Ok(Self {
-            first: Histogram::new(3).context("a histogram")?,
-            total: Histogram::new(3).context("a histogram")?,
+            first_token_us: Histogram::new(3).context("creating a histogram")?,
+            total_us: Histogram::new(3).context("creating a histogram")?,
             failed: 0,
         })
     }
 
     fn print(&self, name: &str) {
-        let of = |histogram: &Histogram<u64>, at| histogram.value_at_quantile(at) as f64 / 1_000.0;
+        let ms =
+            |histogram: &Histogram<u64>, quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
         println!(
             "{name}: first p50={:.2}ms p99={:.2}ms total p50={:.2}ms p99={:.2}ms answered={} failed={}",
-            of(&self.first, 0.5),
-            of(&self.first, 0.99),
-            of(&self.total, 0.5),
-            of(&self.total, 0.99),
-            self.first.len(),
+            ms(&self.first_token_us, 0.5),
+            ms(&self.first_token_us, 0.99),
+            ms(&self.total_us, 0.5),
+            ms(&self.total_us, 0.99),
+            self.first_token_us.len(),
             self.failed
         );
     }
 }
 
-async fn side(args: &Args, targets: &[SocketAddr], round: usize, side: &mut Side) {
+async fn run_round(args: &Args, targets: &[SocketAddr], round: usize, samples: &mut Samples) {
     let tasks: Vec<_> = (0..args.streams)
         .map(|at| {
             let target = targets[at % targets.len()];
@@ -121,21 +123,21 @@
                 "stream": true,
                 "messages": [{ "role": "user", "content": format!("bench {round} {at} len={}", args.tokens) }],
             });
-            tokio::spawn(stream(target, args.key.clone(), args.class.clone(), body.to_string()))
+            tokio::spawn(run_stream(target, args.key.clone(), args.class.clone(), body.to_string()))
         })
         .collect();
     for task in tasks {
         match task.await {
             Ok(Ok((first, total))) => {
-                let _ = side.first.record(first.as_micros() as u64);
-                let _ = side.total.record(total.as_micros() as u64);
+                let _ = samples.first_token_us.record(first.as_micros() as u64);
+                let _ = samples.total_us.record(total.as_micros() as u64);
             }
-            _ => side.failed += 1,
+            _ => samples.failed += 1,
         }
     }
 }
 
-async fn stream(
+async fn run_stream(
     target: SocketAddr,
     key: String,
     class: String,
@@ -151,16 +153,19 @@
         .header("x-class", class)
         .header("x-request-id", "bench")
         .body(Full::new(Bytes::from(body)))?;
-    let began = Instant::now();
-    let mut answer = sender.send_request(request).await?.into_body();
+    let started = Instant::now();
+    let mut response = sender.send_request(request).await?.into_body();
     let mut first = None;
     let mut last = Bytes::new();
-    while let Some(frame) = answer.frame().await {
+    while let Some(frame) = response.frame().await {
         if let Ok(data) = frame?.into_data() {
-            first.get_or_insert_with(|| began.elapsed());
+            first.get_or_insert_with(|| started.elapsed());
             last = data;
         }
     }
-    ensure!(last.ends_with(b"data: [DONE]\n\n"), "the stream broke off");
-    Ok((first.context("no token")?, began.elapsed()))
+    ensure!(
+        last.ends_with(b"data: [DONE]\n\n"),
+        "the stream ended without [DONE]"
+    );
+    Ok((first.context("the stream has no tokens")?, started.elapsed()))
 }
