--- a/crates/load/src/cmd.rs
+++ b/crates/load/src/cmd.rs
@@ -1,4 +1,4 @@
-//! Subcommands of `radishstair-load`, one file each.
+//! Command line of `radishstair-load`; each subcommand has a module.
 
 use anyhow::Result;
 use argh::FromArgs;
@@ -9,30 +9,30 @@
 pub mod slopes;
 pub mod smoke;
 
-/// Lays out deployments, checks the whole path, makes load, runs experiments.
+/// Write deployments, check them end to end, measure them and simulate policies.
 #[derive(Debug, FromArgs)]
 pub struct Args {
-    /// print the version and end
+    /// print the version and exit
     #[argh(switch)]
     pub version: bool,
-    /// what to do
+    /// subcommand
     #[argh(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What to do.
+/// Subcommands.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
-    /// Measure what an entry host adds.
+    /// Measure the latency that an entry host adds.
     Bench(bench::Args),
-    /// Measure what decisions cost.
+    /// Measure the cost of control operations at several sizes.
     Slopes(slopes::Args),
-    /// Compare policies.
+    /// Compare dispatch policies in simulation.
     Experiment(experiment::Args),
-    /// Write settings files.
+    /// Write the settings files of a deployment.
     Deploy(deploy::Args),
-    /// Check the whole path.
+    /// Check a deployment end to end.
     Smoke(smoke::Args),
 }
 
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// What went wrong, in one line.
+/// The error of the subcommand.
 pub fn run(args: Args) -> Result<()> {
     if args.version {
         println!("radishstair-load {}", env!("CARGO_PKG_VERSION"));
@@ -52,6 +52,6 @@
         Some(Command::Experiment(args)) => experiment::run(&args),
         Some(Command::Deploy(args)) => deploy::run(&args),
         Some(Command::Smoke(args)) => smoke::run(&args),
-        None => anyhow::bail!("no command; see radishstair-load --help"),
+        None => anyhow::bail!("no subcommand given; see radishstair-load --help"),
     }
 }
--- a/crates/load/src/cmd/deploy.rs
+++ b/crates/load/src/cmd/deploy.rs
@@ -1,4 +1,4 @@
-//! `radishstair-load deploy`: settings files of a small deployment.
+//! `radishstair-load deploy`: writes the settings files of a small deployment.
 
 use std::path::PathBuf;
 
@@ -11,7 +11,7 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "deploy")]
 pub struct Args {
-    /// plan (JSON)
+    /// plan file (JSON)
     #[argh(positional)]
     pub plan: PathBuf,
     /// folder for the files
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// When the plan is wrong or the folder cannot be written.
+/// If the plan is not valid or the folder cannot be written.
 pub fn run(args: &Args) -> Result<()> {
     let plan: Plan = radishstair_wire::settings::load(&args.plan)?;
     let token: [u8; 16] = rand::random();
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,4 +1,5 @@
-//! Deployments on one machine, checks of the whole path, load and experiments.
+//! Test tools of the router: deployments on one machine, end-to-end checks,
+//! benchmarks and simulated experiments.
 
 pub mod cmd;
 pub mod deploy;
