--- a/crates/load/src/cmd/smoke.rs
+++ b/crates/load/src/cmd/smoke.rs
@@ -1,4 +1,5 @@
-//! `radishstair-load smoke`: one request of each kind, every outcome checked.
+//! `radishstair-load smoke`: sends requests of each class to a deployment and
+//! checks every outcome, the refusals and the reported usage.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,27 +12,27 @@
 use crate::deploy::Addresses;
 use crate::http::{Caller, Response};
 
-/// Streams that run at once.
-const STREAMS: usize = 8;
-/// Longest wait for usage to be reported.
-const USAGE: Duration = Duration::from_secs(40);
+/// Number of concurrent streams per class.
+const CONCURRENT_STREAMS: usize = 8;
+/// Maximum time to wait until all usage is reported.
+const MAX_USAGE_WAIT: Duration = Duration::from_secs(40);
 
 /// Send requests of each class through different hosts and check every outcome.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "smoke")]
 pub struct Args {
-    /// addresses, as `deploy` writes them
+    /// file of addresses, as written by `deploy`
     #[argh(positional)]
     pub addresses: PathBuf,
-    /// what to send (JSON)
+    /// file of requests (JSON)
     #[argh(positional)]
     pub requests: PathBuf,
-    /// a key of the customer
+    /// API key of the customer
     #[argh(option)]
     pub key: String,
 }
 
-/// What to send.
+/// Requests to send.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Requests {
@@ -39,18 +40,20 @@
     model: String,
     generate: Vec<String>,
     prompt: String,
-    repeatable: Plain,
-    once: Plain,
+    repeatable: Call,
+    once: Call,
 }
 
+/// A plain call.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Plain {
+struct Call {
     class: String,
     path: String,
     body: Value,
 }
 
+/// State of a smoke test.
 struct Smoke {
     addresses: Addresses,
     requests: Requests,
@@ -62,7 +65,7 @@
 ///
 /// # Errors
 ///
-/// When any outcome was wrong.
+/// If a file cannot be read, a control request fails, or any outcome is wrong.
 pub fn run(args: &Args) -> Result<()> {
     let mut smoke = Smoke {
         addresses: radishstair_wire::settings::load(&args.addresses)?,
@@ -70,11 +73,11 @@
         caller: Caller::new(&args.key),
         failures: 0,
     };
-    smoke.generate();
-    smoke.repeatable();
-    smoke.once()?;
-    smoke.refusals();
-    smoke.usage()?;
+    smoke.check_generate();
+    smoke.check_repeatable();
+    smoke.check_once()?;
+    smoke.check_refusals();
+    smoke.check_usage()?;
     ensure!(smoke.failures == 0, "{} outcomes were wrong", smoke.failures);
     println!("all outcomes were right");
     Ok(())
@@ -85,21 +88,21 @@
         self.addresses.entries[at % self.addresses.entries.len()]
     }
 
-    fn judge(&mut self, what: &str, answer: &Response, right: bool) {
-        self.failures += usize::from(!right);
+    fn report(&mut self, label: &str, response: &Response, passed: bool) {
+        self.failures += usize::from(!passed);
         println!(
-            "{} {what} status={} runner={} tokens={} first={:.1}ms total={:.1}ms {}",
-            if right { "ok   " } else { "WRONG" },
-            answer.status,
-            if answer.runner.is_empty() {
+            "{} {label} status={} runner={} tokens={} first={:.1}ms total={:.1}ms {}",
+            if passed { "ok   " } else { "WRONG" },
+            response.status,
+            if response.runner.is_empty() {
                 "-"
             } else {
-                &answer.runner
+                &response.runner
             },
-            answer.tokens,
-            answer.first_token.as_secs_f64() * 1e3,
-            answer.total.as_secs_f64() * 1e3,
-            answer.kind(),
+            response.tokens,
+            response.first_token.as_secs_f64() * 1e3,
+            response.total.as_secs_f64() * 1e3,
+            response.kind(),
         );
     }
 
@@ -111,10 +114,10 @@
         })
     }
 
-    fn generate(&mut self) {
+    fn check_generate(&mut self) {
         for class in self.requests.generate.clone() {
             let streams: Vec<Response> = std::thread::scope(|scope| {
-                let tasks: Vec<_> = (0..STREAMS)
+                let tasks: Vec<_> = (0..CONCURRENT_STREAMS)
                     .map(|at| {
                         let (caller, entry) = (self.caller.clone(), self.entry(at));
                         let (class, body) = (class.clone(), self.chat(at, true));
@@ -126,81 +129,85 @@
                     .map(|task| task.join().unwrap_or_default())
                     .collect()
             });
-            for (at, answer) in streams.iter().enumerate() {
-                let right = answer.status == 200 && answer.done && answer.tokens as usize == 20 + at;
-                self.judge(&format!("stream class={class}"), answer, right);
+            for (at, response) in streams.iter().enumerate() {
+                let passed = response.status == 200 && response.done && response.tokens as usize == 20 + at;
+                self.report(&format!("stream class={class}"), response, passed);
             }
-            let answer = self.caller.chat(self.entry(1), &class, &self.chat(3, false));
-            let right = answer.status == 200 && answer.text == streams[3].text;
-            self.judge(&format!("whole class={class}"), &answer, right);
+            let response = self.caller.chat(self.entry(1), &class, &self.chat(3, false));
+            let passed = response.status == 200 && response.text == streams[3].text;
+            self.report(&format!("whole class={class}"), &response, passed);
         }
     }
 
-    fn repeatable(&mut self) {
-        let plain = self.requests.repeatable.clone();
+    fn check_repeatable(&mut self) {
+        let call = self.requests.repeatable.clone();
         for at in 0..self.addresses.entries.len() {
-            let answer = self.caller.call(self.entry(at), &plain.path, &plain.body, None);
-            let right = answer.status == 200 && answer.body["echo"] == plain.body;
-            self.judge(&format!("call class={}", plain.class), &answer, right);
+            let response = self.caller.call(self.entry(at), &call.path, &call.body, None);
+            let passed = response.status == 200 && response.body["echo"] == call.body;
+            self.report(&format!("call class={}", call.class), &response, passed);
         }
     }
 
-    fn once(&mut self) -> Result<()> {
-        let plain = self.requests.once.clone();
+    fn check_once(&mut self) -> Result<()> {
+        let call = self.requests.once.clone();
         let hosts = self.addresses.entries.len();
         let ticket = self
             .caller
             .tickets(self.entry(0), 1)?
             .pop()
-            .context("no ticket")?;
-        let own = format!("smoke-{}", uuid::Uuid::now_v7());
-        for (what, key) in [("ticket", &ticket), ("own-key", &own)] {
+            .context("the entry host issued no ticket")?;
+        let own_key = format!("smoke-{}", uuid::Uuid::now_v7());
+        for (label, key) in [("ticket", &ticket), ("own-key", &own_key)] {
             let first = self
                 .caller
-                .call(self.entry(hosts - 1), &plain.path, &plain.body, Some(key));
-            let right = first.status == 200 && first.body["echo"] == plain.body;
-            self.judge(&format!("once class={} by={what}", plain.class), &first, right);
+                .call(self.entry(hosts - 1), &call.path, &call.body, Some(key));
+            let passed = first.status == 200 && first.body["echo"] == call.body;
+            self.report(&format!("once class={} by={label}", call.class), &first, passed);
             for at in 0..hosts {
-                let again = self
+                let repeated = self
                     .caller
-                    .call(self.entry(at), &plain.path, &plain.body, Some(key));
-                let right = again.status == 200 && again.body["entry"] == first.body["entry"];
-                self.judge(&format!("again class={} by={what}", plain.class), &again, right);
+                    .call(self.entry(at), &call.path, &call.body, Some(key));
+                let passed = repeated.status == 200 && repeated.body["entry"] == first.body["entry"];
+                self.report(
+                    &format!("again class={} by={label}", call.class),
+                    &repeated,
+                    passed,
+                );
             }
         }
-        let runs = self.runs(&plain)?;
+        let runs = self.count_runs(&call)?;
         println!(
             "{} runs path={} count={runs}",
             if runs == 2 { "ok   " } else { "WRONG" },
-            plain.path
+            call.path
         );
         self.failures += usize::from(runs != 2);
         Ok(())
     }
 
-    /// How often the plain services ran the at-most-once call.
-    fn runs(&self, plain: &Plain) -> Result<usize> {
+    /// Number of times that the plain services ran a call.
+    fn count_runs(&self, call: &Call) -> Result<usize> {
         let mut runs = 0;
         for address in &self.addresses.plain {
             let log: Value = get(*address, "/control/log")?;
-            let all = log["runs"].as_array().cloned().unwrap_or_default();
-            runs += all
+            let entries = log["runs"].as_array().cloned().unwrap_or_default();
+            runs += entries
                 .iter()
-                .filter(|run| run["path"] == plain.path.as_str())
+                .filter(|run| run["path"] == call.path.as_str())
                 .count();
         }
         Ok(runs)
     }
 
-    fn refusals(&mut self) {
+    fn check_refusals(&mut self) {
         let class = self.requests.generate[0].clone();
-        let plain = self.requests.once.clone();
+        let call = self.requests.once.clone();
         let entry = self.entry(0);
-        let stranger = Caller::new("rsk-unknown");
+        let unknown = Caller::new("rsk-unknown");
         let cases = [
             (
                 "wrong-key",
-                stranger.chat(entry, &class, &self.chat(0, true)),
+                unknown.chat(entry, &class, &self.chat(0, true)),
                 "unknown-key",
             ),
             (
@@ -216,7 +223,7 @@
             ),
             (
                 "no-idempotency-key",
-                self.caller.call(entry, &plain.path, &plain.body, None),
+                self.caller.call(entry, &call.path, &call.body, None),
                 "missing-idempotency-key",
             ),
             (
@@ -226,20 +233,21 @@
             ),
             (
                 "no-path",
-                self.caller.call(entry, "/no/such/path", &plain.body, None),
+                self.caller.call(entry, "/no/such/path", &call.body, None),
                 "not-found",
             ),
         ];
-        for (what, answer, kind) in cases {
-            let right = answer.kind() == kind && answer.ran() == "not-run";
-            self.judge(&format!("refusal case={what}"), &answer, right);
+        for (label, response, kind) in cases {
+            let passed = response.kind() == kind && response.ran() == "not-run";
+            self.report(&format!("refusal case={label}"), &response, passed);
         }
     }
 
-    /// Waits until the platform has the usage of what was sent.
-    fn usage(&mut self) -> Result<()> {
-        let until = Instant::now() + USAGE;
-        let wanted = (STREAMS + 1) * self.requests.generate.len() + self.addresses.entries.len() + 2;
+    /// Waits until the platform has received the usage of all calls that ran, and checks it.
+    fn check_usage(&mut self) -> Result<()> {
+        let deadline = Instant::now() + MAX_USAGE_WAIT;
+        let expected =
+            (CONCURRENT_STREAMS + 1) * self.requests.generate.len() + self.addresses.entries.len() + 2;
         loop {
             let log: Value = post(self.addresses.platform[0], "/control/log")?;
             let lines: Vec<Value> = log["reports"]
@@ -249,17 +257,17 @@
                 .flat_map(|report| report["lines"].as_array().cloned().unwrap_or_default())
                 .collect();
             let calls: u64 = lines.iter().filter_map(|line| line["calls"].as_u64()).sum();
-            if calls as usize >= wanted || Instant::now() >= until {
+            if calls as usize >= expected || Instant::now() >= deadline {
                 lines.iter().for_each(|line| println!("usage {line}"));
-                let right = calls as usize == wanted
+                let passed = calls as usize == expected
                     && lines
                         .iter()
                         .all(|line| line["customer"] == self.requests.customer.as_str());
                 println!(
-                    "{} usage calls={calls} sent={wanted}",
-                    if right { "ok   " } else { "WRONG" }
+                    "{} usage calls={calls} sent={expected}",
+                    if passed { "ok   " } else { "WRONG" }
                 );
-                self.failures += usize::from(!right);
+                self.failures += usize::from(!passed);
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(500));
@@ -268,18 +276,18 @@
 }
 
 fn get(address: SocketAddr, path: &str) -> Result<Value> {
-    let mut answer = ureq::get(format!("http://{address}{path}"))
+    let mut response = ureq::get(format!("http://{address}{path}"))
         .call()
         .with_context(|| format!("reading {path}"))?;
-    Ok(serde_json::from_slice(&answer.body_mut().read_to_vec()?)?)
+    Ok(serde_json::from_slice(&response.body_mut().read_to_vec()?)?)
 }
 
 fn post(address: SocketAddr, path: &str) -> Result<Value> {
-    let mut answer = ureq::post(format!("http://{address}{path}"))
+    let mut response = ureq::post(format!("http://{address}{path}"))
         .send("{}")
-        .with_context(|| format!("reading {path}"))?;
-    if answer.status() != 200 {
-        bail!("{path} answered {}", answer.status());
+        .with_context(|| format!("posting to {path}"))?;
+    if response.status() != 200 {
+        bail!("{path} returned status {}", response.status());
     }
-    Ok(serde_json::from_slice(&answer.body_mut().read_to_vec()?)?)
+    Ok(serde_json::from_slice(&response.body_mut().read_to_vec()?)?)
 }
