--- a/crates/load/src/cmd/slopes/fleet.rs
+++ b/crates/load/src/cmd/slopes/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of kernels in one process, with a store that only counts.
+//! Simulation of a fleet: the kernels of all hosts in one process, with an
+//! in-memory store that counts its calls.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -6,105 +7,114 @@
 use prost::Message;
 use radishstair_core::config::change::{self, Entry, Op, Section, Snapshot};
 use radishstair_core::dispatch::Policy;
-use radishstair_core::id::{CallId as Question, Incarnation};
+use radishstair_core::id::{CallId as RequestId, Incarnation};
 use radishstair_core::kernel::{Action, Event, Kernel, Reply, Setup};
 use radishstair_core::member::Identity;
 use radishstair_core::peer::Heartbeat;
-use radishstair_core::store::{Answer, Call, Entry as Value};
+use radishstair_core::store::{Answer, Call, Entry as StoreEntry};
 use radishstair_core::time::Moment;
 
-use super::{item, listed, sample, seek};
+use super::{sample_document, sample_listings, sample_submission, sample_usage};
 
-/// Milliseconds between steps.
-const STEP: u64 = 100;
-/// Seconds before counting begins.
-const SETTLE: u64 = 30;
+/// Simulated time per step, in milliseconds.
+const STEP_MS: u64 = 100;
+/// Simulated time before measuring starts, in seconds.
+const WARMUP_S: u64 = 30;
 
-/// What one host sent and spent, or what the store was asked.
+/// Traffic and processing time of one host.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cost {
-    bytes: usize,
-    received: usize,
-    beats: usize,
-    busy: f64,
+    sent_bytes: usize,
+    received_bytes: usize,
+    heartbeats: usize,
+    busy_s: f64,
 }
 
+/// Kernels of all hosts, the store, and the messages in transit.
 struct Fleet {
     kernels: Vec<Kernel>,
-    mail: Vec<(usize, Event)>,
+    messages: Vec<(usize, Event)>,
     watches: Vec<(usize, Event, String)>,
     store: BTreeMap<String, (u64, String)>,
     version: u64,
     costs: Vec<Cost>,
     reads: usize,
     writes: usize,
-    counting: bool,
-    questions: Vec<usize>,
+    measuring: bool,
+    requesters: Vec<usize>,
 }
 
+/// Address of a host by its index.
 fn address(at: usize) -> String {
     format!("10.1.{}.{}:7000", at / 250, at % 250)
 }
 
-fn place(address: &str) -> Option<usize> {
-    let rest = address.strip_prefix("10.1.")?.strip_suffix(":7000")?;
-    let (high, low) = rest.split_once('.')?;
+/// Index of a host by its address.
+fn parse_index(address: &str) -> Option<usize> {
+    let digits = address.strip_prefix("10.1.")?.strip_suffix(":7000")?;
+    let (high, low) = digits.split_once('.')?;
     Some(high.parse::<usize>().ok()? * 250 + low.parse::<usize>().ok()?)
 }
 
-/// Plays a fleet for some seconds and prints a busy host's heartbeats, the
-/// costliest host's, and the store's calls.
-pub fn play(seconds: u64, hosts: usize, zones: usize, runners: usize, changes: u64) {
+/// Simulates a fleet of `hosts` per zone. Prints, per second, the heartbeats and processing time of
+/// a busy host, the highest traffic of any host, and the calls to the store.
+pub fn simulate(seconds: u64, hosts: usize, zones: usize, runners: usize, changes: u64) {
     let mut fleet = Fleet::new(hosts * zones, zones);
     let start = Moment::at_ms(1_000_000);
-    let mine: Vec<_> = listed(runners, zones)
+    let listings: Vec<_> = sample_listings(runners, zones)
         .into_iter()
-        .filter(|item| item.zone == "zone-0")
+        .filter(|listing| listing.zone == "zone-0")
         .collect();
     for kernel in &mut fleet.kernels {
-        kernel.handle(start, Event::RunnerList(mine.clone()));
+        kernel.handle(start, Event::RunnerList(listings.clone()));
     }
-    for step in 0..(SETTLE + seconds) * 1_000 / STEP {
-        fleet.counting = step >= SETTLE * 1_000 / STEP;
-        let now = Moment::at_ms(1_000_000 + step * STEP);
-        if step == SETTLE * 1_000 / STEP {
-            // A busy host has ten seconds of twelve requests a second in flight.
-            (0..120).for_each(|call| drop(fleet.kernels[0].handle(now, Event::Acquire(seek(call)))));
+    for step in 0..(WARMUP_S + seconds) * 1_000 / STEP_MS {
+        fleet.measuring = step >= WARMUP_S * 1_000 / STEP_MS;
+        let now = Moment::at_ms(1_000_000 + step * STEP_MS);
+        if step == WARMUP_S * 1_000 / STEP_MS {
+            // The busy host has 120 calls in flight: ten seconds at twelve per second.
+            (0..120)
+                .for_each(|call| drop(fleet.kernels[0].handle(now, Event::Acquire(sample_submission(call)))));
         }
-        if fleet.counting && step % 10 == 0 {
+        if fleet.measuring && step % 10 == 0 {
             for kernel in 0..fleet.kernels.len() as u64 {
-                // Twelve a second at each host, of all customers and classes.
+                // Each host records twelve calls per second, of all customers and classes.
                 (0..12).for_each(|at| {
                     drop(
                         fleet.kernels[kernel as usize]
-                            .handle(now, Event::RecordUsage(item(step * 7 + kernel * 12 + at))),
+                            .handle(now, Event::RecordUsage(sample_usage(step * 7 + kernel * 12 + at))),
                     )
                 });
             }
         }
-        if fleet.counting && changes > 0 && step % (seconds * 1_000 / STEP / changes).max(1) == 0 {
-            fleet.change();
+        if fleet.measuring && changes > 0 && step % (seconds * 1_000 / STEP_MS / changes).max(1) == 0 {
+            fleet.commit_change();
         }
         fleet.step(now);
     }
-    let received = fleet.costs.iter().map(|cost| cost.received).max().unwrap_or(0);
-    let of = |count: usize| count as f64 / seconds as f64;
+    let received = fleet
+        .costs
+        .iter()
+        .map(|cost| cost.received_bytes)
+        .max()
+        .unwrap_or(0);
+    let per_second = |count: usize| count as f64 / seconds as f64;
     let busy = fleet.costs[0];
-    let most = fleet
+    let costliest = fleet
         .costs
         .iter()
-        .max_by_key(|cost| cost.bytes)
+        .max_by_key(|cost| cost.sent_bytes)
         .copied()
         .unwrap_or_default();
     println!(
         "fleet hosts={hosts} zones={zones} runners={runners} busy_host_bytes={:.0} busy_host_beats={:.1} busy_host_core_percent={:.3} costliest_host_bytes={:.0} most_received_bytes={:.0} store_reads={:.2} store_writes={:.2} changes={changes}",
-        of(busy.bytes),
-        of(busy.beats),
-        busy.busy / seconds as f64 * 100.0,
-        of(most.bytes),
-        of(received),
-        of(fleet.reads),
-        of(fleet.writes),
+        per_second(busy.sent_bytes),
+        per_second(busy.heartbeats),
+        busy.busy_s / seconds as f64 * 100.0,
+        per_second(costliest.sent_bytes),
+        per_second(received),
+        per_second(fleet.reads),
+        per_second(fleet.writes),
     );
 }
 
@@ -127,25 +137,25 @@
         };
         let snapshot = Snapshot {
             version: 1,
-            document: sample(50),
+            document: sample_document(50),
         };
         let text = serde_json::to_string(&snapshot).unwrap_or_default();
         Self {
             kernels: (0..total).map(kernel).collect(),
-            mail: Vec::new(),
+            messages: Vec::new(),
             watches: Vec::new(),
             store: BTreeMap::from([(change::SNAPSHOT_KEY.to_string(), (1, text))]),
             version: 1,
             costs: vec![Cost::default(); total],
             reads: 0,
             writes: 0,
-            counting: false,
-            questions: Vec::new(),
+            measuring: false,
+            requesters: Vec::new(),
         }
     }
 
-    /// An operator's change of one key.
-    fn change(&mut self) {
+    /// Appends an operator's change of one customer to the log and wakes its watchers.
+    fn commit_change(&mut self) {
         let version = self
             .store
             .keys()
@@ -169,17 +179,17 @@
         self.version += 1;
         let text = serde_json::to_string(&entry).unwrap_or_default();
         self.store.insert(change::log_key(version), (self.version, text));
-        let (ready, rest) = std::mem::take(&mut self.watches)
+        let (ready, others) = std::mem::take(&mut self.watches)
             .into_iter()
             .partition(|(.., prefix)| prefix == change::LOG_PREFIX);
-        self.watches = rest;
+        self.watches = others;
         let ready: Vec<(usize, Event, String)> = ready;
-        self.mail
+        self.messages
             .extend(ready.into_iter().map(|(to, event, _)| (to, event)));
     }
 
     fn step(&mut self, now: Moment) {
-        for (to, event) in std::mem::take(&mut self.mail) {
+        for (to, event) in std::mem::take(&mut self.messages) {
             self.handle(now, to, event);
         }
         for at in 0..self.kernels.len() {
@@ -188,72 +198,72 @@
     }
 
     fn handle(&mut self, now: Moment, at: usize, event: Event) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let actions = self.kernels[at].handle(now, event);
-        if self.counting {
-            self.costs[at].busy += began.elapsed().as_secs_f64();
+        if self.measuring {
+            self.costs[at].busy_s += started_at.elapsed().as_secs_f64();
         }
         for action in actions {
-            self.act(at, action);
+            self.execute(at, action);
         }
     }
 
-    fn act(&mut self, at: usize, action: Action) {
+    fn execute(&mut self, at: usize, action: Action) {
         match action {
-            Action::Heartbeat(address, beat) => self.beat(at, &address, *beat),
-            Action::Store(token, call) => self.ask(at, token, &call),
+            Action::Heartbeat(address, heartbeat) => self.send_heartbeat(at, &address, *heartbeat),
+            Action::Store(token, call) => self.call_store(at, token, &call),
             Action::Pull(address, pull) => {
-                let call = self.question(at);
-                self.send(&address, Event::Pull(call, pull));
+                let request = self.open_request(at);
+                self.send(&address, Event::Pull(request, pull));
             }
-            Action::Collect(address, ask) => {
-                let call = self.question(at);
-                self.transfer(at, place(&address), ask.encoded_len());
-                self.send(&address, Event::Collect(call, ask));
+            Action::Collect(address, collect) => {
+                let request = self.open_request(at);
+                self.transfer(at, parse_index(&address), collect.encoded_len());
+                self.send(&address, Event::Collect(request, collect));
             }
-            Action::Reply(call, reply) => self.reply(at, call, *reply),
-            Action::Report(..) => self.mail.push((at, Event::ReportAnswer(true))),
+            Action::Reply(request, reply) => self.reply(at, request, *reply),
+            Action::Report(..) => self.messages.push((at, Event::ReportAnswer(true))),
             _ => {}
         }
     }
 
-    fn beat(&mut self, at: usize, address: &str, beat: Heartbeat) {
-        self.transfer(at, place(address), beat.encoded_len());
-        if self.counting {
-            self.costs[at].beats += 1;
+    fn send_heartbeat(&mut self, at: usize, address: &str, heartbeat: Heartbeat) {
+        self.transfer(at, parse_index(address), heartbeat.encoded_len());
+        if self.measuring {
+            self.costs[at].heartbeats += 1;
         }
-        self.send(address, Event::Heartbeat(beat));
+        self.send(address, Event::Heartbeat(heartbeat));
     }
 
     fn send(&mut self, address: &str, event: Event) {
-        if let Some(to) = place(address).filter(|to| *to < self.kernels.len()) {
-            self.mail.push((to, event));
+        if let Some(to) = parse_index(address).filter(|to| *to < self.kernels.len()) {
+            self.messages.push((to, event));
         }
     }
 
     fn transfer(&mut self, from: usize, to: Option<usize>, bytes: usize) {
-        if !self.counting {
+        if !self.measuring {
             return;
         }
-        self.costs[from].bytes += bytes;
+        self.costs[from].sent_bytes += bytes;
         if let Some(to) = to.filter(|to| *to < self.costs.len()) {
-            self.costs[to].received += bytes;
+            self.costs[to].received_bytes += bytes;
         }
     }
 
-    /// A call that stands for a host's question to another.
-    fn question(&mut self, asker: usize) -> Question {
-        self.questions.push(asker);
-        Question(self.questions.len() as u64)
+    /// Returns a new id for a request of a host to a peer.
+    fn open_request(&mut self, requester: usize) -> RequestId {
+        self.requesters.push(requester);
+        RequestId(self.requesters.len() as u64)
     }
 
-    fn reply(&mut self, from: usize, call: Question, reply: Reply) {
-        let asker = match call
+    fn reply(&mut self, from: usize, request: RequestId, reply: Reply) {
+        let requester = match request
             .0
             .checked_sub(1)
-            .and_then(|at| self.questions.get(at as usize))
+            .and_then(|at| self.requesters.get(at as usize))
         {
-            Some(asker) => *asker,
+            Some(requester) => *requester,
             None => return,
         };
         let (bytes, event) = match reply {
@@ -261,29 +271,29 @@
             Reply::Collected(answer) => (answer.encoded_len(), Event::Collected(answer)),
             _ => return,
         };
-        self.transfer(from, Some(asker), bytes);
-        self.mail.push((asker, event));
+        self.transfer(from, Some(requester), bytes);
+        self.messages.push((requester, event));
     }
 
-    fn ask(&mut self, at: usize, token: radishstair_core::store::Token, call: &Call) {
-        let write = matches!(call, Call::CompareAndSwap { .. } | Call::Remove { .. });
-        if self.counting {
-            self.writes += usize::from(write);
-            self.reads += usize::from(!write);
+    fn call_store(&mut self, at: usize, token: radishstair_core::store::Token, call: &Call) {
+        let is_write = matches!(call, Call::CompareAndSwap { .. } | Call::Remove { .. });
+        if self.measuring {
+            self.writes += usize::from(is_write);
+            self.reads += usize::from(!is_write);
         }
         let answer = match call {
             Call::CompareAndSwap { key, expect, value } => {
-                let have = self.store.get(key).map_or(0, |(version, _)| *version);
-                if have == *expect {
+                let current = self.store.get(key).map_or(0, |(version, _)| *version);
+                if current == *expect {
                     self.version += 1;
                     self.store.insert(key.clone(), (self.version, value.clone()));
                     Answer::Written(self.version)
                 } else {
-                    Answer::Conflict(self.value(key))
+                    Answer::Conflict(self.store_entry(key))
                 }
             }
             Call::Get { key } | Call::GetStale { key } | Call::GetIfChanged { key, .. } => {
-                Answer::Found(vec![self.value(key)])
+                Answer::Found(vec![self.store_entry(key)])
             }
             Call::Range { prefix, after, limit } => self.scan(prefix, after, *limit as usize),
             Call::Watch { prefix, .. } => {
@@ -293,19 +303,19 @@
             }
             Call::Remove { .. } => Answer::Written(0),
         };
-        self.mail.push((at, Event::StoreAnswer(token, answer)));
+        self.messages.push((at, Event::StoreAnswer(token, answer)));
     }
 
     fn scan(&self, prefix: &str, after: &str, limit: usize) -> Answer {
         let from = prefix.max(after).to_string();
         let keys = self.store.range(from..).filter(|(key, _)| key.as_str() > after);
         let keys = keys.take_while(|(key, _)| key.starts_with(prefix)).take(limit);
-        Answer::Found(keys.map(|(key, _)| self.value(key)).collect())
+        Answer::Found(keys.map(|(key, _)| self.store_entry(key)).collect())
     }
 
-    fn value(&self, key: &str) -> Value {
+    fn store_entry(&self, key: &str) -> StoreEntry {
         let (version, value) = self.store.get(key).cloned().unwrap_or_default();
-        Value {
+        StoreEntry {
             key: key.to_string(),
             version,
             value,
