--- a/crates/load/src/simulation.rs
+++ b/crates/load/src/simulation.rs
@@ -61,24 +61,30 @@
     EngineStop(usize),
 }
 
-/// A call and its progress.
+/// A call and its progress. `traffic`, `customer` and `host` are indices.
 #[derive(Clone)]
 struct Job {
     traffic: usize,
     customer: usize,
     host: usize,
     arrived_us: u64,
+    /// Output tokens that complete the call.
     tokens: u32,
     prefix: u64,
+    /// Whether this is the retry of a refused call.
     retried: bool,
+    /// Whether capacity is reserved for the retry.
     reserved: bool,
     attempts: u32,
     first_token_us: Option<u64>,
+    /// Output tokens that the caller has received from failed or completed attempts.
     delivered: u32,
     avoid: Vec<radishstair_core::runner::Key>,
     submission: Option<Submission>,
+    /// Index of the assigned engine, and its key in the host's dispatcher.
     runner: Option<(usize, radishstair_core::runner::Key)>,
     started_us: u64,
+    /// Time from the start of the current attempt to its completion.
     duration_us: u64,
     priority: u8,
     ended: bool,
@@ -90,15 +96,19 @@
     now_us: u64,
     rng: ChaCha8Rng,
     hosts: Vec<Dispatcher>,
+    /// Index of each host's zone.
     host_zones: Vec<usize>,
     /// Waiting calls that each host last reported, by pool.
     reported_waiting: Vec<Vec<(String, u32)>>,
     engines: Vec<Engine>,
     jobs: Vec<Job>,
+    /// Factor of each customer's rate, by traffic entry.
     rate_factors: Vec<Vec<f64>>,
+    /// Times and serial numbers of the pending events.
     timeline: BinaryHeap<Reverse<(u64, u64)>>,
     pending: BTreeMap<u64, Event>,
     last_serial: u64,
+    /// Whether the hosts' reports to each other are lost.
     partitioned: bool,
     metrics: Metrics,
 }
--- a/crates/load/src/simulation/engine.rs
+++ b/crates/load/src/simulation/engine.rs
@@ -9,12 +9,15 @@
 /// A runner in memory, with its running and queued jobs.
 pub struct Engine {
     pub listing: Listing,
+    /// Index of its entry in the scenario's fleet.
     pub group: usize,
     pub running: Vec<usize>,
     pub queue: Vec<usize>,
     pub cached_prefixes: VecDeque<u64>,
+    /// Factor of its time per token.
     pub slowdown: f64,
     pub stopped: bool,
+    /// Time in service before the last start.
     pub uptime_us: u64,
     pub started_us: u64,
 }
