--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -62,7 +62,7 @@
         Burst { class: String, factor: f64 },
         /// Multiplies the rate of one customer of a class.
         Flood { class: String, customer: String, factor: f64 },
-        /// Multiplies the time per token of some runners of a pool.
+        /// Multiplies the prefill time and the time per token of some runners of a pool.
         Slow { pool: String, runners: u32, factor: f64 },
         /// Stops all runners of a pool in a zone, after a notice period.
         Reclaim { pool: String, zone: String, notice_ms: u64 },
--- a/crates/load/src/simulation/engine.rs
+++ b/crates/load/src/simulation/engine.rs
@@ -14,10 +14,10 @@
     pub running: Vec<usize>,
     pub queue: Vec<usize>,
     pub cached_prefixes: VecDeque<u64>,
-    /// Factor of its time per token.
+    /// Factor of its prefill time and time per token.
     pub slowdown: f64,
     pub stopped: bool,
-    /// Time in service before the last start.
+    /// Time in service up to the last stop.
     pub uptime_us: u64,
     pub started_us: u64,
 }
