--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,7 +1,8 @@
-//! Peers: heartbeats, configuration, usage and calls passed on, by gRPC.
+//! Messages to peers over gRPC: heartbeats, configuration, usage and forwarded
+//! calls.
 //!
-//! Runs on a thread of its own. Each message is sent once and may be lost;
-//! what must arrive is repeated by the decisions, not here.
+//! Runs on a thread of its own. Each message is sent once and may be lost; the
+//! kernel repeats those that have to arrive.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,65 +15,73 @@
 
 use crate::handle::Handle;
 
-pub mod links;
+pub mod dialer;
 pub mod serve;
 
-pub use links::{Links, Token};
+pub use dialer::{Dialer, Token};
 
 /// Longest wait for an answer to a control message.
-const ANSWER: Duration = Duration::from_secs(2);
-/// Heartbeats in the air to one peer; more are dropped, as newer ones follow.
-const BEATS_IN_AIR: usize = 2;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit of unanswered heartbeats to one peer; further ones are dropped, as newer
+/// ones follow.
+const MAX_HEARTBEATS_IN_FLIGHT: usize = 2;
 
 /// A message to a peer's address.
 #[derive(Debug)]
 pub enum Message {
-    /// Heartbeat.
+    /// Sends a heartbeat.
     Heartbeat(String, Box<Heartbeat>),
-    /// Asks for configuration.
+    /// Requests the configuration.
     Pull(String, Pull),
-    /// Asks for usage.
+    /// Requests usage records.
     Collect(String, Collect),
 }
 
-/// Sends messages until the line is closed.
-pub async fn send(handle: Arc<Handle>, links: Arc<Links>, mut messages: mpsc::UnboundedReceiver<Message>) {
+/// Sends messages until the channel is closed.
+pub async fn run_sender(
+    handle: Arc<Handle>,
+    dialer: Arc<Dialer>,
+    mut messages: mpsc::UnboundedReceiver<Message>,
+) {
     while let Some(message) = messages.recv().await {
         let handle = handle.clone();
-        let links = links.clone();
+        let dialer = dialer.clone();
         match message {
-            Message::Heartbeat(address, beat) => {
-                let Some((channel, in_air)) = links.channel(&address) else {
+            Message::Heartbeat(address, heartbeat) => {
+                let Some((channel, in_flight)) = dialer.channel(&address) else {
                     continue;
                 };
-                // A frozen peer must not pile up messages here.
-                if Arc::strong_count(&in_air) > 2 + BEATS_IN_AIR {
+                // Bounds the memory used for a peer that does not answer.
+                if Arc::strong_count(&in_flight) > 2 + MAX_HEARTBEATS_IN_FLIGHT {
                     continue;
                 }
-                handle.metrics.beat_bytes.inc_by(beat.encoded_len() as u64);
-                let mut client = links.over(channel);
+                handle
+                    .metrics
+                    .heartbeat_bytes
+                    .inc_by(heartbeat.encoded_len() as u64);
+                let mut client = dialer.client_on(channel);
                 tokio::spawn(async move {
-                    let _in_air = in_air;
-                    answer(client.heartbeat(*beat)).await;
+                    let _in_flight = in_flight;
+                    await_answer(client.heartbeat(*heartbeat)).await;
                 });
             }
             Message::Pull(address, pull) => {
-                let Some(mut client) = links.client(&address) else {
+                let Some(mut client) = dialer.client(&address) else {
                     continue;
                 };
                 tokio::spawn(async move {
-                    if let Some(pulled) = answer(client.pull(pull)).await {
-                        handle.tell(Event::Pulled(pulled));
+                    if let Some(pulled) = await_answer(client.pull(pull)).await {
+                        handle.notify(Event::Pulled(pulled));
                     }
                 });
             }
-            Message::Collect(address, ask) => {
-                let Some(mut client) = links.client(&address) else {
+            Message::Collect(address, collect) => {
+                let Some(mut client) = dialer.client(&address) else {
                     continue;
                 };
                 tokio::spawn(async move {
-                    if let Some(collected) = answer(client.collect(ask)).await {
-                        handle.tell(Event::Collected(collected));
+                    if let Some(collected) = await_answer(client.collect(collect)).await {
+                        handle.notify(Event::Collected(collected));
                     }
                 });
             }
@@ -80,7 +89,7 @@
     }
 }
 
-async fn answer<T>(call: impl Future<Output = Result<Response<T>, Status>>) -> Option<T> {
-    let answered = tokio::time::timeout(ANSWER, call).await.ok()?;
+async fn await_answer<T>(call: impl Future<Output = Result<Response<T>, Status>>) -> Option<T> {
+    let answered = tokio::time::timeout(ANSWER_TIMEOUT, call).await.ok()?;
     answered.ok().map(Response::into_inner)
 }
--- a/crates/entry/src/peers/links.rs
+++ b/crates/entry/src/peers/dialer.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, each message with the shared token.
+//! Connections to peers; every message includes the shared token.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Request, Status};
 
-/// Longest wait for a connection to a peer.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Longest time to establish a connection to a peer.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Adds the shared token to each message.
+/// Interceptor that adds the shared token to each message.
 #[derive(Clone, Debug)]
 pub struct Token(MetadataValue<Ascii>);
 
 impl Token {
-    /// From the settings.
+    /// Creates the interceptor for a token.
     ///
     /// # Errors
     ///
-    /// When the text cannot stand in a header.
+    /// When the token contains other than visible ASCII characters.
     pub fn new(text: &str) -> Result<Self> {
         Ok(Self(
             text.parse()
@@ -41,9 +41,9 @@
     }
 }
 
-/// Connections to peers, made when first needed.
+/// Opens connections to peers when first needed, and keeps them.
 #[derive(Debug)]
-pub struct Links {
+pub struct Dialer {
     token: Token,
     channels: Mutex<Vec<(String, Channel, Arc<()>)>>,
 }
@@ -51,8 +51,8 @@
 /// A client of one peer.
 pub type Client = PeerClient<InterceptedService<Channel, Token>>;
 
-impl Links {
-    /// No connection yet.
+impl Dialer {
+    /// Starts without any connection.
     pub fn new(token: Token) -> Self {
         Self {
             token,
@@ -60,12 +60,12 @@
         }
     }
 
-    /// A client of the peer at an address; connects when used.
+    /// A client of the peer at an address; connects on the first call.
     pub fn client(&self, address: &str) -> Option<Client> {
-        self.channel(address).map(|(channel, _)| self.over(channel))
+        self.channel(address).map(|(channel, _)| self.client_on(channel))
     }
 
-    pub(super) fn over(&self, channel: Channel) -> Client {
+    pub(super) fn client_on(&self, channel: Channel) -> Client {
         PeerClient::with_interceptor(channel, self.token.clone())
             .max_decoding_message_size(MAX_MESSAGE_BYTES)
             .max_encoding_message_size(MAX_MESSAGE_BYTES)
@@ -76,17 +76,17 @@
             .channels
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        match channels.binary_search_by(|(have, ..)| have.as_str().cmp(address)) {
+        match channels.binary_search_by(|(key, ..)| key.as_str().cmp(address)) {
             Ok(at) => Some((channels[at].1.clone(), channels[at].2.clone())),
             Err(at) => {
                 let channel = Endpoint::from_shared(format!("http://{address}"))
                     .ok()?
-                    .connect_timeout(CONNECT)
+                    .connect_timeout(CONNECT_TIMEOUT)
                     .tcp_nodelay(true)
                     .connect_lazy();
-                let in_air = Arc::new(());
-                channels.insert(at, (address.to_string(), channel.clone(), in_air.clone()));
-                Some((channel, in_air))
+                let in_flight = Arc::new(());
+                channels.insert(at, (address.to_string(), channel.clone(), in_flight.clone()));
+                Some((channel, in_flight))
             }
         }
     }
--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -25,7 +25,7 @@
 use tokio::sync::Notify;
 
 use crate::clock::Clock;
-use crate::flight::{self, Flight};
+use crate::in_flight::{self, InFlightGuard};
 use crate::metrics::Metrics;
 use adapter::Adapter;
 
@@ -89,7 +89,7 @@
     /// Notified when a peer announces that it has read changes from the store.
     peer_notified: Notify,
     /// Number of requests in flight.
-    active_requests: flight::Count,
+    active_requests: in_flight::Counter,
     /// Addresses of all live hosts, this one included.
     peers: ArcSwap<Vec<SocketAddr>>,
     /// Zones and links of hosts, taken from their datagrams; sorted by address.
@@ -119,7 +119,7 @@
             document_holder: Mutex::default(),
             store_changed: Notify::new(),
             peer_notified: Notify::new(),
-            active_requests: flight::Count::default(),
+            active_requests: in_flight::Counter::default(),
             peers: ArcSwap::default(),
             locations: Mutex::default(),
         })
@@ -246,8 +246,8 @@
     }
 
     /// Counts a request as in flight until the returned guard is dropped.
-    pub fn start_request(&self) -> Flight {
-        self.active_requests.begin()
+    pub fn start_request(&self) -> InFlightGuard {
+        self.active_requests.track()
     }
 
     /// Number of requests in flight.
--- a/crates/entry/src/proxy/admin.rs
+++ b/crates/entry/src/proxy/admin.rs
@@ -59,10 +59,10 @@
     match request.uri().path() {
         METRICS_PATH => {
             let trusted = shared.state().is_fresh(shared.now());
-            shared.metrics.trusted.set(i64::from(trusted));
-            shared.metrics.in_flight.set(shared.in_flight() as i64);
-            shared.metrics.dropped_lines.set(log::dropped() as i64);
-            with_body(StatusCode::OK, shared.metrics.text())
+            shared.metrics.keys_trusted.set(i64::from(trusted));
+            shared.metrics.requests_in_flight.set(shared.in_flight() as i64);
+            shared.metrics.log_lines_dropped.set(log::dropped_lines() as i64);
+            with_body(StatusCode::OK, shared.metrics.render())
         }
         path if path == shared.adapter.ready_path() => readiness(shared),
         _ => with_body(StatusCode::NOT_FOUND, "not found\n"),
--- a/crates/entry/src/proxy/buffered.rs
+++ b/crates/entry/src/proxy/buffered.rs
@@ -21,11 +21,11 @@
 }
 
 impl Attempts for Buffered<'_> {
-    type Place = Slot;
+    type Permit = Slot;
     type Answer = Response<Body>;
-    type End = Refusal;
+    type Error = Refusal;
 
-    async fn place(&mut self) -> Result<Slot, Refusal> {
+    async fn acquire(&mut self) -> Result<Slot, Refusal> {
         self.forwarder.reserve_slot(self.job, self.log)
     }
 
@@ -42,7 +42,7 @@
         Ok(reply)
     }
 
-    fn fail(&mut self, fault: Fault) -> Option<Refusal> {
+    fn record_failure(&mut self, fault: Fault) -> Option<Refusal> {
         self.forwarder.record_failure(self.job, self.log, fault)
     }
 }
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -45,7 +45,7 @@
         Outcome::Lost { received } => (without_response(Answer::Lost), received),
     };
     let took = shared.now().since(sent_at);
-    shared.metrics.answered(call.name(), bytes, took);
+    shared.metrics.observe_call(call.name(), bytes, took);
     if matches!(response.answer, Answer::Refused | Answer::Lost) {
         tracing::warn!(
             event = "store-call-failed",
@@ -60,6 +60,6 @@
     }
     shared
         .metrics
-        .platform_call(call.name(), response.answer.outcome());
+        .count_platform_call(call.name(), response.answer.outcome());
     response
 }
--- a/crates/entry/src/proxy/client.rs
+++ b/crates/entry/src/proxy/client.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::time::{Instant, timeout};
 
-use crate::upstream::line::{self, Line, Sent};
+use crate::upstream::connection::{self, Connection, SendResult};
 
 /// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
@@ -62,7 +62,7 @@
 /// HTTP client for one address, with a pool of idle connections.
 #[derive(Debug, Default)]
 pub struct Client {
-    idle: Mutex<Vec<Line>>,
+    idle: Mutex<Vec<Connection>>,
 }
 
 impl Client {
@@ -101,7 +101,7 @@
         address: SocketAddr,
         request: Request<Bytes>,
         maybe_sent: &mut bool,
-    ) -> Result<(Line, Response<Incoming>), Outcome> {
+    ) -> Result<(Connection, Response<Incoming>), Outcome> {
         let Some(mut connection) = self.connection(address).await else {
             return Err(Outcome::NotSent);
         };
@@ -111,9 +111,9 @@
         }
         *maybe_sent = true;
         match connection.send(Request::from_parts(parts, Full::new(body))).await {
-            Sent::Answer(response) => Ok((connection, response)),
-            Sent::Never => Err(Outcome::NotSent),
-            Sent::Maybe => Err(Outcome::Lost { received: 0 }),
+            SendResult::Response(response) => Ok((connection, response)),
+            SendResult::NotSent => Err(Outcome::NotSent),
+            SendResult::MaybeSent => Err(Outcome::Lost { received: 0 }),
         }
     }
 
@@ -121,7 +121,7 @@
     /// body broke off, stalled or was too long.
     async fn read_body(
         &self,
-        connection: Line,
+        connection: Connection,
         response: Response<Incoming>,
         idle: Duration,
         received: &mut BytesMut,
@@ -133,7 +133,7 @@
                 received.extend_from_slice(&data);
             }
         }
-        if !line::closes(&parts.headers) {
+        if !connection::has_connection_close(&parts.headers) {
             let mut idle = self.lock();
             if idle.len() < MAX_IDLE_CONNECTIONS {
                 idle.push(connection);
@@ -142,7 +142,7 @@
         Some(parts.status)
     }
 
-    async fn connection(&self, address: SocketAddr) -> Option<Line> {
+    async fn connection(&self, address: SocketAddr) -> Option<Connection> {
         loop {
             let Some(mut connection) = self.lock().pop() else {
                 break;
@@ -151,10 +151,10 @@
                 return Some(connection);
             }
         }
-        Line::connect(address, CONNECT_TIMEOUT).await.ok()
+        Connection::connect(address, CONNECT_TIMEOUT).await.ok()
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Line>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Connection>> {
         self.idle.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
--- a/crates/entry/src/proxy/duty.rs
+++ b/crates/entry/src/proxy/duty.rs
@@ -257,7 +257,7 @@
             Outcome::NotSent => ("refused", None),
             Outcome::Lost { .. } => ("lost", None),
         };
-        self.shared.metrics.platform_call("duty", label);
+        self.shared.metrics.count_platform_call("duty", label);
         if status == Some(StatusCode::CONFLICT.as_u16()) {
             tracing::warn!(event = "duty-refused", fence = grant.fence);
         }
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -27,10 +27,10 @@
 use super::job::{AttemptLog, Job};
 use super::reply::retry_after;
 use super::slot::Slot;
-use crate::upstream::attempts::Stop;
-use crate::upstream::line::{self, Line};
+use crate::upstream::attempts;
+use crate::upstream::connection::{self, Connection};
 use crate::upstream::pool::{self, Pool};
-use crate::upstream::{self, Exchange, Failure, Kept};
+use crate::upstream::{self, Exchange, Failure, ResponseConnection};
 
 /// Maximum size of a buffered response.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
@@ -46,7 +46,7 @@
     /// Reservation on the runner.
     pub slot: Slot,
     /// Connection, to be returned to the pool once the body was read completely.
-    pub connection: Kept,
+    pub connection: ResponseConnection,
     /// Status and headers.
     pub parts: response::Parts,
     /// Body, not yet read.
@@ -54,7 +54,7 @@
 }
 
 /// Why an attempt at a runner brought no response.
-pub type AttemptError = Stop<Refusal>;
+pub type AttemptError = attempts::AttemptError<Refusal>;
 
 /// Forwards requests to runners.
 #[derive(Debug)]
@@ -158,7 +158,7 @@
             tokio::select! {
                 biased;
                 result = exchange => result,
-                () = self.wait_for_path_loss(job, &slot) => Err(Failure::Broken),
+                () = self.wait_for_path_loss(job, &slot) => Err(Failure::MaybeSent),
             }
         };
         let result = match job.time_left(now) {
@@ -171,7 +171,7 @@
                 log.history.revert_send();
                 Err(AttemptError::Failed(Fault::Unreachable))
             }
-            Ok(Err(Failure::Broken)) => {
+            Ok(Err(Failure::MaybeSent)) => {
                 slot.record_attempt(Attempt::Broken);
                 tracing::info!(
                     event = "runner-broke-off",
@@ -183,7 +183,7 @@
             Err(_) => {
                 slot.record_attempt(Attempt::Broken);
                 log.history.record_timeout();
-                Err(AttemptError::Over(self.deadline_refusal(job, log)))
+                Err(AttemptError::Final(self.deadline_refusal(job, log)))
             }
         }
     }
@@ -203,7 +203,7 @@
                 Liveness::Silent if self.is_reachable(slot).await => {}
                 Liveness::Silent => {
                     slot.record_attempt(Attempt::PathLost);
-                    self.pool.forget(slot.address);
+                    self.pool.remove(slot.address);
                     break;
                 }
                 Liveness::PathLost => break,
@@ -215,12 +215,13 @@
     /// Whether the runner accepts or refuses a new connection; either shows that the path works.
     async fn is_reachable(&self, slot: &Slot) -> bool {
         for _ in 0..MAX_UNANSWERED_CONNECTS {
-            match Line::connect(slot.address, pool::CONNECT).await {
+            match Connection::connect(slot.address, pool::CONNECT_TIMEOUT).await {
                 Ok(connection) => {
-                    self.pool.give(self.shared.now(), slot.address, connection, None);
+                    self.pool
+                        .release(self.shared.now(), slot.address, connection, None);
                     return true;
                 }
-                Err(err) if line::is_silent(&err) => {}
+                Err(err) if connection::is_connect_timeout(&err) => {}
                 Err(_) => return true,
             }
         }
@@ -228,12 +229,12 @@
     }
 
     /// Takes an idle connection to the runner from the pool, or opens a new one.
-    async fn connect(&self, job: &Job, slot: &Slot) -> Result<Line, AttemptError> {
+    async fn connect(&self, job: &Job, slot: &Slot) -> Result<Connection, AttemptError> {
         let now = self.shared.now();
-        let limit = job.time_left(now).unwrap_or(pool::CONNECT);
+        let limit = job.time_left(now).unwrap_or(pool::CONNECT_TIMEOUT);
         let connected = self
             .pool
-            .take(now, slot.address, job.is_at_most_once(), limit)
+            .acquire(now, slot.address, job.is_at_most_once(), limit)
             .await;
         connected.map_err(|err| {
             tracing::info!(event = "runner-unreachable", request = job.metadata.id, runner = slot.id, reason = %format!("{err:#}"));
@@ -251,14 +252,14 @@
         log: &AttemptLog,
     ) -> Result<(), AttemptError> {
         if job.is_expired(now) {
-            return Err(AttemptError::Over(self.deadline_refusal(job, log)));
+            return Err(AttemptError::Final(self.deadline_refusal(job, log)));
         }
         let allowed = self
             .shared
             .state()
             .may_send(now, &job.admission, &job.request_head());
         if let Err(refusal) = allowed {
-            return Err(AttemptError::Over(match log.history.may_have_run() {
+            return Err(AttemptError::Final(match log.history.may_have_run() {
                 true => self.upstream_refusal(job),
                 false => self.with_retry_after(job, refusal),
             }));
@@ -355,14 +356,14 @@
     }
 
     /// Returns a connection to the pool once its response was read to the end.
-    pub fn return_connection(&self, slot: &Slot, connection: Kept) {
-        connection.give(&self.pool, self.shared.now());
+    pub fn return_connection(&self, slot: &Slot, connection: ResponseConnection) {
+        connection.release(&self.pool, self.shared.now());
         self.update_idle(slot);
     }
 
     /// Updates the runner's idle connection, so that placement can avoid a new one.
     fn update_idle(&self, slot: &Slot) {
-        let idle = self.pool.next(slot.address);
+        let idle = self.pool.peek(slot.address);
         self.shared.state().fleet.set_idle(slot.key, idle);
     }
 
--- a/crates/entry/src/proxy/stream.rs
+++ b/crates/entry/src/proxy/stream.rs
@@ -21,7 +21,7 @@
 use super::job::{AttemptLog, Job};
 use super::reply::{self, Body, Truncated};
 use super::slot::Slot;
-use crate::flight::Flight;
+use crate::in_flight::InFlightGuard;
 use crate::upstream::attempts::{self, Attempts};
 
 mod segment;
@@ -35,7 +35,7 @@
     segments: u32,
     events: usize,
     outcome: &'static str,
-    _flight: Flight,
+    _flight: InFlightGuard,
 }
 
 impl Drop for EndLog {
@@ -43,7 +43,7 @@
         let shared = &self.forwarder.shared;
         let now = shared.now();
         let route = &self.job.admission.route.name;
-        shared.metrics.request(route, self.outcome);
+        shared.metrics.count_request(route, self.outcome);
         tracing::info!(
             event = "stream-ended",
             request = self.job.metadata.id,
@@ -74,11 +74,11 @@
 }
 
 impl Attempts for StreamStart<'_> {
-    type Place = Slot;
+    type Permit = Slot;
     type Answer = StartOutcome;
-    type End = Refusal;
+    type Error = Refusal;
 
-    async fn place(&mut self) -> Result<Slot, Refusal> {
+    async fn acquire(&mut self) -> Result<Slot, Refusal> {
         self.forwarder.reserve_slot(self.job, self.log)
     }
 
@@ -103,11 +103,11 @@
                 segment.abandon(self.job);
                 Err(AttemptError::Failed(Fault::MayHaveRun))
             }
-            Progress::TimedOut => Err(AttemptError::Over(Kind::UpstreamTimeout.into())),
+            Progress::TimedOut => Err(AttemptError::Final(Kind::UpstreamTimeout.into())),
         }
     }
 
-    fn fail(&mut self, fault: Fault) -> Option<Refusal> {
+    fn record_failure(&mut self, fault: Fault) -> Option<Refusal> {
         self.forwarder.record_failure(self.job, self.log, fault)
     }
 }
@@ -121,11 +121,11 @@
 }
 
 impl Attempts for Resume<'_> {
-    type Place = Slot;
+    type Permit = Slot;
     type Answer = Segment;
-    type End = Refusal;
+    type Error = Refusal;
 
-    async fn place(&mut self) -> Result<Slot, Refusal> {
+    async fn acquire(&mut self) -> Result<Slot, Refusal> {
         self.forwarder.reserve_slot(self.job, self.log)
     }
 
@@ -138,7 +138,7 @@
         }
     }
 
-    fn fail(&mut self, fault: Fault) -> Option<Refusal> {
+    fn record_failure(&mut self, fault: Fault) -> Option<Refusal> {
         self.forwarder.record_failure(self.job, self.log, fault)
     }
 }
@@ -153,7 +153,7 @@
         self: Arc<Self>,
         job: Arc<Job>,
         log: &mut AttemptLog,
-        flight: Flight,
+        flight: InFlightGuard,
     ) -> Result<Response<Body>, Refusal> {
         let mut start = StreamStart {
             forwarder: &self,
@@ -190,7 +190,9 @@
         segment.response.slot.finish_prefill();
         self.shared.count_usage(job.admission.customer.as_deref());
         let waited = self.shared.now().since(job.arrived);
-        self.shared.metrics.first_after(&job.admission.route.name, waited);
+        self.shared
+            .metrics
+            .observe_first_answer(&job.admission.route.name, waited);
     }
 
     fn response_body(
--- a/crates/entry/src/proxy/sync.rs
+++ b/crates/entry/src/proxy/sync.rs
@@ -139,7 +139,7 @@
         let helped = complete == Some(true) && is_fresh;
         self.shared
             .metrics
-            .platform_call("peer", if helped { "ok" } else { "refused" });
+            .count_platform_call("peer", if helped { "ok" } else { "refused" });
         if helped {
             self.apply();
         } else {
--- /dev/null
+++ b/crates/entry/src/upstream/connection.rs
@@ -0,0 +1,137 @@
+//! An HTTP/1.1 client connection to a runner or to the platform.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use anyhow::{Context, Result};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper::header::{CONNECTION, HeaderMap};
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
+use socket2::{SockRef, TcpKeepalive};
+use tokio::net::TcpStream;
+use tokio::task::AbortHandle;
+use tokio::time::error::Elapsed;
+use tokio::time::timeout;
+
+/// Time without an acknowledgement after which the operating system ends a connection
+/// (`TCP_USER_TIMEOUT`); a host that lost power sends no reset.
+///
+/// Only a last resort: a connection ended this way is not always reset, so a request that
+/// was buffered during a network partition could still run once the partition heals.
+/// Therefore it exceeds every time after which this process itself closes, and thereby
+/// resets, a connection: the check of the path to a runner and the timeouts of calls to
+/// the platform.
+const ACK_TIMEOUT: Duration = Duration::from_secs(8);
+/// TCP keep-alive on a connection that waits for an answer: idle time before the first
+/// probe, time between probes, and lost probes that end it; in total [`ACK_TIMEOUT`].
+const KEEP_ALIVE_IDLE: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_PROBES: u32 = 7;
+
+/// A connection. Dropping it resets it, which cancels the request in progress.
+#[derive(Debug)]
+pub struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+    task: AbortHandle,
+}
+
+/// Result of sending a request.
+#[derive(Debug)]
+pub enum SendResult {
+    /// Head of the answer; its body can be read.
+    Response(Response<Incoming>),
+    /// No byte of the request was sent.
+    NotSent,
+    /// The request may have arrived.
+    MaybeSent,
+}
+
+impl Connection {
+    /// Connects to an address.
+    ///
+    /// # Errors
+    ///
+    /// When the address refuses or does not answer within `limit`.
+    pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self> {
+        let connecting = timeout(limit, TcpStream::connect(address)).await;
+        let stream = connecting
+            .with_context(|| format!("no answer from {address}"))?
+            .with_context(|| format!("connecting to {address}"))?;
+        set_socket_options(&stream).with_context(|| format!("setting up the connection to {address}"))?;
+        let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
+        let task = tokio::spawn(async move {
+            // An error also reaches whoever waits for the answer.
+            let _ = connection.await;
+        });
+        Ok(Self {
+            sender,
+            task: task.abort_handle(),
+        })
+    }
+
+    /// Whether the connection is open and ready for a request.
+    pub async fn is_usable(&mut self) -> bool {
+        !self.sender.is_closed() && self.sender.ready().await.is_ok()
+    }
+
+    /// Sends a request and waits for the head of the answer.
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> SendResult {
+        match self.sender.try_send_request(request).await {
+            Ok(response) => SendResult::Response(response),
+            Err(mut err) => match err.take_message() {
+                Some(_) => SendResult::NotSent,
+                None => SendResult::MaybeSent,
+            },
+        }
+    }
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+/// Whether an error of [`Connection::connect`] is a timeout rather than a refusal.
+pub fn is_connect_timeout(err: &anyhow::Error) -> bool {
+    err.is::<Elapsed>()
+}
+
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
+    stream.set_nodelay(true)?;
+    let socket = SockRef::from(stream);
+    // With a linger time of zero, closing resets the connection and discards unsent bytes.
+    // Otherwise bytes that are still in the send buffer, as during a network partition,
+    // would arrive after the request was abandoned and run seconds later: in addition to a
+    // retry elsewhere, or at a runner that has begun to leave. Nothing else is lost, as a
+    // connection is closed only when it is idle or when its request is abandoned.
+    socket.set_linger(Some(Duration::ZERO))?;
+    socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))?;
+    let probes = TcpKeepalive::new()
+        .with_time(KEEP_ALIVE_IDLE)
+        .with_interval(KEEP_ALIVE_INTERVAL)
+        .with_retries(KEEP_ALIVE_PROBES);
+    socket.set_tcp_keepalive(&probes)
+}
+
+/// Whether the server will close the connection after this answer.
+pub fn has_connection_close(headers: &HeaderMap) -> bool {
+    let values = headers.get_all(CONNECTION).iter();
+    values
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(','))
+        .any(|word| word.trim().eq_ignore_ascii_case("close"))
+}
+
+/// Idle time after which the server closes the connection, if a `keep-alive` header gives it.
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let value = headers.get("keep-alive")?.to_str().ok()?;
+    let timeout = value
+        .split(',')
+        .find_map(|part| part.trim().strip_prefix("timeout="))?;
+    timeout.trim().parse().ok().map(Duration::from_secs)
+}
--- a/crates/load/src/http.rs
+++ b/crates/load/src/http.rs
@@ -151,7 +151,7 @@
             request = request.header("authorization", format!("Bearer {}", self.key));
         }
         if let Some(token) = &self.retry_token {
-            request = request.header(http::COME_BACK, token);
+            request = request.header(http::RESERVATION_TOKEN, token);
         }
         if let Some(idempotency_key) = idempotency_key {
             request = request.header("idempotency-key", idempotency_key);
@@ -165,7 +165,7 @@
             status: http_response.status().as_u16(),
             runner: header("x-runner").unwrap_or_default(),
             next_key: header("next-idempotency-key"),
-            retry_token: header(http::COME_BACK),
+            retry_token: header(http::RESERVATION_TOKEN),
             ..Response::default()
         };
         let is_stream = header("content-type").is_some_and(|value| value == "text/event-stream");
--- a/tests/suite/input.rs
+++ b/tests/suite/input.rs
@@ -9,11 +9,11 @@
 use radishstair_load::http::Caller;
 use serde_json::json;
 
-use crate::process::{Site, site};
+use crate::process::{Cluster, cluster};
 
 /// Sends raw bytes and reads until the host closes the connection.
-fn send_raw(site: &Site, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(site.entry(0)).expect("the port is open");
+fn send_raw(cluster: &Cluster, bytes: &[u8]) -> String {
+    let mut stream = TcpStream::connect(cluster.entry_address(0)).expect("the port is open");
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("the timeout is set");
@@ -33,10 +33,10 @@
 /// are refused with their kind, and none of them reaches a runner.
 #[test]
 fn malformed_requests_are_refused() {
-    let site = site().start();
+    let cluster = cluster().start();
     let large_body = "x".repeat(2 * 1024 * 1024);
     let big_body = send_raw(
-        &site,
+        &cluster,
         format!(
             "{}{large_body}",
             request_head("/ledger/balances", large_body.len())
@@ -45,13 +45,13 @@
     );
     assert!(big_body.contains("too-large"), "{big_body}");
     let big_head = send_raw(
-        &site,
+        &cluster,
         format!("POST / HTTP/1.1\r\nx: {}\r\n\r\n", &large_body[..64 * 1024]).as_bytes(),
     );
     assert!(big_head.starts_with("HTTP/1.1 431"), "{big_head}");
-    let garbage = send_raw(&site, b"not http at all\r\n\r\n");
+    let garbage = send_raw(&cluster, b"not http at all\r\n\r\n");
     assert!(garbage.starts_with("HTTP/1.1 400"), "{garbage}");
-    let caller = site.caller();
+    let caller = cluster.caller();
     for (path, body, kind) in [
         ("/v1/chat/completions", "[1, 2", Kind::BadRequest),
         ("/v1/chat/completions", r#"{"model": "m"}"#, Kind::BadRequest),
@@ -70,7 +70,7 @@
         ("/ledger/balances", "{", Kind::BadRequest),
         ("/nowhere", "{}", Kind::NotFound),
     ] {
-        let answer = caller.post_raw(site.entry(0), path, body);
+        let answer = caller.post_raw(cluster.entry_address(0), path, body);
         assert_eq!(
             (answer.kind(), answer.ran()),
             (kind.name(), "not-run"),
@@ -79,27 +79,28 @@
         assert_eq!(answer.status, kind.status());
     }
     for key in ["", "with space", "rst1-forged", &"k".repeat(200)] {
-        let answer = site.post(&caller, 0, 1, key);
+        let answer = cluster.send_posting(&caller, 0, 1, key);
         assert_eq!(answer.kind(), "bad-idempotency-key", "`{key}`: {answer:?}");
     }
-    assert!(site.ledger_runs().is_empty(), "a refused request ran");
+    assert!(cluster.ledger_runs().is_empty(), "a refused request ran");
 }
 
 /// A caller that stops in the middle of its body occupies the host: it must be
 /// refused after the time limit, while other callers are served.
 #[test]
 fn a_slow_body_is_refused_after_its_limit() {
-    let site = site().start();
+    let cluster = cluster().start();
     let answer = std::thread::scope(|scope| {
         let request = scope.spawn(|| {
             send_raw(
-                &site,
+                &cluster,
                 format!("{}{{\"half\":", request_head("/ledger/balances", 100)).as_bytes(),
             )
         });
-        let concurrent_call = site
-            .caller()
-            .call(site.entry(0), "/ledger/balances", &json!({}), None);
+        let concurrent_call =
+            cluster
+                .caller()
+                .call(cluster.entry_address(0), "/ledger/balances", &json!({}), None);
         assert_eq!(concurrent_call.status, 200);
         request.join().expect("the request was answered")
     });
@@ -111,14 +112,14 @@
 /// must drop the requests and serve other callers.
 #[test]
 fn half_closed_connections_are_forgotten() {
-    let site = site().start();
+    let cluster = cluster().start();
     for partial_request in [
         "POST /ledger/bal",
         "POST /ledger/balances HTTP/1.1\r\nhost: x\r\n",
         &request_head("/ledger/balances", 100),
     ] {
         for _ in 0..8 {
-            let mut stream = TcpStream::connect(site.entry(0)).expect("the port is open");
+            let mut stream = TcpStream::connect(cluster.entry_address(0)).expect("the port is open");
             stream
                 .write_all(partial_request.as_bytes())
                 .expect("the bytes are sent");
@@ -129,13 +130,13 @@
             let _ = stream.read_to_end(&mut answer);
         }
     }
-    site.wait("nothing is in flight", |site| {
-        site.metric(0, "radishstair_requests_in_flight") == Some(0.0)
+    cluster.wait_until("nothing is in flight", |cluster| {
+        cluster.metric(0, "radishstair_requests_in_flight") == Some(0.0)
     });
-    assert!(site.ledger_runs().is_empty(), "an incomplete request ran");
-    let later_call = site
+    assert!(cluster.ledger_runs().is_empty(), "an incomplete request ran");
+    let later_call = cluster
         .caller()
-        .call(site.entry(0), "/ledger/balances", &json!({}), None);
+        .call(cluster.entry_address(0), "/ledger/balances", &json!({}), None);
     assert_eq!(later_call.status, 200);
 }
 
@@ -143,38 +144,39 @@
 /// answer does not reveal whether the ticket was used.
 #[test]
 fn a_ticket_serves_its_own_customer_only() {
-    let site = site().start();
-    let ticket = site
+    let cluster = cluster().start();
+    let ticket = cluster
         .caller()
-        .tickets(site.entry(1), 1)
+        .tickets(cluster.entry_address(1), 1)
         .expect("a ticket is issued")
         .remove(0);
     for entry in 0..4 {
-        let answer = site.post(&Caller::new("rsk-other"), entry, 5, &ticket);
+        let answer = cluster.send_posting(&Caller::new("rsk-other"), entry, 5, &ticket);
         assert_eq!(answer.kind(), "bad-idempotency-key", "{answer:?}");
     }
-    assert_eq!(site.post(&site.caller(), 0, 5, &ticket).status, 200);
-    let reused = site.post(&site.caller(), 0, 6, &ticket);
+    assert_eq!(cluster.send_posting(&cluster.caller(), 0, 5, &ticket).status, 200);
+    let reused = cluster.send_posting(&cluster.caller(), 0, 6, &ticket);
     assert_eq!(reused.kind(), "idempotency-key-reused");
-    assert_eq!((site.runs(5), site.runs(6)), (1, 0));
+    assert_eq!((cluster.run_count(5), cluster.run_count(6)), (1, 0));
 }
 
 /// A caller above the connection limit waits without an answer. It must be
 /// refused at once, and served again after others have disconnected.
 #[test]
 fn connections_past_the_bound_are_refused() {
-    let site = site().limit_connections(16).start();
+    let cluster = cluster().limit_connections(16).start();
     let idle_connections: Vec<TcpStream> = (0..16)
-        .map(|_| TcpStream::connect(site.entry(0)).expect("the port is open"))
+        .map(|_| TcpStream::connect(cluster.entry_address(0)).expect("the port is open"))
         .collect();
-    site.wait("the bound is reached", |site| {
-        let answer = send_raw(site, b"");
+    cluster.wait_until("the bound is reached", |cluster| {
+        let answer = send_raw(cluster, b"");
         answer.contains("too-many-connections") && answer.contains("retry-after: 1")
     });
     drop(idle_connections);
-    site.wait("served again", |site| {
-        site.caller()
-            .call(site.entry(0), "/ledger/balances", &json!({}), None)
+    cluster.wait_until("served again", |cluster| {
+        cluster
+            .caller()
+            .call(cluster.entry_address(0), "/ledger/balances", &json!({}), None)
             .status
             == 200
     });
