--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -238,7 +238,13 @@
     }
 
     /// Sends a posting to an entry host under an idempotency key.
-    pub fn send_posting(&self, caller: &Caller, entry: usize, number: u64, idempotency_key: &str) -> Response {
+    pub fn send_posting(
+        &self,
+        caller: &Caller,
+        entry: usize,
+        number: u64,
+        idempotency_key: &str,
+    ) -> Response {
         caller.call(
             self.entry_address(entry),
             "/ledger/postings",
