--- a/crates/load/src/cmd/experiment.rs
+++ b/crates/load/src/cmd/experiment.rs
@@ -55,9 +55,8 @@
         let tasks: Vec<_> = policies
             .into_iter()
             .map(|policy| {
-                let run = move |index| {
-                    scope.spawn(move || simulate(scenario, document, policy, args.first_seed + index))
-                };
+                let run =
+                    move |at| scope.spawn(move || simulate(scenario, document, policy, args.first_seed + at));
                 (policy, (0..args.seeds).map(run).collect::<Vec<_>>())
             })
             .collect();
--- a/crates/load/src/metrics.rs
+++ b/crates/load/src/metrics.rs
@@ -224,12 +224,12 @@
     /// Only customers of equal demand and with at least five calls are compared: a large customer
     /// that gets the same share as a small one has a lower attainment, but is not treated worse.
     pub fn customer_ratio(&self, class: &str) -> f64 {
-        let customers = self
+        let peers = self
             .comparable_customers
             .get(class)
             .map_or(&[][..], Vec::as_slice);
         let eligible = self.customers.iter().filter(|((of_class, name), counts)| {
-            of_class == class && customers.contains(name) && counts.all >= 5
+            of_class == class && peers.contains(name) && counts.all >= 5
         });
         let mut attainments: Vec<f64> = eligible.map(|(_, counts)| counts.attainment()).collect();
         attainments.sort_by(f64::total_cmp);
