--- a/crates/load/src/metrics.rs
+++ b/crates/load/src/metrics.rs
@@ -228,9 +228,10 @@
             .comparable_customers
             .get(class)
             .map_or(&[][..], Vec::as_slice);
-        let eligible = self.customers.iter().filter(|((of_class, name), counts)| {
-            of_class == class && peers.contains(name) && counts.all >= 5
-        });
+        let eligible = self
+            .customers
+            .iter()
+            .filter(|((other, name), counts)| other == class && peers.contains(name) && counts.all >= 5);
         let mut attainments: Vec<f64> = eligible.map(|(_, counts)| counts.attainment()).collect();
         attainments.sort_by(f64::total_cmp);
         match attainments.as_slice() {
@@ -249,7 +250,7 @@
 
     /// Minimum number of completed calls of a class in any minute in which a call of it ended.
     pub fn min_completions_per_minute(&self, class: &str) -> u64 {
-        let minutes = self.minutes.iter().filter(|((of_class, _), _)| of_class == class);
+        let minutes = self.minutes.iter().filter(|((other, _), _)| other == class);
         minutes
             .map(|(_, counts)| counts.in_time + counts.late)
             .min()
