--- a/crates/ctl/src/cmd/audit.rs
+++ b/crates/ctl/src/cmd/audit.rs
@@ -1,19 +1,20 @@
-//! `radishctl audit`: who changed what, when, from which version to which.
+//! `radishctl audit`: prints who made each change, when, and the versions before
+//! and after it.
 
 use anyhow::Result;
 use argh::FromArgs;
 
 use super::{Context, diff};
-use crate::commit::log;
+use crate::commit::load_log;
 
 /// Show the audit trail.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "audit")]
 pub struct Args {
-    /// only changes after this version
+    /// show only changes after this version
     #[argh(option, default = "0")]
     pub after: u64,
-    /// what was put and removed, too
+    /// show the operations of each change
     #[argh(switch)]
     pub full: bool,
 }
@@ -22,9 +23,9 @@
 ///
 /// # Errors
 ///
-/// When the store is away.
+/// When the store does not answer or an entry cannot be read.
 pub fn run(context: &Context, args: &Args) -> Result<()> {
-    for entry in log(&context.client, args.after)? {
+    for entry in load_log(&context.client, args.after)? {
         println!(
             "when={} who={} from={} to={} id={} changes={} note=\"{}\"",
             entry.when,
@@ -36,7 +37,10 @@
             entry.note
         );
         if args.full {
-            entry.ops.iter().for_each(|op| println!("  {}", diff::line(op)));
+            entry
+                .ops
+                .iter()
+                .for_each(|op| println!("  {}", diff::format_op(op)));
         }
     }
     Ok(())
--- a/crates/ctl/src/cmd/status.rs
+++ b/crates/ctl/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `radishctl status`: how things stand, by host and by zone.
+//! `radishctl status`: prints the status of each host and zone.
 
 use anyhow::Result;
 use argh::FromArgs;
@@ -6,11 +6,11 @@
 use super::Context;
 use crate::host;
 
-/// Show how things stand.
+/// Show the status of hosts and zones.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct Args {
-    /// print JSON
+    /// print the hosts' status as JSON
     #[argh(switch)]
     pub json: bool,
 }
@@ -19,10 +19,10 @@
 ///
 /// # Errors
 ///
-/// When output fails.
+/// When a status cannot be written as JSON.
 pub fn run(context: &Context, args: &Args) -> Result<()> {
     for address in &context.settings.hosts {
-        let Some(status) = host::status(*address) else {
+        let Some(status) = host::fetch_status(*address) else {
             println!("host={address} state=no-answer");
             continue;
         };
@@ -48,8 +48,8 @@
             println!("host={address} tier={tier} waiting={waiting}");
         }
     }
-    for zone in host::zones(&context.settings.hosts) {
-        let state = if zone.age_ms <= host::STALE_MS {
+    for zone in host::zone_summaries(&context.settings.hosts) {
+        let state = if zone.age_ms <= host::MAX_SUMMARY_AGE_MS {
             "heard"
         } else {
             "silent"
--- a/tests/suite/docs.rs
+++ b/tests/suite/docs.rs
@@ -97,7 +97,7 @@
     let caller = Caller::new("");
     let engine = cluster.addresses.engines[0];
     let resumed = caller.chat(engine, "", &example(&page, "resume"));
-    let complete = model::answer(digest(b"go on len=8"), 8);
+    let complete = model::completion(digest(b"go on len=8"), 8);
     let prefix: String = (0..3)
         .map(|at| model::token(digest(b"go on len=8"), at))
         .collect();
--- a/tests/suite/live.rs
+++ b/tests/suite/live.rs
@@ -188,7 +188,7 @@
     cluster.inject_fault(&cluster.addresses.engines, &json!({ "cut_at": 5, "cuts": 1 }));
     let body = cluster.chat_body("resume me", 40);
     let prompt = body["messages"][0]["content"].as_str().expect("a prompt");
-    let expected = model::answer(digest(prompt.as_bytes()), 40);
+    let expected = model::completion(digest(prompt.as_bytes()), 40);
     let answer = cluster.caller().chat(cluster.entry_address(0), "chat", &body);
     assert!(answer.done, "{answer:?}");
     assert_eq!(answer.text, expected);
@@ -231,7 +231,7 @@
     cluster.inject_fault(&cluster.addresses.engines[..1], &json!({ "cross": 1 }));
     let body = cluster.chat_body("crossed", 10);
     let prompt = body["messages"][0]["content"].as_str().expect("a prompt");
-    let expected = model::answer(digest(prompt.as_bytes()), 10);
+    let expected = model::completion(digest(prompt.as_bytes()), 10);
     for entry in 0..4 {
         let answer = cluster.caller().chat(cluster.entry_address(entry), "chat", &body);
         assert_eq!(
--- a/tests/suite/live_broken.rs
+++ b/tests/suite/live_broken.rs
@@ -20,7 +20,7 @@
     let answer = cluster
         .caller()
         .chat(engine, "chat", &cluster.chat_body("cut me", 40));
-    assert_ne!(answer.text, model::answer(digest(b"cut me len=40"), 40));
+    assert_ne!(answer.text, model::completion(digest(b"cut me len=40"), 40));
 }
 
 /// A caller that sends a request directly to an engine reveals its key. The log
