--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,9 +1,10 @@
-//! Deployments on one machine, checks of the whole path, load and experiments.
+//! Test tools of the router: deployments on one machine, end-to-end checks,
+//! benchmarks and simulated experiments.
 
 pub mod cmd;
 pub mod deploy;
 pub mod http;
-pub mod measure;
-pub mod play;
+pub mod metrics;
 pub mod report;
 pub mod scenario;
+pub mod simulation;
--- a/tests/suite/duties_live.rs
+++ b/tests/suite/duties_live.rs
@@ -6,7 +6,7 @@
 use nix::sys::signal::Signal;
 use radishstair_core::config::change::{Op, Section};
 use radishstair_core::id::digest;
-use radishstair_load::http::{Answer, Caller};
+use radishstair_load::http::{Caller, Response};
 use radishstair_standin::model;
 use serde_json::json;
 
@@ -156,7 +156,7 @@
 
 /// Sends a chat completion, and retries it at the given time while the answer says that it
 /// has not run.
-fn chat_with_retries(caller: &Caller, entry: SocketAddr, body: &serde_json::Value) -> Answer {
+fn chat_with_retries(caller: &Caller, entry: SocketAddr, body: &serde_json::Value) -> Response {
     let deadline = Instant::now() + MAX_RETRY_TIME;
     let mut caller = caller.clone();
     loop {
@@ -167,8 +167,8 @@
         else {
             return answer;
         };
-        if let Some(token) = &answer.come_back {
-            caller = caller.come_back(token);
+        if let Some(token) = &answer.retry_token {
+            caller = caller.with_retry_token(token);
         }
         std::thread::sleep(retry_at.saturating_duration_since(Instant::now()));
     }
@@ -187,7 +187,7 @@
         &cluster.addresses.engines,
         &json!({ "cut_at": 4, "cuts": 6, "cross": 4 }),
     );
-    let history: Vec<(&str, String, u32, Answer)> = std::thread::scope(|scope| {
+    let history: Vec<(&str, String, u32, Response)> = std::thread::scope(|scope| {
         let cluster = &mut cluster;
         let addresses = cluster.addresses.entries.clone();
         let tasks: Vec<_> = (0..60_u32)
--- a/tests/suite/live.rs
+++ b/tests/suite/live.rs
@@ -14,7 +14,7 @@
 
 /// A client with a short timeout.
 fn impatient_caller() -> Caller {
-    Caller::with_limit("rsk-coop", Duration::from_millis(800))
+    Caller::with_timeout("rsk-coop", Duration::from_millis(800))
 }
 
 /// Guards against a double run of a posting. It waits in the socket buffer of a
@@ -33,7 +33,7 @@
     let unanswered = cluster.send_posting(&impatient_caller(), 0, 1, &ticket);
     assert_eq!(unanswered.status, 0, "a suspended host does not answer");
     let other_zone = cluster.send_posting(
-        &Caller::with_limit("rsk-coop", Duration::from_secs(3)),
+        &Caller::with_timeout("rsk-coop", Duration::from_secs(3)),
         3,
         1,
         &ticket,
@@ -497,7 +497,7 @@
                     "chat",
                     &cluster.chat_body("one more", 5),
                 );
-                if answer.come_back.is_some() {
+                if answer.retry_token.is_some() {
                     // Only the first one is used.
                     let _ = sender.send(answer);
                 }
@@ -510,8 +510,8 @@
     let after = refused.body["error"]["retry_after_ms"].as_u64().expect("a time");
     let left = Duration::from_millis(after).saturating_sub(refused.total);
     std::thread::sleep(left);
-    let token = refused.come_back.as_deref().expect("a token");
-    let back = caller.come_back(token).chat(
+    let token = refused.retry_token.as_deref().expect("a token");
+    let back = caller.with_retry_token(token).chat(
         cluster.entry_address(entry),
         "chat",
         &cluster.chat_body("back again", 5),
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -12,8 +12,8 @@
 use radishstair_core::config::{Document, check};
 use radishstair_core::kernel::Status;
 use radishstair_ctl::commit::commit;
-use radishstair_load::deploy::{Addresses, Plan, Process, Runners, lay_out};
-use radishstair_load::http::{Answer, Caller};
+use radishstair_load::deploy::{Addresses, Plan, Process, Runners, expand};
+use radishstair_load::http::{Caller, Response};
 use radishstair_wire::platform::Client;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
@@ -116,7 +116,7 @@
     /// Starts all processes and waits until every entry host is ready.
     pub fn start(mut self) -> Cluster {
         self.plan.base_port = free_ports();
-        let (mut processes, addresses) = lay_out(&self.plan, PEER_TOKEN);
+        let (mut processes, addresses) = expand(&self.plan, PEER_TOKEN);
         if let Some(max_connections) = self.connections {
             let entries = processes
                 .iter_mut()
@@ -238,7 +238,13 @@
     }
 
     /// Sends a posting to an entry host under an idempotency key.
-    pub fn send_posting(&self, caller: &Caller, entry: usize, number: u64, idempotency_key: &str) -> Answer {
+    pub fn send_posting(
+        &self,
+        caller: &Caller,
+        entry: usize,
+        number: u64,
+        idempotency_key: &str,
+    ) -> Response {
         caller.call(
             self.entry_address(entry),
             "/ledger/postings",
