--- a/crates/core/src/proxy/fleet.rs
+++ b/crates/core/src/proxy/fleet.rs
@@ -11,7 +11,7 @@
 
 mod runner;
 
-pub use runner::{Attempt, Idle, Listed, Liveness, Load, Runner, Stage};
+pub use runner::{AttemptResult, Idle, Listed, Liveness, Load, Runner, Stage};
 
 arena_key! {
     /// Index of a runner in the fleet.
@@ -349,28 +349,28 @@
     ///
     /// The list lags seconds behind a crash. Without the backoff, each request would try the dead
     /// runner again.
-    pub fn record_attempt(&mut self, now: Moment, key: Key, attempt: Attempt) {
+    pub fn record_attempt(&mut self, now: Moment, key: Key, result: AttemptResult) {
         let Some(runner) = self.get_mut(key) else {
             return;
         };
         let zone = runner.listed.zone.clone();
-        match attempt {
-            Attempt::Succeeded | Attempt::Failed => {
+        match result {
+            AttemptResult::Succeeded | AttemptResult::Failed => {
                 runner.failures = 0;
-                runner.record_result(attempt == Attempt::Failed);
+                runner.record_result(result == AttemptResult::Failed);
                 self.avoided_zones.retain(|(have, _)| *have != zone);
             }
-            Attempt::Full => runner.retry_at = now + FULL_BACKOFF,
-            Attempt::Replaced => runner.replaced = true,
-            Attempt::Unreachable | Attempt::PathLost => {
-                if attempt == Attempt::PathLost {
+            AttemptResult::Full => runner.retry_at = now + FULL_BACKOFF,
+            AttemptResult::Replaced => runner.replaced = true,
+            AttemptResult::Unreachable | AttemptResult::PathLost => {
+                if result == AttemptResult::PathLost {
                     runner.path_lost_at = Some(now);
                 }
                 runner.retry_at = now + (MIN_BACKOFF * 2u32.saturating_pow(runner.failures)).min(MAX_BACKOFF);
                 runner.failures = (runner.failures + 1).min(5);
                 self.record_unreachable(now, &zone);
             }
-            Attempt::Broken => {
+            AttemptResult::Broken => {
                 runner.record_result(true);
                 // On some days one answer in fifty is broken; only several in a row indicate a
                 // fault of the runner.
--- a/crates/core/src/proxy/fleet/runner.rs
+++ b/crates/core/src/proxy/fleet/runner.rs
@@ -50,7 +50,7 @@
 plain! {
     /// Result of an attempt at a runner, as far as it concerns the runner's health.
     #[derive(Copy, Eq)]
-    pub enum Attempt {
+    pub enum AttemptResult {
         /// The runner answered.
         Succeeded,
         /// The runner answered with an error of its own.
--- a/crates/entry/src/proxy/forward.rs
+++ b/crates/entry/src/proxy/forward.rs
@@ -17,7 +17,7 @@
 use hyper::http::response;
 use hyper::{Request, StatusCode};
 use radishstair_core::error::{Kind, Refusal};
-use radishstair_core::proxy::fleet::{Attempt, Key, Liveness};
+use radishstair_core::proxy::fleet::{AttemptResult, Key, Liveness};
 use radishstair_core::retry::Fault;
 use radishstair_core::time::Moment;
 use tokio::time::timeout;
@@ -172,7 +172,7 @@
                 Err(AttemptError::Failed(Fault::Unreachable))
             }
             Ok(Err(Failure::MaybeSent)) => {
-                slot.record_attempt(Attempt::Broken);
+                slot.record_attempt(AttemptResult::Broken);
                 tracing::info!(
                     event = "runner-broke-off",
                     request = job.metadata.id,
@@ -181,7 +181,7 @@
                 Err(AttemptError::Failed(Fault::MayHaveRun))
             }
             Err(_) => {
-                slot.record_attempt(Attempt::Broken);
+                slot.record_attempt(AttemptResult::Broken);
                 log.history.record_timeout();
                 Err(AttemptError::Final(self.deadline_refusal(job, log)))
             }
@@ -202,7 +202,7 @@
                 Liveness::Recent(remaining) => tokio::time::sleep(remaining).await,
                 Liveness::Silent if self.is_reachable(slot).await => {}
                 Liveness::Silent => {
-                    slot.record_attempt(Attempt::PathLost);
+                    slot.record_attempt(AttemptResult::PathLost);
                     self.pool.remove(slot.address);
                     break;
                 }
@@ -238,7 +238,7 @@
             .await;
         connected.map_err(|err| {
             tracing::info!(event = "runner-unreachable", request = job.metadata.id, runner = slot.id, reason = %format!("{err:#}"));
-            slot.record_attempt(Attempt::Unreachable);
+            slot.record_attempt(AttemptResult::Unreachable);
             AttemptError::Failed(Fault::Unreachable)
         })
     }
@@ -284,8 +284,8 @@
         let provenance = self.shared.adapter.parse_response(&parts);
         if provenance.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
             let attempt = match parts.status {
-                StatusCode::MISDIRECTED_REQUEST => Attempt::Replaced,
-                _ => Attempt::Full,
+                StatusCode::MISDIRECTED_REQUEST => AttemptResult::Replaced,
+                _ => AttemptResult::Full,
             };
             slot.record_attempt(attempt);
             tracing::info!(
@@ -301,7 +301,7 @@
             return Err(AttemptError::Failed(Fault::NotRun));
         }
         if !is_response_to(job, &parts, &provenance) {
-            slot.record_attempt(Attempt::Broken);
+            slot.record_attempt(AttemptResult::Broken);
             tracing::warn!(
                 event = "answer-not-own",
                 request = job.metadata.id,
@@ -339,7 +339,7 @@
             .time_left(self.shared.now())
             .unwrap_or(Duration::from_secs(3_600));
         let Ok(Ok(body)) = timeout(time_left, collecting).await else {
-            slot.record_attempt(Attempt::Broken);
+            slot.record_attempt(AttemptResult::Broken);
             tracing::info!(
                 event = "answer-not-whole",
                 request = job.metadata.id,
@@ -348,8 +348,8 @@
             return None;
         };
         slot.record_attempt(match parts.status.is_server_error() {
-            true => Attempt::Failed,
-            false => Attempt::Succeeded,
+            true => AttemptResult::Failed,
+            false => AttemptResult::Succeeded,
         });
         self.return_connection(&slot, connection);
         Some((parts, body.to_bytes()))
--- a/crates/entry/src/proxy/slot.rs
+++ b/crates/entry/src/proxy/slot.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use radishstair_core::proxy::fleet::{Attempt, Key};
+use radishstair_core::proxy::fleet::{AttemptResult, Key};
 use radishstair_core::proxy::latency::Conditions;
 use radishstair_core::time::Moment;
 
@@ -62,9 +62,9 @@
     }
 
     /// Records the outcome of an attempt on the runner.
-    pub fn record_attempt(&self, attempt: Attempt) {
+    pub fn record_attempt(&self, result: AttemptResult) {
         let now = self.shared.now();
-        self.shared.state().fleet.record_attempt(now, self.key, attempt);
+        self.shared.state().fleet.record_attempt(now, self.key, result);
     }
 }
 
--- a/crates/entry/src/proxy/stream/segment.rs
+++ b/crates/entry/src/proxy/stream/segment.rs
@@ -4,7 +4,7 @@
 
 use http_body_util::BodyExt;
 use hyper::header::CONTENT_LENGTH;
-use radishstair_core::proxy::fleet::Attempt;
+use radishstair_core::proxy::fleet::AttemptResult;
 use radishstair_core::time::Moment;
 use tokio::time::timeout;
 
@@ -156,7 +156,7 @@
     /// Dropping the segment closes its connection, so that two runners never work on one
     /// stream.
     pub fn abandon(self, job: &Job) -> Option<u64> {
-        self.response.slot.record_attempt(Attempt::Broken);
+        self.response.slot.record_attempt(AttemptResult::Broken);
         tracing::info!(
             event = "stream-broken",
             request = job.metadata.id,
@@ -169,7 +169,7 @@
     /// Ends a complete segment; its connection is reused if the response was framed.
     pub fn finish(self, forwarder: &Forwarder) {
         let RunnerResponse { slot, connection, .. } = self.response;
-        slot.record_attempt(Attempt::Succeeded);
+        slot.record_attempt(AttemptResult::Succeeded);
         if self.is_framed {
             forwarder.return_connection(&slot, connection);
         }
--- a/tests/suite/proxy/fleet.rs
+++ b/tests/suite/proxy/fleet.rs
@@ -1,6 +1,6 @@
 //! Tests of the list of runners and of their health as one host sees it.
 
-use radishstair_core::proxy::fleet::{Attempt, Fleet, Idle, Liveness, Stage};
+use radishstair_core::proxy::fleet::{AttemptResult, Fleet, Idle, Liveness, Stage};
 use radishstair_core::time::Moment;
 
 use super::fixtures::runner;
@@ -79,13 +79,13 @@
     let mut fleet = Fleet::new("zone-a");
     fleet.update(at(0), listed(&["a"]));
     let a = fleet.find("a").expect("it is known");
-    fleet.record_attempt(at(10), a, Attempt::Unreachable);
+    fleet.record_attempt(at(10), a, AttemptResult::Unreachable);
     assert!(available(&fleet, 100).is_empty());
     assert_eq!(available(&fleet, 500), ["a"]);
-    fleet.record_attempt(at(500), a, Attempt::Unreachable);
+    fleet.record_attempt(at(500), a, AttemptResult::Unreachable);
     assert!(available(&fleet, 1_200).is_empty());
-    fleet.record_attempt(at(1_400), a, Attempt::Succeeded);
-    fleet.record_attempt(at(1_500), a, Attempt::Unreachable);
+    fleet.record_attempt(at(1_400), a, AttemptResult::Succeeded);
+    fleet.record_attempt(at(1_500), a, AttemptResult::Unreachable);
     assert_eq!(available(&fleet, 2_000), ["a"]);
 }
 
@@ -96,7 +96,7 @@
     let mut fleet = Fleet::new("zone-a");
     fleet.update(at(0), listed(&["a"]));
     let a = fleet.find("a").expect("it is known");
-    fleet.record_attempt(at(10), a, Attempt::Replaced);
+    fleet.record_attempt(at(10), a, AttemptResult::Replaced);
     fleet.update(at(1_000), listed(&["a"]));
     assert!(available(&fleet, 9_000).is_empty());
     let mut again = listed(&["a"]);
@@ -136,13 +136,13 @@
     items.extend(["b1", "b2", "b3"].map(|id| runner(id, "engines", "zone-b")));
     fleet.update(at(0), items);
     let key = |fleet: &Fleet, id: &str| fleet.find(id).expect("it is known");
-    fleet.record_attempt(at(10), key(&fleet, "b1"), Attempt::Unreachable);
+    fleet.record_attempt(at(10), key(&fleet, "b1"), AttemptResult::Unreachable);
     assert_eq!(available(&fleet, 20), ["a", "b2", "b3"]);
-    fleet.record_attempt(at(30), key(&fleet, "b2"), Attempt::Unreachable);
+    fleet.record_attempt(at(30), key(&fleet, "b2"), AttemptResult::Unreachable);
     assert_eq!(available(&fleet, 40), ["a"]);
-    fleet.record_attempt(at(50), key(&fleet, "a"), Attempt::Unreachable);
+    fleet.record_attempt(at(50), key(&fleet, "a"), AttemptResult::Unreachable);
     assert_eq!(available(&fleet, 60), ["b3"], "no other zone is left");
-    fleet.record_attempt(at(70), key(&fleet, "b3"), Attempt::Succeeded);
+    fleet.record_attempt(at(70), key(&fleet, "b3"), AttemptResult::Succeeded);
     assert_eq!(
         available(&fleet, 500),
         ["a", "b1", "b2", "b3"],
@@ -177,9 +177,9 @@
     let mut fleet = Fleet::new("zone-a");
     fleet.update(at(0), listed(&["a"]));
     let key = fleet.find("a").expect("listed");
-    fleet.record_attempt(at(100), key, Attempt::Unreachable);
+    fleet.record_attempt(at(100), key, AttemptResult::Unreachable);
     assert!(matches!(fleet.liveness(at(200), key, at(0)), Liveness::Recent(_)));
-    fleet.record_attempt(at(1_200), key, Attempt::PathLost);
+    fleet.record_attempt(at(1_200), key, AttemptResult::PathLost);
     assert_eq!(fleet.liveness(at(1_300), key, at(0)), Liveness::PathLost);
     assert!(matches!(
         fleet.liveness(at(1_400), key, at(1_300)),
--- a/tests/suite/proxy/placement.rs
+++ b/tests/suite/proxy/placement.rs
@@ -2,7 +2,7 @@
 
 use radishstair_core::id::Incarnation;
 use radishstair_core::proxy::State;
-use radishstair_core::proxy::fleet::{Attempt, Fleet, Key, Listed, Load, Runner};
+use radishstair_core::proxy::fleet::{AttemptResult, Fleet, Key, Listed, Load, Runner};
 use radishstair_core::proxy::gossip::{self, Meter, Peers};
 use radishstair_core::proxy::latency::Latency;
 use radishstair_core::proxy::partition::{self, Partition};
@@ -421,9 +421,9 @@
                 at(1),
                 choice.key,
                 if detects {
-                    Attempt::Failed
+                    AttemptResult::Failed
                 } else {
-                    Attempt::Succeeded
+                    AttemptResult::Succeeded
                 },
             );
         } else {
@@ -432,7 +432,7 @@
         if running.len() > 12 {
             let (choice, demand) = running.pop_front().expect("there are some");
             fleet.finish_request(choice.key, choice.prefill_us, demand.kv_tokens());
-            fleet.record_attempt(at(1), choice.key, Attempt::Succeeded);
+            fleet.record_attempt(at(1), choice.key, AttemptResult::Succeeded);
         }
     }
     failing
