--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -298,7 +298,7 @@
     /// Starts the calls that can start and refuses those that waited too long.
     pub fn tick(&mut self, now: Moment) -> Vec<Decision> {
         self.decay(now);
-        self.runners.expire_shares(now);
+        self.runners.expire_peer_loads(now);
         let mut out = Vec::new();
         for at in 0..self.queues.len() {
             self.queues[at].expire_reservations(now);
--- a/crates/core/src/kernel/dispatch.rs
+++ b/crates/core/src/kernel/dispatch.rs
@@ -153,7 +153,7 @@
             self.dispatcher.runners.mark_leaving(now, name);
         }
         if let Some(load) = &heartbeat.load {
-            self.dispatcher.runners.set_peer_shares(now, sender, load);
+            self.dispatcher.runners.set_peer_load(now, sender, load);
             let queue = PeerQueue {
                 peer: sender,
                 received: now,
@@ -247,7 +247,7 @@
         if !now.reached(self.next_load) {
             return;
         }
-        let mut load = self.dispatcher.runners.shares();
+        let mut load = self.dispatcher.runners.local_load();
         load.waiting = self.queued_calls();
         let bytes = load.encoded_len() * self.zone_peers.max(1);
         let seconds = (bytes as f64 / LOAD_BYTES_PER_S).clamp(1.0, MAX_LOAD_INTERVAL_S);
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -23,7 +23,7 @@
 /// Maximum back-off of a runner.
 const MAX_BACKOFF: Duration = Duration::from_secs(30);
 /// How long a peer's reported calls count without a newer heartbeat.
-const PEER_SHARES_TTL: Duration = Duration::from_secs(20);
+const PEER_LOAD_TTL: Duration = Duration::from_secs(20);
 /// Minimum length of a round, at whose end its calls count as reported to all peers.
 const MIN_ROUND: Duration = Duration::from_secs(2);
 /// Maximum length of a round, if a peer does not report.
@@ -94,10 +94,10 @@
 }
 
 plain! {
-    struct PeerShares {
+    struct PeerLoad {
         peer: Incarnation,
         received_at: Moment,
-        shares: Vec<(Key, u32)>,
+        running_by_runner: Vec<(Key, u32)>,
     }
 }
 
@@ -111,7 +111,7 @@
     names: Vec<(String, Key)>,
     short_ids: Vec<(u32, Key)>,
     pools: Vec<(String, Zones)>,
-    peers: Vec<PeerShares>,
+    peers: Vec<PeerLoad>,
     round_start: Moment,
 }
 
@@ -269,18 +269,18 @@
     }
 
     /// This host's calls by runner, to be sent to peers.
-    pub fn shares(&self) -> HostLoad {
-        let mut shares = HostLoad::default();
+    pub fn local_load(&self) -> HostLoad {
+        let mut load = HostLoad::default();
         for runner in self.iter().filter(|runner| runner.running > 0) {
-            shares.runner_hashes.push(short_id(&runner.listing.name));
-            shares.running.push(runner.running);
+            load.runner_hashes.push(short_id(&runner.listing.name));
+            load.running.push(runner.running);
         }
-        shares
+        load
     }
 
     /// Replaces the reported calls of a peer.
-    pub fn set_peer_shares(&mut self, now: Moment, peer: Incarnation, shares: &HostLoad) {
-        let pairs = shares.runner_hashes.iter().zip(&shares.running);
+    pub fn set_peer_load(&mut self, now: Moment, peer: Incarnation, load: &HostLoad) {
+        let pairs = load.runner_hashes.iter().zip(&load.running);
         let known = pairs.filter_map(|(runner, running)| {
             let at = self
                 .short_ids
@@ -288,20 +288,20 @@
                 .ok()?;
             Some((self.short_ids[at].1, *running))
         });
-        let shares: Vec<(Key, u32)> = known.collect();
+        let running_by_runner: Vec<(Key, u32)> = known.collect();
         self.remove_peer(peer);
-        for (key, running) in &shares {
+        for (key, running) in &running_by_runner {
             self.arena[key.index()].peer_running += running;
         }
-        self.peers.push(PeerShares {
+        self.peers.push(PeerLoad {
             peer,
             received_at: now,
-            shares,
+            running_by_runner,
         });
     }
 
     /// Starts a new round if the current one is over, and drops the reports of silent peers.
-    pub fn expire_shares(&mut self, now: Moment) {
+    pub fn expire_peer_loads(&mut self, now: Moment) {
         if self.round_is_over(now) {
             self.round_start = now;
             self.arena.iter_mut().for_each(|runner| runner.unreported = 0);
@@ -309,7 +309,7 @@
         let expired: Vec<Incarnation> = self
             .peers
             .iter()
-            .filter(|peer| now.since(peer.received_at) >= PEER_SHARES_TTL)
+            .filter(|peer| now.since(peer.received_at) >= PEER_LOAD_TTL)
             .map(|peer| peer.peer)
             .collect();
         for peer in expired {
@@ -330,7 +330,7 @@
         let Some(at) = self.peers.iter().position(|existing| existing.peer == peer) else {
             return;
         };
-        for (key, running) in self.peers.swap_remove(at).shares {
+        for (key, running) in self.peers.swap_remove(at).running_by_runner {
             let peer_running = &mut self.arena[key.index()].peer_running;
             *peer_running = peer_running.saturating_sub(running);
         }
--- a/crates/load/src/simulation/faults.rs
+++ b/crates/load/src/simulation/faults.rs
@@ -128,7 +128,7 @@
             return;
         }
         let now = self.moment();
-        let load = self.hosts[host].runners.shares();
+        let load = self.hosts[host].runners.local_load();
         let leaving = self.hosts[host].runners.leaving_names(now);
         self.reported_waiting[host] = self.hosts[host].waiting_by_pool();
         for other in 0..self.hosts.len() {
@@ -136,7 +136,7 @@
                 continue;
             }
             let runners = &mut self.hosts[other].runners;
-            runners.set_peer_shares(now, Incarnation(host as u64), &load);
+            runners.set_peer_load(now, Incarnation(host as u64), &load);
             for name in &leaving {
                 runners.mark_leaving(now, name);
             }
--- a/tests/suite/policy.rs
+++ b/tests/suite/policy.rs
@@ -272,7 +272,7 @@
         .flat_map(|call| started(&one.submit(now, submission(call, "best", "p"))))
         .count();
     two.runners
-        .set_peer_shares(now, Incarnation(1), &one.runners.shares());
+        .set_peer_load(now, Incarnation(1), &one.runners.local_load());
     let second_starts = (0..20)
         .flat_map(|call| started(&two.submit(now, submission(call, "best", "p"))))
         .count();
@@ -370,10 +370,10 @@
         let now = Moment::at_ms(1_000 + ms);
         if ms % 1_000 == 0 {
             for at in 0..2 {
-                let shares = hosts[at].runners.shares();
+                let load = hosts[at].runners.local_load();
                 let has_waiting = hosts[at].waiting_by_tier().any(|(_, length)| length > 0);
                 let peer = &mut hosts[1 - at];
-                peer.runners.set_peer_shares(now, Incarnation(at as u64), &shares);
+                peer.runners.set_peer_load(now, Incarnation(at as u64), &load);
                 peer.set_waiting_peers(has_waiting.then_some("p").into_iter());
             }
         }
@@ -415,7 +415,7 @@
 #[test]
 fn a_host_that_starts_nothing_lets_nobody_wait() {
     let mut dispatcher = dispatcher(DOCUMENT, &[("p", "a", 2)]);
-    let peer_shares = radishstair_core::peer::HostLoad {
+    let peer_load = radishstair_core::peer::HostLoad {
         runner_hashes: vec![radishstair_core::id::digest(b"p-a") as u32],
         running: vec![2],
         ..Default::default()
@@ -423,7 +423,7 @@
     let at = |ms: u64| Moment::at_ms(1_000 + ms);
     dispatcher
         .runners
-        .set_peer_shares(at(0), Incarnation(9), &peer_shares);
+        .set_peer_load(at(0), Incarnation(9), &peer_load);
     assert!(
         dispatcher.submit(at(0), submission(1, "best", "p")).is_empty(),
         "it waits"
@@ -448,7 +448,7 @@
     assert!(dispatcher.submit(now, retry).is_empty(), "it is queued");
     dispatcher
         .runners
-        .set_peer_shares(now, Incarnation(9), &radishstair_core::peer::HostLoad::default());
+        .set_peer_load(now, Incarnation(9), &radishstair_core::peer::HostLoad::default());
     assert_eq!(started(&dispatcher.tick(now))[0], 4, "and goes first");
 }
 
