--- a/tests/suite/docs.rs
+++ b/tests/suite/docs.rs
@@ -111,7 +111,7 @@
 /// A peer with the token must get the configuration in force.
 #[test]
 fn the_peers_page_holds() {
-    assert!(page("interfaces/peers.md").contains("`Pull { have: 0 }`"));
+    assert!(page("interfaces/peers.md").contains("`Pull { version: 0 }`"));
     let cluster = cluster().start();
     let address = cluster.peer_address(0);
     let runtime = tokio::runtime::Builder::new_current_thread()
