--- a/crates/load/src/metrics.rs
+++ b/crates/load/src/metrics.rs
@@ -13,9 +13,11 @@
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Completed within its target.
+    /// Completed, and served within its target: the first token of a stream, or the end of a plain
+    /// call.
     InTime,
-    /// Completed after its target, or still open past its target when the run ended.
+    /// Completed, but served after its target, or still without a first token past its target when
+    /// the run ended.
     Late,
     /// Refused.
     Refused,
@@ -32,7 +34,7 @@
     pub customer: &'a str,
     /// How it ended.
     pub status: Status,
-    /// Tokens generated for it.
+    /// Tokens that its caller received.
     pub tokens: u32,
     /// Time to its first token.
     pub first_token: Option<Duration>,
@@ -87,9 +89,9 @@
     pub minutes: BTreeMap<(String, u64), Counts>,
     /// Time to the first token by class, in milliseconds.
     pub first_token_ms: BTreeMap<String, Histogram<u64>>,
-    /// Tokens generated for calls in time.
+    /// Tokens received by the callers of calls in time.
     pub good_tokens: u64,
-    /// Tokens generated for calls that were late or broken off.
+    /// Tokens received by the callers of calls that were late or broken off.
     pub wasted_tokens: u64,
     /// Tokens generated, by pool.
     pub pool_tokens: BTreeMap<String, u64>,
@@ -222,7 +224,7 @@
     /// Lowest attainment of a customer of a class, divided by the median customer's.
     ///
     /// Only customers of equal demand and with at least five calls are compared: a large customer
-    /// that gets the same share as a small one has a lower attainment, but is not treated worse.
+    /// that gets as much capacity as a small one has a lower attainment, but is not treated worse.
     pub fn customer_ratio(&self, class: &str) -> f64 {
         let peers = self
             .comparable_customers
--- a/crates/load/src/simulation.rs
+++ b/crates/load/src/simulation.rs
@@ -102,7 +102,7 @@
     reported_waiting: Vec<Vec<(String, u32)>>,
     engines: Vec<Engine>,
     jobs: Vec<Job>,
-    /// Factor of each customer's rate, by traffic entry.
+    /// Factors of the customers' rates, by traffic entry and customer.
     rate_factors: Vec<Vec<f64>>,
     /// Times and serial numbers of the pending events.
     timeline: BinaryHeap<Reverse<(u64, u64)>>,
@@ -204,8 +204,8 @@
             let price = self.scenario.fleet[engine.group].price;
             self.metrics.cost += engine.uptime_us as f64 / 3.6e9 * price;
         }
-        // Open calls past their target count as late. A retry that is due after the end counts as
-        // refused.
+        // An open call without a first token counts as late if its target has passed. A retry that
+        // is due after the end counts as refused.
         let open: Vec<usize> = (0..self.jobs.len())
             .filter(|job| !self.jobs[*job].ended)
             .collect();
