--- a/crates/load/src/cmd.rs
+++ b/crates/load/src/cmd.rs
@@ -20,7 +20,7 @@
     pub command: Option<Command>,
 }
 
-/// Subcommands.
+/// A subcommand and its arguments.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// The error of the subcommand.
+/// If there is no subcommand or the subcommand fails.
 pub fn run(args: Args) -> Result<()> {
     if args.version {
         println!("radishstair-load {}", env!("CARGO_PKG_VERSION"));
--- a/crates/load/src/cmd/slopes.rs
+++ b/crates/load/src/cmd/slopes.rs
@@ -79,7 +79,7 @@
         .collect()
 }
 
-/// A configuration with two tiers and three keys per customer.
+/// A configuration with two tiers, and three API keys for each customer.
 fn sample_document(customers: usize) -> Document {
     let tiers = r#"[{"name":"t0","priority":0,"target":"1s","patience":"10m"},{"name":"t1","priority":1,"target":"1s","patience":"10m"}]"#;
     let mut document: Document = serde_json::from_str(&format!(
--- a/crates/load/src/cmd/slopes/fleet.rs
+++ b/crates/load/src/cmd/slopes/fleet.rs
@@ -41,6 +41,7 @@
     reads: usize,
     writes: usize,
     measuring: bool,
+    /// Index of the host that made each request to a peer; request ids count from 1.
     requesters: Vec<usize>,
 }
 
@@ -56,8 +57,9 @@
     Some(high.parse::<usize>().ok()? * 250 + low.parse::<usize>().ok()?)
 }
 
-/// Simulates a fleet of `hosts` per zone. Prints, per second, the heartbeats and processing time of
-/// a busy host, the highest traffic of any host, and the calls to the store.
+/// Simulates a fleet of `hosts` per zone. Prints the bytes and heartbeats that a busy host sends per
+/// second and its use of a processor core, the most bytes that any host sends and receives per
+/// second, and the calls to the store per second.
 pub fn simulate(seconds: u64, hosts: usize, zones: usize, runners: usize, changes: u64) {
     let mut fleet = Fleet::new(hosts * zones, zones);
     let start = Moment::at_ms(1_000_000);
--- a/crates/load/src/cmd/smoke.rs
+++ b/crates/load/src/cmd/smoke.rs
@@ -1,5 +1,5 @@
-//! `radishstair-load smoke`: sends requests of each class to a deployment and
-//! checks every outcome, the refusals and the reported usage.
+//! `radishstair-load smoke`: sends requests of each kind to a deployment and
+//! checks every outcome, including refusals and the reported usage.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -24,7 +24,7 @@
 /// Mean and range of a figure over the seeds.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub struct Summary {
-    /// Mean of all seeds.
+    /// Mean over the seeds.
     pub mean: f64,
     /// Lowest value.
     pub low: f64,
@@ -132,7 +132,7 @@
     }
 }
 
-/// Figures of all policies as JSON; `seeds` is the first seed and their number.
+/// Figures of all policies as JSON; `seeds` is the first seed and the number of seeds.
 pub fn json(scenario: &str, seeds: (u64, u64), arms: &[Arm]) -> Value {
     let columns: Vec<Value> = arms
         .iter()
