--- a/crates/ctl/src/commit.rs
+++ b/crates/ctl/src/commit.rs
@@ -14,7 +14,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Log entries read by one call.
 const PAGE_ENTRIES: u32 = 500;
-/// Attempts of a change that conflicts with those of other operators.
+/// Conflicts in a row with other operators' changes after which a change is given up.
 const MAX_CONFLICTS: u32 = 8;
 
 /// Newest configuration: the stored snapshot with the later log entries
@@ -77,8 +77,8 @@
 /// # Errors
 ///
 /// When other operators' changes were accepted first, the change does not pass
-/// the checks, or the store does not answer; in the last case the message says
-/// that the outcome is unknown.
+/// the checks, or the store does not answer. If it does not answer the write,
+/// the message says that the outcome is unknown.
 pub fn commit(
     client: &Client,
     who: &str,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,10 +13,10 @@
     /// settings file (JSON)
     #[argh(positional)]
     pub settings: Option<PathBuf>,
-    /// print the version and end
+    /// print the version and exit
     #[argh(switch)]
     pub version: bool,
-    /// check the settings file and end
+    /// check the settings file and exit
     #[argh(switch)]
     pub check: bool,
 }
