--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -107,7 +107,7 @@
         #[serde(default)]
         pub slow: Option<u32>,
         /// Whether responses have the `x-leaving` header, which announces that
-        /// the runner drains.
+        /// the runner leaves.
         #[serde(default)]
         pub leaving: bool,
     }
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -23,8 +23,9 @@
 }
 
 /// Number of tokens in the completion of a prompt. The word `len=N` in the prompt
-/// sets it; otherwise it has a heavy-tailed distribution, as callers cannot
-/// predict the length of real completions.
+/// sets it; otherwise a hash of the prompt selects it from a heavy-tailed
+/// distribution, since callers cannot predict the length of real completions. It
+/// does not exceed `max_tokens`.
 pub fn completion_tokens(prompt: &str, max_tokens: Option<u32>) -> u32 {
     let max_tokens = max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
     let fixed = prompt
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -32,11 +32,11 @@
 pub struct Settings {
     /// IP addresses and ports to listen on; all serve the same state.
     pub listen: Vec<SocketAddr>,
-    /// Limit of writes per second; further ones get status 429.
+    /// Maximum number of writes per second; further ones get status 429.
     #[serde(default = "default_writes")]
     pub writes: u32,
-    /// Limit of reads per second, including watches; further ones get status
-    /// 429.
+    /// Maximum number of reads per second, including watches; further ones get
+    /// status 429.
     #[serde(default = "default_reads")]
     pub reads: u32,
     /// Time until a change of the runner list is visible.
@@ -54,7 +54,7 @@
     #[serde(default)]
     pub spares: Vec<Listing>,
     /// Pools whose orders are refused if their fencing number is lower than that
-    /// of an accepted order.
+    /// of the last accepted order for the pool and zone.
     #[serde(default)]
     pub fenced: Vec<String>,
 }
@@ -112,7 +112,7 @@
 }
 
 record! {
-    /// Record of the calls, for the checks of tests.
+    /// Calls that the platform received, recorded for tests to check.
     #[derive(Default)]
     pub struct Log {
         /// Orders, and whether each was accepted.
@@ -349,14 +349,14 @@
             return (409, serde_json::json!({ "error": "old fencing number" }));
         }
         state.fences.insert(pool_zone, order.fence);
-        let runners = self.apply_order(&state, &order);
+        let runners = self.list_after_order(&state, &order);
         self.publish(&mut state, runners, self.settings.boot);
         (200, serde_json::json!({}))
     }
 
     /// Runner list after an order: spares of the pool and zone are added up to the
     /// count, or removed down to it, the last in the list first.
-    fn apply_order(&self, state: &State, order: &Order) -> Vec<Listing> {
+    fn list_after_order(&self, state: &State, order: &Order) -> Vec<Listing> {
         let mut runners = state
             .listings
             .last()
