--- a/crates/load/src/simulation.rs
+++ b/crates/load/src/simulation.rs
@@ -79,6 +79,7 @@
     first_token_us: Option<u64>,
     /// Output tokens that the caller has received from failed or completed attempts.
     delivered: u32,
+    /// Runners of earlier attempts.
     avoid: Vec<radishstair_core::runner::Key>,
     submission: Option<Submission>,
     /// Index of the assigned engine, and its key in the host's dispatcher.
@@ -86,6 +87,7 @@
     started_us: u64,
     /// Time from the start of the current attempt to its completion.
     duration_us: u64,
+    /// Priority in an engine's queue; the lowest number starts first.
     priority: u8,
     ended: bool,
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -39,7 +39,7 @@
     /// status 429.
     #[serde(default = "default_reads")]
     pub reads: u32,
-    /// Time until a change of the runner list is visible.
+    /// Time until a runner list that a test sets is visible.
     #[serde_as(as = "DurationText")]
     #[serde(default = "default_lag")]
     pub lag: Duration,
