--- a/crates/load/src/simulation.rs
+++ b/crates/load/src/simulation.rs
@@ -79,6 +79,7 @@
     first_token_us: Option<u64>,
     /// Output tokens that the caller has received from failed or completed attempts.
     delivered: u32,
+    /// Runners of earlier attempts.
     avoid: Vec<radishstair_core::runner::Key>,
     submission: Option<Submission>,
     /// Index of the assigned engine, and its key in the host's dispatcher.
@@ -86,6 +87,7 @@
     started_us: u64,
     /// Time from the start of the current attempt to its completion.
     duration_us: u64,
+    /// Priority in an engine's queue; the lowest number starts first.
     priority: u8,
     ended: bool,
 }
@@ -102,7 +104,7 @@
     reported_waiting: Vec<Vec<(String, u32)>>,
     engines: Vec<Engine>,
     jobs: Vec<Job>,
-    /// Factor of each customer's rate, by traffic entry.
+    /// Factors of the customers' rates, by traffic entry and customer.
     rate_factors: Vec<Vec<f64>>,
     /// Times and serial numbers of the pending events.
     timeline: BinaryHeap<Reverse<(u64, u64)>>,
@@ -204,8 +206,8 @@
             let price = self.scenario.fleet[engine.group].price;
             self.metrics.cost += engine.uptime_us as f64 / 3.6e9 * price;
         }
-        // Open calls past their target count as late. A retry that is due after the end counts as
-        // refused.
+        // An open call without a first token counts as late if its target has passed. A retry that
+        // is due after the end counts as refused.
         let open: Vec<usize> = (0..self.jobs.len())
             .filter(|job| !self.jobs[*job].ended)
             .collect();
